--- a/thornhollow/daemon/control_plane.cc
+++ b/thornhollow/daemon/control_plane.cc
@@ -136,7 +136,8 @@
 
   void OnEndpointLeaving(const endpoint_name& aEndpoint)
   {
-    const state_changes changes = mStates.OnTold(aEndpoint, Now() + kToldFor);
+    const endpoint_state_changes changes =
+      mStates.OnLeavingReported(aEndpoint, Now() + kToldFor);
     if (!changes.empty()) {
       mLink.TellLeaving(aEndpoint);
     }
@@ -183,7 +184,7 @@
     listener.mOnMembers = [this] { OnMembers(); };
     listener.mOnEndpointLeaves = [this](const endpoint_name& aEndpoint,
                                         time_point aUntil) {
-      Apply(mStates.OnTold(aEndpoint, aUntil));
+      Apply(mStates.OnLeavingReported(aEndpoint, aUntil));
     };
     // Scheduler, holder and witness notice a pause by their own ticks. The list
     // is as old as the pause: until the platform is read again no view is given
@@ -311,7 +312,7 @@
         leaving.insert(each.mName);
       }
     }
-    Apply(mStates.OnList(std::move(leaving)));
+    Apply(mStates.OnPlatformList(std::move(leaving)));
     mList = std::move(list->mRouters);
     mViewIsFresh = true;
     mLink.OnInstances(*mList);
@@ -377,9 +378,9 @@
     mKeeper.Start(peers);
   }
 
-  void Apply(const state_changes& aChanges)
+  void Apply(const endpoint_state_changes& aChanges)
   {
-    for (const state_change& each : aChanges) {
+    for (const endpoint_state_change& each : aChanges) {
       mListener.mEndpointState(each);
     }
   }
--- a/thornhollow/daemon/control_plane.h
+++ b/thornhollow/daemon/control_plane.h
@@ -34,7 +34,7 @@
 struct control_listener
 {
   std::function<void(catalog_ptr)> mInForce;
-  std::function<void(const state_change&)> mEndpointState;
+  std::function<void(const endpoint_state_change&)> mEndpointState;
   key_listener mKeys;
   // Entry instances of the own domain, this one included.
   std::function<void(const std::vector<instance_name>&)> mRouters;
--- a/thornhollow/daemon/daemon.cc
+++ b/thornhollow/daemon/daemon.cc
@@ -156,7 +156,7 @@
       mLoadPoller.SetEndpoints(
         ModelEngines(aCatalog->Declared(), mRouter.Endpoints()));
     };
-    listener.mEndpointState = [this](const state_change& aChange) {
+    listener.mEndpointState = [this](const endpoint_state_change& aChange) {
       mRouter.OnEndpointState(aChange.mEndpoint, aChange.mState);
     };
     listener.mKeys.mRun = [this](submission aOne) { mRouter.OnKeyRun(aOne); };
--- a/thornhollow/policy/endpoint_choice.cc
+++ b/thornhollow/policy/endpoint_choice.cc
@@ -4,32 +4,36 @@
 namespace {
 
 // Seconds, while nothing was learnt: any positive figure makes load count.
-constexpr double kUnknownFirstToken = 0.1;
+constexpr double kDefaultTimeToFirstToken = 0.1;
 
 } // namespace
 
 double
-CostOf(const endpoint_figures& aEndpoint,
-       const request_size& aRequest,
-       const endpoint_choice_settings& aSettings)
+EstimateCost(const endpoint_cost_inputs& aEndpoint,
+             const request_size& aRequest,
+             const endpoint_choice_settings& aSettings)
 {
-  const double busy = 1 + aEndpoint.mLoad;
+  const double loadFactor = 1 + aEndpoint.mUtilization;
   // Where answers have tokens, the time for each tells the endpoint's speed.
   // The time to the first one doesn't: under load it is the wait of whatever
   // tiers went there lately, thirty seconds for the lowest and none for the
   // highest.
-  const double first =
-    aEndpoint.mFirstToken > 0 ? aEndpoint.mFirstToken : kUnknownFirstToken;
-  const double wait = aEndpoint.mPerToken > 0 ? 0 : first * busy;
-  const double prompt =
-    aEndpoint.mHasPrefix
+  const double timeToFirstToken = aEndpoint.mTimeToFirstToken > 0
+                                    ? aEndpoint.mTimeToFirstToken
+                                    : kDefaultTimeToFirstToken;
+  const double wait =
+    aEndpoint.mTimePerToken > 0 ? 0 : timeToFirstToken * loadFactor;
+  const double prefill =
+    aEndpoint.mHasCachedPrefix
       ? 0
-      : aRequest.mPromptTokens * ToSeconds(aSettings.mPerPromptToken);
-  const double run = aRequest.mOutputTokens * aEndpoint.mPerToken * busy;
-  const double failing = 1 + aSettings.mFailureWeight * aEndpoint.mFailureShare;
-  const double way =
-    aEndpoint.mOtherDomain ? ToSeconds(aSettings.mOtherDomain) : 0;
-  return (way + wait + prompt + run) * failing;
+      : aRequest.mPromptTokens * ToSeconds(aSettings.mPrefillTimePerToken);
+  const double decode =
+    aRequest.mOutputTokens * aEndpoint.mTimePerToken * loadFactor;
+  const double failureFactor =
+    1 + aSettings.mFailureWeight * aEndpoint.mFailureRate;
+  const double crossDomain =
+    aEndpoint.mInOtherDomain ? ToSeconds(aSettings.mCrossDomainCost) : 0;
+  return (crossDomain + wait + prefill + decode) * failureFactor;
 }
 
 } // namespace thornhollow
--- a/thornhollow/policy/endpoint_choice.h
+++ b/thornhollow/policy/endpoint_choice.h
@@ -1,7 +1,8 @@
 // What it costs a request to go to one endpoint rather than another, in seconds
 // until its answer is whole.
 //
-//   const double cost = CostOf(figures, work, endpoint_choice_settings{});
+//   const double cost = EstimateCost(figures, work,
+//   endpoint_choice_settings{});
 //
 // Load pattern: engines differ in load, speed and cached prefixes at any
 // moment. Without one common measure a choice by load alone computes a prefix
@@ -40,35 +41,35 @@
 {
   // Endpoints compared for one request, of the own domain and of the others
   // each, besides those that hold its prefix.
-  std::size_t mSample = 8;
+  std::size_t mSampleSize = 8;
   // Engine time for a prompt token that isn't cached; zero: prefixes ignored.
-  duration mPerPromptToken = std::chrono::microseconds(30);
+  duration mPrefillTimePerToken = std::chrono::microseconds(30);
   double mFailureWeight = 4;
   // Added for an endpoint of another failure domain.
-  duration mOtherDomain = Milliseconds(20);
+  duration mCrossDomainCost = Milliseconds(20);
   // A learnt latency loses half of its difference to the pool's in this time,
   // so that an endpoint that got no work is tried again.
-  duration mForgetHalf = Seconds(10);
+  duration mLatencyHalfLife = Seconds(10);
 
   friend bool operator==(const endpoint_choice_settings&,
                          const endpoint_choice_settings&) = default;
 };
 
 // An endpoint as one decision sees it.
-struct endpoint_figures
+struct endpoint_cost_inputs
 {
   // Requests in flight there as a share of what it may hold.
-  double mLoad = 0;
+  double mUtilization = 0;
   // Seconds to the first token, which counts only where answers have no more.
-  double mFirstToken = 0;
+  double mTimeToFirstToken = 0;
   // Seconds for each token; zero where answers have none.
-  double mPerToken = 0;
-  double mFailureShare = 0;
-  bool mHasPrefix = false;
-  bool mOtherDomain = false;
+  double mTimePerToken = 0;
+  double mFailureRate = 0;
+  bool mHasCachedPrefix = false;
+  bool mInOtherDomain = false;
 
-  friend bool operator==(const endpoint_figures&,
-                         const endpoint_figures&) = default;
+  friend bool operator==(const endpoint_cost_inputs&,
+                         const endpoint_cost_inputs&) = default;
 };
 
 // What matters of a request for the cost.
@@ -82,9 +83,9 @@
 
 // Seconds that the request may be expected to take there.
 double
-CostOf(const endpoint_figures& aEndpoint,
-       const request_size& aRequest,
-       const endpoint_choice_settings& aSettings);
+EstimateCost(const endpoint_cost_inputs& aEndpoint,
+             const request_size& aRequest,
+             const endpoint_choice_settings& aSettings);
 
 } // namespace thornhollow
 
--- a/thornhollow/policy/endpoint_health.cc
+++ b/thornhollow/policy/endpoint_health.cc
@@ -7,13 +7,13 @@
 namespace {
 
 // Weight of the newest attempt in the averages: about the last twenty count.
-constexpr double kNewest = 0.1;
+constexpr double kSmoothingFactor = 0.1;
 
 } // namespace
 
 endpoint_health::endpoint_health(const endpoint_health_settings& aSettings)
   : mSettings(aSettings)
-  , mProbeAfter(aSettings.mFirstProbeAfter)
+  , mProbeDelay(aSettings.mInitialProbeDelay)
 {
 }
 
@@ -24,10 +24,10 @@
   if (!mUnansweredSince) {
     mUnansweredSince = aNow;
   }
-  if (mShare == 0) {
+  if (mCapacityFraction == 0) {
     // A probe. The next one waits twice as long unless this one is answered.
-    mProbeAfter = std::min(2 * mProbeAfter, mSettings.mLastProbeAfter);
-    mProbeAt = aNow + mProbeAfter;
+    mProbeDelay = std::min(2 * mProbeDelay, mSettings.mMaxProbeDelay);
+    mProbeAt = aNow + mProbeDelay;
   }
 }
 
@@ -35,34 +35,37 @@
 endpoint_health::OnFirstToken(duration aWait, time_point aNow)
 {
   const double wait = ToSeconds(aWait);
-  mUsualWait =
-    mUsualWait == 0 ? wait : mUsualWait + kNewest * (wait - mUsualWait);
-  OnLife(aNow);
+  mAverageTimeToFirstToken =
+    mAverageTimeToFirstToken == 0
+      ? wait
+      : mAverageTimeToFirstToken +
+          kSmoothingFactor * (wait - mAverageTimeToFirstToken);
+  OnActivity(aNow);
 }
 
 void
 endpoint_health::OnEnded(attempt_end aHow,
-                         duration aLength,
-                         bool aMayLeave,
+                         duration aElapsed,
+                         bool aMayEject,
                          time_point aNow)
 {
   mOutstanding -= mOutstanding > 0 ? 1 : 0;
   switch (aHow) {
     case attempt_end::kCompleted:
-      OnLife(aNow);
+      OnActivity(aNow);
       OnSuccess();
       break;
     case attempt_end::kFailed:
-      OnFailure(aMayLeave, aNow);
+      OnFailure(aMayEject, aNow);
       break;
     case attempt_end::kSilent:
-      if (mLastLife <= aNow - aLength) {
-        Leave(health_kind::kSilent, aNow);
+      if (mLastActivity <= aNow - aElapsed) {
+        Eject(health_state::kUnresponsive, aNow);
       }
       break;
     case attempt_end::kDeclined:
     case attempt_end::kDeclinedLeaving:
-      OnLife(aNow);
+      OnActivity(aNow);
       break;
     case attempt_end::kCancelled:
       break;
@@ -82,32 +85,35 @@
 }
 
 void
-endpoint_health::OnPace(double aOfPools, bool aMayLeave, time_point aNow)
+endpoint_health::OnRelativeTimePerToken(double aRatio,
+                                        bool aMayEject,
+                                        time_point aNow)
 {
-  if (!mSettings.mJudge || mShare == 0) {
+  if (!mSettings.mEnabled || mCapacityFraction == 0) {
     return;
   }
-  if (aOfPools < mSettings.mNoLongerSlowFactor) {
-    if (mKind == health_kind::kSlow) {
-      mKind = health_kind::kReturning;
+  if (aRatio < mSettings.mSlowRecoveryFactor) {
+    if (mState == health_state::kSlow) {
+      mState = health_state::kRecovering;
     }
     return;
   }
-  if (aOfPools < mSettings.mSlowFactor || !aMayLeave ||
-      aNow - mSlowJudged < mSettings.mSlowEvery) {
+  if (aRatio < mSettings.mSlowFactor || !aMayEject ||
+      aNow - mLastSlowReduction < mSettings.mSlowReductionInterval) {
     return;
   }
-  mSlowJudged = aNow;
-  mKind = health_kind::kSlow;
-  mShare = std::max(mSettings.mSmallestShare, mShare / 2);
+  mLastSlowReduction = aNow;
+  mState = health_state::kSlow;
+  mCapacityFraction =
+    std::max(mSettings.mMinCapacityFraction, mCapacityFraction / 2);
 }
 
 void
 endpoint_health::Update(time_point aNow)
 {
-  if (mUnansweredSince && mShare > 0 &&
-      aNow - *mUnansweredSince >= SilentAfter()) {
-    Leave(health_kind::kSilent, aNow);
+  if (mUnansweredSince && mCapacityFraction > 0 &&
+      aNow - *mUnansweredSince >= SilenceTimeout()) {
+    Eject(health_state::kUnresponsive, aNow);
   }
 }
 
@@ -124,98 +130,102 @@
                            std::uint32_t aInFlight,
                            time_point aNow) const
 {
-  if (mShare == 0) {
+  if (mCapacityFraction == 0) {
     return aNow >= *NextProbe(aInFlight) ? aInFlight + 1 : 0;
   }
-  const double places = std::round(aLimit * mShare);
-  return std::max(1U, static_cast<std::uint32_t>(places));
+  const double slots = std::round(aLimit * mCapacityFraction);
+  return std::max(1U, static_cast<std::uint32_t>(slots));
 }
 
 std::optional<time_point>
 endpoint_health::NextProbe(std::uint32_t aInFlight) const
 {
-  if (mShare > 0) {
+  if (mCapacityFraction > 0) {
     return std::nullopt;
   }
   // What still waits there is a probe as well: any answer to it is a sign of
   // life, and one request more would only wait beside it. Should its connection
   // be dead, a probe goes in the end.
-  const bool isWaitingThere = mKind == health_kind::kSilent && aInFlight > 0;
-  return isWaitingThere ? mProbeAt + mSettings.mLastProbeAfter : mProbeAt;
+  const bool isWaitingThere =
+    mState == health_state::kUnresponsive && aInFlight > 0;
+  return isWaitingThere ? mProbeAt + mSettings.mMaxProbeDelay : mProbeAt;
 }
 
 void
-endpoint_health::Leave(health_kind aWhy, time_point aNow)
+endpoint_health::Eject(health_state aReason, time_point aNow)
 {
-  if (!mSettings.mJudge || mShare == 0) {
+  if (!mSettings.mEnabled || mCapacityFraction == 0) {
     return;
   }
-  mKind = aWhy;
-  mShare = 0;
-  mProbeAt = aNow + mProbeAfter;
+  mState = aReason;
+  mCapacityFraction = 0;
+  mProbeAt = aNow + mProbeDelay;
 }
 
 void
-endpoint_health::ComeBack()
+endpoint_health::StartRecovery()
 {
-  mKind = health_kind::kReturning;
-  mShare = mSettings.mSmallestShare;
-  mFailuresInRow = 0;
-  mFailures = 0;
+  mState = health_state::kRecovering;
+  mCapacityFraction = mSettings.mMinCapacityFraction;
+  mConsecutiveFailures = 0;
+  mFailureRate = 0;
   mAttempts = 0;
 }
 
 void
-endpoint_health::OnLife(time_point aNow)
+endpoint_health::OnActivity(time_point aNow)
 {
-  mLastLife = aNow;
+  mLastActivity = aNow;
   mUnansweredSince.reset();
-  if (mKind == health_kind::kSilent) {
-    ComeBack();
+  if (mState == health_state::kUnresponsive) {
+    StartRecovery();
   }
 }
 
 void
-endpoint_health::OnFailure(bool aMayLeave, time_point aNow)
+endpoint_health::OnFailure(bool aMayEject, time_point aNow)
 {
   mUnansweredSince.reset();
-  ++mFailuresInRow;
+  ++mConsecutiveFailures;
   ++mAttempts;
-  mFailures += kNewest * (1 - mFailures);
-  const bool failing = mFailuresInRow >= mSettings.mFailuresInRow ||
-                       mKind == health_kind::kReturning ||
-                       (mAttempts >= mSettings.mLeastAttempts &&
-                        mFailures >= mSettings.mFailureShare);
-  if (failing && aMayLeave) {
-    Leave(health_kind::kFailing, aNow);
+  mFailureRate += kSmoothingFactor * (1 - mFailureRate);
+  const bool isFailing =
+    mConsecutiveFailures >= mSettings.mEjectAfterFailures ||
+    mState == health_state::kRecovering ||
+    (mAttempts >= mSettings.mMinAttempts &&
+     mFailureRate >= mSettings.mMaxFailureRate);
+  if (isFailing && aMayEject) {
+    Eject(health_state::kFailing, aNow);
   }
 }
 
 void
 endpoint_health::OnSuccess()
 {
-  mFailuresInRow = 0;
+  mConsecutiveFailures = 0;
   ++mAttempts;
-  mFailures -= kNewest * mFailures;
-  if (mShare == 0) {
-    ComeBack();
+  mFailureRate -= kSmoothingFactor * mFailureRate;
+  if (mCapacityFraction == 0) {
+    StartRecovery();
     return;
   }
-  if (mKind != health_kind::kReturning) {
+  if (mState != health_state::kRecovering) {
     return;
   }
-  mShare = std::min(1.0, mShare * mSettings.mReturnGrowth);
-  if (mShare == 1) {
-    mKind = health_kind::kServing;
-    mProbeAfter = mSettings.mFirstProbeAfter;
+  mCapacityFraction =
+    std::min(1.0, mCapacityFraction * mSettings.mRecoveryGrowth);
+  if (mCapacityFraction == 1) {
+    mState = health_state::kHealthy;
+    mProbeDelay = mSettings.mInitialProbeDelay;
   }
 }
 
 duration
-endpoint_health::SilentAfter() const
+endpoint_health::SilenceTimeout() const
 {
-  return std::max(mSettings.mSilentAfter,
-                  FromSeconds(mUsualWait * mSettings.mSilentFactor));
+  return std::max(
+    mSettings.mSilenceTimeout,
+    FromSeconds(mAverageTimeToFirstToken * mSettings.mSilenceLatencyFactor));
 }
 
 } // namespace thornhollow
--- a/thornhollow/policy/endpoint_health.h
+++ b/thornhollow/policy/endpoint_health.h
@@ -1,7 +1,7 @@
 // Whether an endpoint gets its full share of work, part of it, or only probes.
 //
 //   endpoint_health health(endpoint_health_settings{});
-//   health.OnEnded(attempt_end::kFailed, length, mayLeave, now);
+//   health.OnEnded(attempt_end::kFailed, length, mayEject, now);
 //   if (inFlight < health.Allowance(limit, inFlight, now)) { ... }
 //
 // Load pattern: an endpoint crashes, answers errors faster than others answer
@@ -14,7 +14,7 @@
 // - failing: three failures in a row, or half of the recent ones. It gets
 //   nothing but a probe now and then;
 // - silent: no sign of life since something was sent there for longer than
-//   `SilentAfter`, or a silent attempt without a sign of life since it was
+//   `SilenceTimeout`, or a silent attempt without a sign of life since it was
 //   sent. The same, but at once. A silent attempt beside others that were
 //   answered is a dead connection, not a dead endpoint, and changes nothing;
 // - slow: its time per token is three times the pool's. Its share is halved
@@ -22,7 +22,7 @@
 // - returning: after a probe was answered it gets a tenth of its places, and
 //   15% more with each answer. A failure then sends it back for twice as long.
 //
-// How many may be out at a time is the caller's to bound (`aMayLeave`): when
+// How many may be out at a time is the caller's to bound (`aMayEject`): when
 // most of a pool fails, the cause is elsewhere, and leaving would crush the
 // rest. Silence isn't bounded: work sent there is answered by nobody.
 //
@@ -48,34 +48,34 @@
 struct endpoint_health_settings
 {
   // False: every endpoint always has its full share.
-  bool mJudge = true;
-  std::uint32_t mFailuresInRow = 3;
+  bool mEnabled = true;
+  std::uint32_t mEjectAfterFailures = 3;
   // Share of failures among recent attempts above which it is failing,
-  double mFailureShare = 0.5;
+  double mMaxFailureRate = 0.5;
   // and the attempts to see before that counts.
-  std::uint32_t mLeastAttempts = 8;
-  duration mSilentAfter = Seconds(3);
-  double mSilentFactor = 4;
+  std::uint32_t mMinAttempts = 8;
+  duration mSilenceTimeout = Seconds(3);
+  double mSilenceLatencyFactor = 4;
   double mSlowFactor = 3;
   // Below this multiple of the pool's pace it is slow no longer.
-  double mNoLongerSlowFactor = 1.5;
-  duration mSlowEvery = Seconds(1);
-  double mSmallestShare = 0.1;
-  double mReturnGrowth = 1.15;
-  duration mFirstProbeAfter = Seconds(1);
-  duration mLastProbeAfter = Seconds(30);
+  double mSlowRecoveryFactor = 1.5;
+  duration mSlowReductionInterval = Seconds(1);
+  double mMinCapacityFraction = 0.1;
+  double mRecoveryGrowth = 1.15;
+  duration mInitialProbeDelay = Seconds(1);
+  duration mMaxProbeDelay = Seconds(30);
 
   friend bool operator==(const endpoint_health_settings&,
                          const endpoint_health_settings&) = default;
 };
 
-enum class health_kind : std::uint8_t
+enum class health_state : std::uint8_t
 {
-  kServing,
+  kHealthy,
   kFailing,
-  kSilent,
+  kUnresponsive,
   kSlow,
-  kReturning,
+  kRecovering,
 };
 
 class endpoint_health
@@ -86,27 +86,27 @@
   void OnSent(time_point aNow);
   // A first token came: a sign of life.
   void OnFirstToken(duration aWait, time_point aNow);
-  // An attempt ended `aLength` after it was sent. `aMayLeave`: whether the pool
-  // can spare the endpoint.
+  // An attempt ended `aElapsed` after it was sent. `aMayEject`: whether the
+  // pool can spare the endpoint.
   void OnEnded(attempt_end aHow,
-               duration aLength,
-               bool aMayLeave,
+               duration aElapsed,
+               bool aMayEject,
                time_point aNow);
   // A load report taken at `aTaken` says that requests wait inside it: no first
   // token is to be expected before a place there is free.
   void OnQueueReported(time_point aTaken);
   // Its time per token, as a multiple of its pool's.
-  void OnPace(double aOfPools, bool aMayLeave, time_point aNow);
+  void OnRelativeTimePerToken(double aRatio, bool aMayEject, time_point aNow);
   // Notices silence. Call before reading.
   void Update(time_point aNow);
   // The process stood still: silence meanwhile says nothing.
   void OnClockGap(time_point aNow);
 
-  health_kind Kind() const { return mKind; }
+  health_state State() const { return mState; }
   // Part of its places that it gets: 0 (probes only) to 1.
-  double Share() const { return mShare; }
+  double CapacityFraction() const { return mCapacityFraction; }
   // Failures among recent attempts, 0 to 1.
-  double FailureShare() const { return mFailures; }
+  double FailureRate() const { return mFailureRate; }
   // Requests that may be in flight there, given its limit and what is.
   std::uint32_t Allowance(std::uint32_t aLimit,
                           std::uint32_t aInFlight,
@@ -116,27 +116,27 @@
   std::optional<time_point> NextProbe(std::uint32_t aInFlight) const;
 
 private:
-  void Leave(health_kind aWhy, time_point aNow);
-  void ComeBack();
-  void OnLife(time_point aNow);
-  void OnFailure(bool aMayLeave, time_point aNow);
+  void Eject(health_state aReason, time_point aNow);
+  void StartRecovery();
+  void OnActivity(time_point aNow);
+  void OnFailure(bool aMayEject, time_point aNow);
   void OnSuccess();
-  duration SilentAfter() const;
+  duration SilenceTimeout() const;
 
   endpoint_health_settings mSettings;
-  health_kind mKind = health_kind::kServing;
-  double mShare = 1;
+  health_state mState = health_state::kHealthy;
+  double mCapacityFraction = 1;
   std::uint32_t mOutstanding = 0;
-  std::uint32_t mFailuresInRow = 0;
-  double mFailures = 0;
+  std::uint32_t mConsecutiveFailures = 0;
+  double mFailureRate = 0;
   std::uint32_t mAttempts = 0;
-  double mUsualWait = 0;
-  time_point mLastLife{};
+  double mAverageTimeToFirstToken = 0;
+  time_point mLastActivity{};
   // When the first request was sent since the last sign of life.
   std::optional<time_point> mUnansweredSince;
-  duration mProbeAfter;
+  duration mProbeDelay;
   time_point mProbeAt{};
-  time_point mSlowJudged{};
+  time_point mLastSlowReduction{};
 };
 
 } // namespace thornhollow
--- a/thornhollow/policy/endpoint_health_test.cc
+++ b/thornhollow/policy/endpoint_health_test.cc
@@ -7,11 +7,11 @@
 
 struct one_endpoint
 {
-  void End(attempt_end aHow, duration aLength = Milliseconds(100))
+  void End(attempt_end aHow, duration aElapsed = Milliseconds(100))
   {
     mHealth.OnSent(mNow);
-    mNow += aLength;
-    mHealth.OnEnded(aHow, aLength, true, mNow);
+    mNow += aElapsed;
+    mHealth.OnEnded(aHow, aElapsed, true, mNow);
   }
 
   std::uint32_t Allowance() const { return mHealth.Allowance(16, 0, mNow); }
@@ -29,7 +29,7 @@
   End(attempt_end::kFailed);
   CHECK(Allowance() == 16);
   End(attempt_end::kFailed);
-  CHECK(mHealth.Kind() == health_kind::kFailing);
+  CHECK(mHealth.State() == health_state::kFailing);
   CHECK(Allowance() == 0);
   mNow += Seconds(1);
   CHECK(Allowance() == 1);
@@ -45,23 +45,23 @@
   }
   mNow += Seconds(1);
   End(attempt_end::kCompleted);
-  CHECK(mHealth.Kind() == health_kind::kReturning);
+  CHECK(mHealth.State() == health_state::kRecovering);
   CHECK(Allowance() == 2);
   for (int i = 0; i < 16; ++i) {
     End(attempt_end::kCompleted);
   }
-  CHECK(mHealth.Share() < 1);
+  CHECK(mHealth.CapacityFraction() < 1);
   End(attempt_end::kCompleted);
-  CHECK(mHealth.Kind() == health_kind::kServing);
+  CHECK(mHealth.State() == health_state::kHealthy);
 }
 
 TEST_CASE_FIXTURE(one_endpoint,
                   "endpoint_health/every_second_attempt_fails/leaves")
 {
-  for (int i = 0; i < 40 && mHealth.Share() == 1; ++i) {
+  for (int i = 0; i < 40 && mHealth.CapacityFraction() == 1; ++i) {
     End(i % 3 == 0 ? attempt_end::kCompleted : attempt_end::kFailed);
   }
-  CHECK(mHealth.Kind() == health_kind::kFailing);
+  CHECK(mHealth.State() == health_state::kFailing);
 }
 
 // An endpoint hangs: connections stay open, nothing comes. Each request sent
@@ -71,11 +71,11 @@
 {
   mHealth.OnSent(mNow);
   mHealth.Update(mNow + Milliseconds(2999));
-  CHECK(mHealth.Share() == 1);
+  CHECK(mHealth.CapacityFraction() == 1);
   mHealth.Update(mNow + Seconds(3));
-  CHECK(mHealth.Kind() == health_kind::kSilent);
+  CHECK(mHealth.State() == health_state::kUnresponsive);
   mHealth.OnFirstToken(Seconds(4), mNow + Seconds(4));
-  CHECK(mHealth.Kind() == health_kind::kReturning);
+  CHECK(mHealth.State() == health_state::kRecovering);
 }
 
 TEST_CASE_FIXTURE(one_endpoint,
@@ -84,13 +84,13 @@
   mHealth.OnSent(mNow);
   mHealth.OnQueueReported(mNow + Seconds(2));
   mHealth.Update(mNow + Seconds(4));
-  CHECK(mHealth.Share() == 1);
+  CHECK(mHealth.CapacityFraction() == 1);
   mHealth.OnClockGap(mNow + Seconds(60));
   mHealth.Update(mNow + Seconds(62));
-  CHECK(mHealth.Share() == 1);
+  CHECK(mHealth.CapacityFraction() == 1);
   mHealth.OnEnded(attempt_end::kCancelled, Seconds(62), true, mNow);
   mHealth.Update(mNow + Seconds(70));
-  CHECK(mHealth.Share() == 1);
+  CHECK(mHealth.CapacityFraction() == 1);
 }
 
 // A device between router and endpoint lost track of one connection. The
@@ -102,23 +102,23 @@
   mHealth.OnSent(mNow);
   mHealth.OnFirstToken(Milliseconds(50), mNow + Milliseconds(50));
   mHealth.OnEnded(attempt_end::kSilent, Seconds(2), true, mNow + Seconds(2));
-  CHECK(mHealth.Share() == 1);
+  CHECK(mHealth.CapacityFraction() == 1);
   mHealth.OnSent(mNow + Seconds(2));
   mHealth.OnEnded(attempt_end::kSilent, Seconds(1), true, mNow + Seconds(3));
-  CHECK(mHealth.Kind() == health_kind::kSilent);
+  CHECK(mHealth.State() == health_state::kUnresponsive);
 }
 
 TEST_CASE_FIXTURE(one_endpoint,
                   "endpoint_health/straggler/share_halves_each_second")
 {
   for (const std::uint32_t expected : { 8U, 4U, 2U, 2U, 2U }) {
-    mHealth.OnPace(4, true, mNow);
-    mHealth.OnPace(4, true, mNow);
+    mHealth.OnRelativeTimePerToken(4, true, mNow);
+    mHealth.OnRelativeTimePerToken(4, true, mNow);
     CHECK(Allowance() == expected);
     mNow += Seconds(1);
   }
-  mHealth.OnPace(1, true, mNow);
-  CHECK(mHealth.Kind() == health_kind::kReturning);
+  mHealth.OnRelativeTimePerToken(1, true, mNow);
+  CHECK(mHealth.State() == health_state::kRecovering);
 }
 
 TEST_CASE_FIXTURE(one_endpoint,
@@ -126,9 +126,9 @@
 {
   for (int i = 0; i < 9; ++i) {
     mHealth.OnEnded(attempt_end::kFailed, Milliseconds(1), false, mNow);
-    mHealth.OnPace(9, false, mNow);
+    mHealth.OnRelativeTimePerToken(9, false, mNow);
   }
-  CHECK(mHealth.Share() == 1);
+  CHECK(mHealth.CapacityFraction() == 1);
 }
 
 } // namespace
--- a/thornhollow/policy/endpoint_load.cc
+++ b/thornhollow/policy/endpoint_load.cc
@@ -36,42 +36,43 @@
   const double total = static_cast<double>(aReport.mRunning) + aReport.mWaiting;
   const double seen = std::max(0.0, total - InFlightAt(taken));
   if (!mReportTaken) {
-    mOthers = seen;
+    mOthersInFlight = seen;
   } else {
     const double passed = ToSeconds(taken - *mReportTaken);
-    const double kept = std::exp(-passed / ToSeconds(mSettings.mSmoothing));
-    mOthers = seen + (mOthers - seen) * kept;
+    const double kept = std::exp(-passed / ToSeconds(mSettings.mSmoothingTime));
+    mOthersInFlight = seen + (mOthersInFlight - seen) * kept;
   }
   mReportTaken = taken;
 }
 
 void
-endpoint_load::ForgetReport()
+endpoint_load::DiscardReport()
 {
   mReportTaken.reset();
-  mOthers = 0;
+  mOthersInFlight = 0;
 }
 
 double
-endpoint_load::Others(time_point aNow) const
+endpoint_load::OthersInFlight(time_point aNow) const
 {
   if (!mReportTaken) {
     return 0;
   }
   const duration age = aNow - *mReportTaken;
-  if (age >= mSettings.mNothingFrom) {
+  if (age >= mSettings.mZeroWeightAge) {
     return 0;
   }
-  const double faded = ToSeconds(age - mSettings.mFullUntil) /
-                       ToSeconds(mSettings.mNothingFrom - mSettings.mFullUntil);
-  return mOthers * (1 - std::max(0.0, faded));
+  const double faded =
+    ToSeconds(age - mSettings.mFullWeightAge) /
+    ToSeconds(mSettings.mZeroWeightAge - mSettings.mFullWeightAge);
+  return mOthersInFlight * (1 - std::max(0.0, faded));
 }
 
 void
 endpoint_load::Record(time_point aNow)
 {
-  mChanges[mNext] = { aNow, mInFlight };
-  mNext = (mNext + 1) % kChanges;
+  mHistory[mNext] = { aNow, mInFlight };
+  mNext = (mNext + 1) % kHistorySize;
 }
 
 std::uint32_t
@@ -80,8 +81,9 @@
   // Newest first. A slot never written has the clock's origin and a count of
   // zero, which is what was in flight before the first request.
   std::uint32_t oldest = mInFlight;
-  for (std::size_t back = 1; back <= kChanges; ++back) {
-    const change& each = mChanges[(mNext + kChanges - back) % kChanges];
+  for (std::size_t back = 1; back <= kHistorySize; ++back) {
+    const in_flight_sample& each =
+      mHistory[(mNext + kHistorySize - back) % kHistorySize];
     oldest = each.mCount;
     if (each.mAt <= aThen) {
       break;
--- a/thornhollow/policy/endpoint_load.h
+++ b/thornhollow/policy/endpoint_load.h
@@ -3,7 +3,7 @@
 //
 //   load.OnSent(now);
 //   load.OnReport(report, now);
-//   const double total = load.InFlight() + load.Others(now);
+//   const double total = load.InFlight() + load.OthersInFlight(now);
 //
 // Load pattern: six to eight routers (at large scale a subset of 38) send to
 // the same endpoints, and see them only through reports that are up to seconds
@@ -46,11 +46,11 @@
   // False: reports are ignored, only own requests count.
   bool mUseReports = true;
   // Time in which a change of the others' requests counts by two thirds.
-  duration mSmoothing = Seconds(2);
+  duration mSmoothingTime = Seconds(2);
   // A report counts in full up to this age,
-  duration mFullUntil = Seconds(1);
+  duration mFullWeightAge = Seconds(1);
   // and for nothing from this age.
-  duration mNothingFrom = Seconds(8);
+  duration mZeroWeightAge = Seconds(8);
 
   friend bool operator==(const endpoint_load_settings&,
                          const endpoint_load_settings&) = default;
@@ -66,17 +66,17 @@
   // A report older than the one held is ignored.
   void OnReport(const load_report& aReport, time_point aNow);
   // After a pause: what reports said is no longer believed.
-  void ForgetReport();
+  void DiscardReport();
 
   // Own requests there.
   std::uint32_t InFlight() const { return mInFlight; }
   // Requests of other routers there, as far as a report still tells.
-  double Others(time_point aNow) const;
+  double OthersInFlight(time_point aNow) const;
 
 private:
-  static constexpr std::size_t kChanges = 32;
+  static constexpr std::size_t kHistorySize = 32;
 
-  struct change
+  struct in_flight_sample
   {
     time_point mAt{};
     std::uint32_t mCount = 0;
@@ -87,10 +87,10 @@
 
   endpoint_load_settings mSettings;
   std::uint32_t mInFlight = 0;
-  std::array<change, kChanges> mChanges{};
+  std::array<in_flight_sample, kHistorySize> mHistory{};
   std::size_t mNext = 0;
   std::optional<time_point> mReportTaken;
-  double mOthers = 0;
+  double mOthersInFlight = 0;
 };
 
 } // namespace thornhollow
--- a/thornhollow/policy/endpoint_load_test.cc
+++ b/thornhollow/policy/endpoint_load_test.cc
@@ -34,15 +34,16 @@
   mLoad.OnSent(kStart + Seconds(2));
   mLoad.OnReport(Report(4, 2, kStart + Seconds(1)), kStart + Seconds(2));
   CHECK(mLoad.InFlight() == 3);
-  CHECK(mLoad.Others(kStart + Seconds(2)) == 5);
+  CHECK(mLoad.OthersInFlight(kStart + Seconds(2)) == 5);
 }
 
 TEST_CASE_FIXTURE(shared_endpoint, "endpoint_load/report_ages/fades_to_nothing")
 {
   mLoad.OnReport(Report(7, 0, kStart), kStart);
-  CHECK(mLoad.Others(kStart + Seconds(1)) == 7);
-  CHECK(mLoad.Others(kStart + Milliseconds(4500)) == doctest::Approx(3.5));
-  CHECK(mLoad.Others(kStart + Seconds(8)) == 0);
+  CHECK(mLoad.OthersInFlight(kStart + Seconds(1)) == 7);
+  CHECK(mLoad.OthersInFlight(kStart + Milliseconds(4500)) ==
+        doctest::Approx(3.5));
+  CHECK(mLoad.OthersInFlight(kStart + Seconds(8)) == 0);
 }
 
 // Eight routers get the same report of an endpoint that just became idle. Each
@@ -52,7 +53,7 @@
 {
   mLoad.OnReport(Report(8, 0, kStart), kStart);
   mLoad.OnReport(Report(0, 0, kStart + Seconds(2)), kStart + Seconds(2));
-  CHECK(mLoad.Others(kStart + Seconds(2)) ==
+  CHECK(mLoad.OthersInFlight(kStart + Seconds(2)) ==
         doctest::Approx(8 / 2.718).epsilon(0.001));
 }
 
@@ -61,9 +62,9 @@
 {
   mLoad.OnReport(Report(7, 0, kStart + Seconds(1)), kStart + Seconds(1));
   mLoad.OnReport(Report(2, 0, kStart), kStart + Seconds(1));
-  CHECK(mLoad.Others(kStart + Seconds(1)) == 7);
-  mLoad.ForgetReport();
-  CHECK(mLoad.Others(kStart + Seconds(1)) == 0);
+  CHECK(mLoad.OthersInFlight(kStart + Seconds(1)) == 7);
+  mLoad.DiscardReport();
+  CHECK(mLoad.OthersInFlight(kStart + Seconds(1)) == 0);
 }
 
 } // namespace
--- a/thornhollow/policy/endpoint_queue_window.cc
+++ b/thornhollow/policy/endpoint_queue_window.cc
@@ -5,9 +5,9 @@
 namespace thornhollow {
 
 endpoint_queue_window::endpoint_queue_window(
-  const endpoint_queue_settings& aSettings)
+  const endpoint_queue_window_settings& aSettings)
   : mSettings(aSettings)
-  , mWindow(aSettings.mFirst)
+  , mWindow(aSettings.mInitialWindow)
 {
 }
 
@@ -22,19 +22,20 @@
                                     duration aTarget,
                                     time_point aNow)
 {
-  OnLost();
+  OnDequeued();
   const duration bound =
-    FromSeconds(ToSeconds(aTarget) * mSettings.mPartOfTarget);
+    FromSeconds(ToSeconds(aTarget) * mSettings.mTargetFraction);
   if (aWait <= bound) {
-    mWindow = std::min(mSettings.mMost, mWindow + mSettings.mRise);
-  } else if (aNow - mCutAt >= bound) {
-    mWindow = std::max(mSettings.mLeast, mWindow * mSettings.mCut);
-    mCutAt = aNow;
+    mWindow = std::min(mSettings.mMaxWindow, mWindow + mSettings.mIncrease);
+  } else if (aNow - mLastDecrease >= bound) {
+    mWindow =
+      std::max(mSettings.mMinWindow, mWindow * mSettings.mDecreaseFactor);
+    mLastDecrease = aNow;
   }
 }
 
 void
-endpoint_queue_window::OnLost()
+endpoint_queue_window::OnDequeued()
 {
   mWaiting -= mWaiting > 0 ? 1 : 0;
 }
--- a/thornhollow/policy/endpoint_queue_window.h
+++ b/thornhollow/policy/endpoint_queue_window.h
@@ -35,25 +35,26 @@
 
 namespace thornhollow {
 
-struct endpoint_queue_settings
+struct endpoint_queue_window_settings
 {
   bool mEnabled = true;
-  double mFirst = 4;
-  double mLeast = 4;
-  double mMost = 256;
-  double mRise = 0.25;
-  double mCut = 0.7;
+  double mInitialWindow = 4;
+  double mMinWindow = 4;
+  double mMaxWindow = 256;
+  double mIncrease = 0.25;
+  double mDecreaseFactor = 0.7;
   // The part of the first token's target that a request may wait there.
-  double mPartOfTarget = 0.9;
+  double mTargetFraction = 0.9;
 
-  friend bool operator==(const endpoint_queue_settings&,
-                         const endpoint_queue_settings&) = default;
+  friend bool operator==(const endpoint_queue_window_settings&,
+                         const endpoint_queue_window_settings&) = default;
 };
 
 class endpoint_queue_window
 {
 public:
-  explicit endpoint_queue_window(const endpoint_queue_settings& aSettings);
+  explicit endpoint_queue_window(
+    const endpoint_queue_window_settings& aSettings);
 
   // Whether one more request may wait at an endpoint.
   bool HasRoom() const;
@@ -63,16 +64,16 @@
   // Its first token came after `aWait`; the class's target is `aTarget`.
   void OnFirstToken(duration aWait, duration aTarget, time_point aNow);
   // It ended without a first token.
-  void OnLost();
+  void OnDequeued();
 
   std::uint32_t Waiting() const { return mWaiting; }
   double Window() const { return mWindow; }
 
 private:
-  endpoint_queue_settings mSettings;
+  endpoint_queue_window_settings mSettings;
   double mWindow;
   std::uint32_t mWaiting = 0;
-  time_point mCutAt{};
+  time_point mLastDecrease{};
 };
 
 } // namespace thornhollow
--- a/thornhollow/policy/endpoint_scenario_test.cc
+++ b/thornhollow/policy/endpoint_scenario_test.cc
@@ -57,7 +57,7 @@
 // it, they queue there while other endpoints have room.
 TEST_CASE_FIXTURE(on_and_off, "endpoint_scenario/hot_prefix/spreads_under_load")
 {
-  mOff.mEndpoints.mChoice.mPerPromptToken = Milliseconds(10);
+  mOff.mEndpoints.mChoice.mPrefillTimePerToken = Milliseconds(10);
   const deployment granite = GraniteRelay();
   const scenario_spec hot = FindScenario(granite, "hot_prefix");
   const double on = HighestTier(granite, hot, mOn);
--- a/thornhollow/policy/endpoint_states.cc
+++ b/thornhollow/policy/endpoint_states.cc
@@ -5,14 +5,14 @@
 
 namespace thornhollow {
 
-state_changes
-endpoint_states::OnList(std::set<endpoint_name> aLeaving)
+endpoint_state_changes
+endpoint_states::OnPlatformList(std::set<endpoint_name> aLeaving)
 {
   const std::set<endpoint_name> before =
     std::exchange(mListed, std::move(aLeaving));
-  state_changes changes;
+  endpoint_state_changes changes;
   for (const endpoint_name& each : mListed) {
-    if (!before.contains(each) && !mTold.contains(each)) {
+    if (!before.contains(each) && !mReported.contains(each)) {
       changes.push_back({ each, endpoint_state::kLeaving });
     }
   }
@@ -24,21 +24,23 @@
   return changes;
 }
 
-state_changes
-endpoint_states::OnTold(const endpoint_name& aEndpoint, time_point aUntil)
+endpoint_state_changes
+endpoint_states::OnLeavingReported(const endpoint_name& aEndpoint,
+                                   time_point aUntil)
 {
   const bool before = IsLeaving(aEndpoint);
-  time_point& until = mTold[aEndpoint];
+  time_point& until = mReported[aEndpoint];
   until = std::max(until, aUntil);
-  return before ? state_changes{}
-                : state_changes{ { aEndpoint, endpoint_state::kLeaving } };
+  return before
+           ? endpoint_state_changes{}
+           : endpoint_state_changes{ { aEndpoint, endpoint_state::kLeaving } };
 }
 
-state_changes
+endpoint_state_changes
 endpoint_states::Advance(time_point aNow)
 {
-  state_changes changes;
-  for (auto each = mTold.begin(); each != mTold.end();) {
+  endpoint_state_changes changes;
+  for (auto each = mReported.begin(); each != mReported.end();) {
     if (each->second > aNow) {
       ++each;
       continue;
@@ -46,7 +48,7 @@
     if (!mListed.contains(each->first)) {
       changes.push_back({ each->first, endpoint_state::kLive });
     }
-    each = mTold.erase(each);
+    each = mReported.erase(each);
   }
   return changes;
 }
@@ -55,14 +57,14 @@
 endpoint_states::NextDue() const
 {
   const auto first = std::ranges::min_element(
-    mTold, {}, [](const auto& aEntry) { return aEntry.second; });
-  return first == mTold.end() ? std::nullopt : std::optional(first->second);
+    mReported, {}, [](const auto& aEntry) { return aEntry.second; });
+  return first == mReported.end() ? std::nullopt : std::optional(first->second);
 }
 
 bool
 endpoint_states::IsLeaving(const endpoint_name& aEndpoint) const
 {
-  return mListed.contains(aEndpoint) || mTold.contains(aEndpoint);
+  return mListed.contains(aEndpoint) || mReported.contains(aEndpoint);
 }
 
 } // namespace thornhollow
--- a/thornhollow/policy/endpoint_states.h
+++ b/thornhollow/policy/endpoint_states.h
@@ -1,7 +1,8 @@
 // Which endpoints are leaving, from three sources that disagree: the platform's
 // list, which lags; the endpoint's own word; and peers that heard that word.
 //
-//   for (const auto& [name, state] : states.OnTold(endpoint, until, now)) {
+//   for (const auto& [name, state] : states.OnLeavingReported(endpoint, until,
+//   now)) {
 //     Apply(scheduler.OnEndpointState(name, state, now));
 //   }
 //
@@ -24,27 +25,29 @@
 
 namespace thornhollow {
 
-struct state_change
+struct endpoint_state_change
 {
   endpoint_name mEndpoint;
   endpoint_state mState = endpoint_state::kLive;
 
-  friend bool operator==(const state_change&, const state_change&) = default;
+  friend bool operator==(const endpoint_state_change&,
+                         const endpoint_state_change&) = default;
 };
-using state_changes = std::vector<state_change>;
+using endpoint_state_changes = std::vector<endpoint_state_change>;
 
 class endpoint_states
 {
 public:
   // The platform's list has these as leaving, and no others.
-  state_changes OnList(std::set<endpoint_name> aLeaving);
+  endpoint_state_changes OnPlatformList(std::set<endpoint_name> aLeaving);
 
   // The endpoint, or a peer for it, said that it leaves; holds until `aUntil`
   // at least.
-  state_changes OnTold(const endpoint_name& aEndpoint, time_point aUntil);
+  endpoint_state_changes OnLeavingReported(const endpoint_name& aEndpoint,
+                                           time_point aUntil);
 
   // Ends what was told and not told again.
-  state_changes Advance(time_point aNow);
+  endpoint_state_changes Advance(time_point aNow);
   // When `Advance` has something to do next.
   std::optional<time_point> NextDue() const;
 
@@ -52,7 +55,7 @@
   bool IsLeaving(const endpoint_name& aEndpoint) const;
 
   std::set<endpoint_name> mListed;
-  std::map<endpoint_name, time_point> mTold;
+  std::map<endpoint_name, time_point> mReported;
 };
 
 } // namespace thornhollow
--- a/thornhollow/policy/endpoint_states_test.cc
+++ b/thornhollow/policy/endpoint_states_test.cc
@@ -11,8 +11,8 @@
 struct engine_states
 {
   endpoint_states mStates;
-  const state_changes mLeaves{ { kEngine, endpoint_state::kLeaving } };
-  const state_changes mReturns{ { kEngine, endpoint_state::kLive } };
+  const endpoint_state_changes mLeaves{ { kEngine, endpoint_state::kLeaving } };
+  const endpoint_state_changes mReturns{ { kEngine, endpoint_state::kLive } };
 };
 
 TEST_CASE_FIXTURE(engine_states, "engine/own_word_against_list/stays_leaving")
@@ -20,16 +20,16 @@
   // An engine answers "leaving" while the platform's list, seconds behind,
   // still calls it live. Believing the list's next copy would send it a pallet
   // plan that is cut when it stops.
-  CHECK(mStates.OnTold(kEngine, kStart + Seconds(60)) == mLeaves);
-  CHECK(mStates.OnList({}).empty());
-  CHECK(mStates.OnList({ kEngine }).empty());
+  CHECK(mStates.OnLeavingReported(kEngine, kStart + Seconds(60)) == mLeaves);
+  CHECK(mStates.OnPlatformList({}).empty());
+  CHECK(mStates.OnPlatformList({ kEngine }).empty());
   CHECK(mStates.Advance(kStart + Seconds(60)).empty());
-  CHECK(mStates.OnList({}) == mReturns);
+  CHECK(mStates.OnPlatformList({}) == mReturns);
 }
 
 TEST_CASE_FIXTURE(engine_states, "engine/word_not_repeated/ends_by_itself")
 {
-  mStates.OnTold(kEngine, kStart + Seconds(60));
+  mStates.OnLeavingReported(kEngine, kStart + Seconds(60));
   CHECK(mStates.NextDue() == kStart + Seconds(60));
   CHECK(mStates.Advance(kStart + Seconds(59)).empty());
   CHECK(mStates.Advance(kStart + Seconds(60)) == mReturns);
@@ -38,8 +38,8 @@
 
 TEST_CASE_FIXTURE(engine_states, "engine/word_repeated/is_one_change")
 {
-  CHECK(mStates.OnTold(kEngine, kStart + Seconds(1)) == mLeaves);
-  CHECK(mStates.OnTold(kEngine, kStart + Seconds(5)).empty());
+  CHECK(mStates.OnLeavingReported(kEngine, kStart + Seconds(1)) == mLeaves);
+  CHECK(mStates.OnLeavingReported(kEngine, kStart + Seconds(5)).empty());
   CHECK(mStates.Advance(kStart + Seconds(2)).empty());
 }
 
--- a/thornhollow/policy/endpoint_subset.cc
+++ b/thornhollow/policy/endpoint_subset.cc
@@ -11,7 +11,7 @@
 namespace thornhollow {
 namespace {
 
-using weighted = std::pair<std::uint64_t, std::size_t>;
+using weighted_index = std::pair<std::uint64_t, std::size_t>;
 
 std::uint64_t
 Weight(std::uint64_t aRouter, std::uint64_t aEndpoint)
@@ -20,7 +20,8 @@
 }
 
 std::vector<std::uint64_t>
-HashesOf(const std::vector<instance_name>& aRouters, const instance_name& aOwn)
+RouterHashes(const std::vector<instance_name>& aRouters,
+             const instance_name& aOwn)
 {
   std::vector<std::uint64_t> hashes{ Hash64(aOwn.Text()) };
   for (const instance_name& each : aRouters) {
@@ -33,9 +34,9 @@
 
 // How many routers weigh more for `aEndpoint` than the own one.
 std::size_t
-RoutersAhead(const std::vector<std::uint64_t>& aRouters,
-             std::uint64_t aOwn,
-             std::uint64_t aEndpoint)
+CountRoutersWithHigherWeight(const std::vector<std::uint64_t>& aRouters,
+                             std::uint64_t aOwn,
+                             std::uint64_t aEndpoint)
 {
   const std::uint64_t own = Weight(aOwn, aEndpoint);
   return static_cast<std::size_t>(
@@ -44,15 +45,15 @@
     }));
 }
 
-// Moves the heaviest of `aFrom` to `aChosen` until that holds `aWanted`.
+// Moves the heaviest of `aFrom` to `aChosen` until that holds `aMaxSize`.
 void
-FillUp(std::vector<weighted> aFrom,
-       std::size_t aWanted,
-       std::vector<std::size_t>& aChosen)
+AppendHeaviest(std::vector<weighted_index> aFrom,
+               std::size_t aMaxSize,
+               std::vector<std::size_t>& aChosen)
 {
   std::ranges::sort(aFrom, std::greater<>());
   for (const auto& [weight, index] : aFrom) {
-    if (aChosen.size() >= aWanted) {
+    if (aChosen.size() >= aMaxSize) {
       return;
     }
     aChosen.push_back(index);
@@ -61,28 +62,30 @@
 
 // The own domain's part of a pool that is larger than the bound.
 std::vector<std::size_t>
-ChooseOfOwnDomain(std::span<const subset_candidate> aPool,
-                  const std::vector<std::size_t>& aOwnDomain,
-                  const subset_view& aView,
-                  const endpoint_subset_settings& aSettings)
+ChooseFromOwnDomain(std::span<const subset_candidate> aPool,
+                    const std::vector<std::size_t>& aOwnDomain,
+                    const subset_context& aContext,
+                    const endpoint_subset_settings& aSettings)
 {
   const std::vector<std::uint64_t> routers =
-    HashesOf(aView.mRouters, aView.mOwn);
+    RouterHashes(aContext.mRouters, aContext.mOwn);
   const std::uint64_t own = routers.front();
-  const std::size_t wanted = aSettings.mMeanPerPool * routers.size();
-  const std::size_t pickedRouters =
-    (wanted + aOwnDomain.size() - 1) / aOwnDomain.size();
-  std::vector<weighted> picking;
-  std::vector<weighted> others;
+  const std::size_t totalAssignments = aSettings.mMeanPerPool * routers.size();
+  const std::size_t routersPerEndpoint =
+    (totalAssignments + aOwnDomain.size() - 1) / aOwnDomain.size();
+  std::vector<weighted_index> preferred;
+  std::vector<weighted_index> others;
   for (const std::size_t index : aOwnDomain) {
     const std::uint64_t endpoint = Hash64(aPool[index].mName.Text());
     auto& into =
-      RoutersAhead(routers, own, endpoint) < pickedRouters ? picking : others;
+      CountRoutersWithHigherWeight(routers, own, endpoint) < routersPerEndpoint
+        ? preferred
+        : others;
     into.emplace_back(Weight(own, endpoint), index);
   }
   std::vector<std::size_t> chosen;
-  FillUp(std::move(picking), aSettings.mMostPerPool, chosen);
-  FillUp(std::move(others), aSettings.mLeastPerPool, chosen);
+  AppendHeaviest(std::move(preferred), aSettings.mMaxPerPool, chosen);
+  AppendHeaviest(std::move(others), aSettings.mMinPerPool, chosen);
   return chosen;
 }
 
@@ -90,28 +93,28 @@
 
 std::vector<std::size_t>
 ChooseSubset(std::span<const subset_candidate> aPool,
-             const subset_view& aView,
+             const subset_context& aContext,
              const endpoint_subset_settings& aSettings)
 {
   std::vector<std::size_t> chosen(aPool.size());
   std::iota(chosen.begin(), chosen.end(), 0);
-  if (aPool.size() <= aSettings.mMostPerPool) {
+  if (aPool.size() <= aSettings.mMaxPerPool) {
     return chosen;
   }
-  const auto elsewhere =
+  const auto otherDomains =
     std::stable_partition(chosen.begin(), chosen.end(), [&](std::size_t aEach) {
-      return aPool[aEach].mDomain == aView.mDomain;
+      return aPool[aEach].mDomain == aContext.mDomain;
     });
-  std::vector<weighted> others;
-  const std::uint64_t own = Hash64(aView.mOwn.Text());
-  for (auto each = elsewhere; each != chosen.end(); ++each) {
+  std::vector<weighted_index> others;
+  const std::uint64_t own = Hash64(aContext.mOwn.Text());
+  for (auto each = otherDomains; each != chosen.end(); ++each) {
     others.emplace_back(Weight(own, Hash64(aPool[*each].mName.Text())), *each);
   }
-  chosen.erase(elsewhere, chosen.end());
-  if (chosen.size() > aSettings.mMostPerPool) {
-    chosen = ChooseOfOwnDomain(aPool, chosen, aView, aSettings);
+  chosen.erase(otherDomains, chosen.end());
+  if (chosen.size() > aSettings.mMaxPerPool) {
+    chosen = ChooseFromOwnDomain(aPool, chosen, aContext, aSettings);
   } else {
-    FillUp(std::move(others), aSettings.mMostPerPool, chosen);
+    AppendHeaviest(std::move(others), aSettings.mMaxPerPool, chosen);
   }
   std::ranges::sort(chosen);
   return chosen;
--- a/thornhollow/policy/endpoint_subset.h
+++ b/thornhollow/policy/endpoint_subset.h
@@ -1,6 +1,6 @@
 // Which endpoints of a pool an entry instance works with.
 //
-//   const subset_view view{ own, routersOfOwnDomain, ownDomain };
+//   const subset_context view{ own, routersOfOwnDomain, ownDomain };
 //   const auto mine = ChooseSubset(candidates, view,
 //   endpoint_subset_settings{});
 //
@@ -10,7 +10,7 @@
 // streams in flight, would learn the latency of an endpoint from one answer in
 // minutes.
 //
-// A pool of at most `mMostPerPool` endpoints is taken whole: today's 13 and 15
+// A pool of at most `mMaxPerPool` endpoints is taken whole: today's 13 and 15
 // endpoints always are. Of more, the own domain's come first. There each
 // endpoint picks the same number of routers by rendezvous hash, so that every
 // endpoint is covered equally, whatever the routers' names; a router that
@@ -34,11 +34,11 @@
 
 struct endpoint_subset_settings
 {
-  std::size_t mMostPerPool = 16;
+  std::size_t mMaxPerPool = 16;
   // Of a large pool in the own domain: what the mean router gets, and the least
   // that each gets.
   std::size_t mMeanPerPool = 12;
-  std::size_t mLeastPerPool = 8;
+  std::size_t mMinPerPool = 8;
 
   friend bool operator==(const endpoint_subset_settings&,
                          const endpoint_subset_settings&) = default;
@@ -55,21 +55,22 @@
 };
 
 // From where the subset is chosen.
-struct subset_view
+struct subset_context
 {
   instance_name mOwn;
   // Entry instances of the own domain; `mOwn` counts whether listed or not.
   std::vector<instance_name> mRouters;
   domain_name mDomain;
 
-  friend bool operator==(const subset_view&, const subset_view&) = default;
+  friend bool operator==(const subset_context&,
+                         const subset_context&) = default;
 };
 
 // Indices in `aPool` of the endpoints to work with, ascending. The same for the
 // same arguments in every process, in whatever order names are given.
 std::vector<std::size_t>
 ChooseSubset(std::span<const subset_candidate> aPool,
-             const subset_view& aView,
+             const subset_context& aContext,
              const endpoint_subset_settings& aSettings);
 
 } // namespace thornhollow
--- a/thornhollow/policy/endpoint_subset_test.cc
+++ b/thornhollow/policy/endpoint_subset_test.cc
@@ -25,9 +25,9 @@
 
   std::vector<std::size_t> Of(int aRouter) const
   {
-    const subset_view view{ mRouters[static_cast<std::size_t>(aRouter)],
-                            mRouters,
-                            domain_name("d0") };
+    const subset_context view{ mRouters[static_cast<std::size_t>(aRouter)],
+                               mRouters,
+                               domain_name("d0") };
     return ChooseSubset(mPool, view, endpoint_subset_settings{});
   }
 
@@ -48,8 +48,8 @@
   std::vector<int> covered(mPool.size());
   for (int router = 0; router < 38; ++router) {
     const auto mine = Of(router);
-    CHECK(mine.size() >= endpoint_subset_settings{}.mLeastPerPool);
-    CHECK(mine.size() <= endpoint_subset_settings{}.mMostPerPool);
+    CHECK(mine.size() >= endpoint_subset_settings{}.mMinPerPool);
+    CHECK(mine.size() <= endpoint_subset_settings{}.mMaxPerPool);
     for (const std::size_t each : mine) {
       CHECK(mPool[each].mDomain == domain_name("d0"));
       ++covered[each];
@@ -66,7 +66,7 @@
 {
   mPool.resize(35);
   const auto mine = Of(0);
-  CHECK(mine.size() == endpoint_subset_settings{}.mMostPerPool);
+  CHECK(mine.size() == endpoint_subset_settings{}.mMaxPerPool);
   CHECK(std::ranges::count_if(mine, [this](std::size_t aEach) {
           return mPool[aEach].mDomain == domain_name("d0");
         }) == 4);
--- a/thornhollow/policy/endpoint_table.cc
+++ b/thornhollow/policy/endpoint_table.cc
@@ -16,14 +16,16 @@
 
 // How often a place that other routers' work keeps taken is looked at again
 // while their report fades.
-constexpr duration kRecheckEvery = Milliseconds(250);
+constexpr duration kRecheckInterval = Milliseconds(250);
 
 // States of endpoints that are not declared are forgotten above this many, far
 // more than the 850 endpoints of the largest size.
-constexpr std::size_t kMostStatesKept = 4096;
+constexpr std::size_t kMaxRetainedStates = 4096;
 
-constexpr std::array<pool_index::rank, 2> kRanks{ pool_index::kOwnDomain,
-                                                  pool_index::kOtherDomain };
+constexpr std::array<pool_index::domain_rank, 2> kRanks{
+  pool_index::kOwnDomain,
+  pool_index::kOtherDomain
+};
 
 } // namespace
 
@@ -35,15 +37,15 @@
   , mLengths(aSettings.mLength)
 {
   // Until it is told who it is, an instance has a subset of its own.
-  mView.mOwn = instance_name(std::to_string(aSeed));
+  mSubsetContext.mOwn = instance_name(std::to_string(aSeed));
 }
 
 void
 endpoint_table::SetRouters(const instance_name& aOwn,
                            const std::vector<instance_name>& aRouters)
 {
-  mView.mOwn = aOwn;
-  mView.mRouters = aRouters;
+  mSubsetContext.mOwn = aOwn;
+  mSubsetContext.mRouters = aRouters;
 }
 
 void
@@ -57,7 +59,7 @@
       each->mPools.clear();
     }
   }
-  mView.mDomain = aOwnDomain;
+  mSubsetContext.mDomain = aOwnDomain;
   AddToPools(aDeclared);
   mLengths.Configure(aDeclared);
   DropUnused(aNow);
@@ -81,8 +83,8 @@
   }
   // The list goes on naming an endpoint that is not declared for a while; were
   // its state forgotten, it would be taken for live when it is declared again.
-  if (mNotLive.size() > kMostStatesKept) {
-    std::erase_if(mNotLive, [&names](const auto& aEach) {
+  if (mNonLiveStates.size() > kMaxRetainedStates) {
+    std::erase_if(mNonLiveStates, [&names](const auto& aEach) {
       return !names.contains(aEach.first);
     });
   }
@@ -113,10 +115,10 @@
   }
   pool_index& index = mPools[aPool].mIndex;
   for (const std::size_t each :
-       ChooseSubset(candidates, mView, mSettings.mSubset)) {
+       ChooseSubset(candidates, mSubsetContext, mSettings.mSubset)) {
     const endpoint& declared = *aServing[each];
     const endpoint_number number = NumberFor(declared, aHonoursTiers);
-    const bool isOwn = declared.mDomain == mView.mDomain;
+    const bool isOwn = declared.mDomain == mSubsetContext.mDomain;
     const std::uint32_t member = index.Add(
       number, isOwn ? pool_index::kOwnDomain : pool_index::kOtherDomain);
     mEntries[number]->mPools.push_back({ &index, member });
@@ -131,16 +133,16 @@
     mEntries[known->second]->mRecord.Declare(aDeclared, aHonoursTiers);
     return known->second;
   }
-  if (mUnused.empty()) {
-    mUnused.push_back(static_cast<endpoint_number>(mEntries.size()));
+  if (mFreeNumbers.empty()) {
+    mFreeNumbers.push_back(static_cast<endpoint_number>(mEntries.size()));
     mEntries.emplace_back();
   }
-  const endpoint_number number = mUnused.back();
-  mUnused.pop_back();
+  const endpoint_number number = mFreeNumbers.back();
+  mFreeNumbers.pop_back();
   mEntries[number].emplace(entry{
     endpoint_record(mSettings.mRecord, aDeclared, aHonoursTiers), {}, {} });
-  if (const auto state = mNotLive.find(aDeclared.mName);
-      state != mNotLive.end()) {
+  if (const auto state = mNonLiveStates.find(aDeclared.mName);
+      state != mNonLiveStates.end()) {
     mEntries[number]->mRecord.SetState(state->second, time_point{});
   }
   mNumbers.emplace(aDeclared.mName, number);
@@ -158,11 +160,12 @@
     // One with requests in flight stays until they ended and counts them; one
     // that said it leaves stays as long as its word counts, lest it get work
     // when it is declared again.
-    if (each->mRecord.InFlight() == 0 && !each->mRecord.OwnWordEnds(aNow)) {
+    if (each->mRecord.InFlight() == 0 &&
+        !each->mRecord.LeavingReportExpiry(aNow)) {
       mNumbers.erase(each->mRecord.Declared().mName);
-      mAffinity.Forget(number);
+      mAffinity.RemoveEndpoint(number);
       each.reset();
-      mUnused.push_back(number);
+      mFreeNumbers.push_back(number);
     }
   }
 }
@@ -177,43 +180,44 @@
   if (pool == mPools.end()) {
     return std::nullopt;
   }
-  search look = Begin(aItem, aTried, pool->second, aNow);
-  SampleHolders(look);
-  for (const pool_index::rank rank : kRanks) {
-    Sample(rank, look);
+  search query = BeginSearch(aItem, aTried, pool->second, aNow);
+  ConsiderPrefixHits(query);
+  for (const pool_index::domain_rank rank : kRanks) {
+    Sample(rank, query);
   }
-  for (const pool_index::rank rank : kRanks) {
-    if (!look.mBest) {
-      Walk(rank, look);
+  for (const pool_index::domain_rank rank : kRanks) {
+    if (!query.mBest) {
+      Scan(rank, query);
     }
   }
-  return look.mBest
-           ? std::optional(mEntries[*look.mBest]->mRecord.Declared().mName)
+  return query.mBest
+           ? std::optional(mEntries[*query.mBest]->mRecord.Declared().mName)
            : std::nullopt;
 }
 
 endpoint_table::search
-endpoint_table::Begin(const work_item& aItem,
-                      std::span<const endpoint_name> aTried,
-                      pool_state& aPool,
-                      time_point aNow)
-{
-  search look{ aItem, aTried, aPool, {}, {}, false, false, aNow, {}, 0 };
-  look.mSize.mPromptTokens = aItem.mPromptTokens;
-  look.mSize.mOutputTokens = mLengths.Expected(aItem);
-  look.mHolders = mAffinity.Holders(aItem.mPrefix, aNow);
-  look.mAvoidTried = !aTried.empty() && !EveryServingOneTried(aPool, aTried);
+endpoint_table::BeginSearch(const work_item& aItem,
+                            std::span<const endpoint_name> aTried,
+                            pool_state& aPool,
+                            time_point aNow)
+{
+  search query{ aItem, aTried, aPool, {}, {}, false, false, aNow, {}, 0 };
+  query.mSize.mPromptTokens = aItem.mPromptTokens;
+  query.mSize.mOutputTokens = mLengths.Expected(aItem);
+  query.mCachedAt = mAffinity.Lookup(aItem.mPrefix, aNow);
+  query.mAvoidTried = !aTried.empty() && !AllServingTried(aPool, aTried);
   if (!mLengths.IsLong(aItem)) {
-    aPool.mShortSeen = aNow;
-  } else if (mSettings.mBoundLongWork && aPool.mShortSeen) {
-    look.mBoundLong = aNow - *aPool.mShortSeen < mSettings.mShortSeenWithin;
+    aPool.mLastShortWork = aNow;
+  } else if (mSettings.mLimitLongWork && aPool.mLastShortWork) {
+    query.mLimitLong =
+      aNow - *aPool.mLastShortWork < mSettings.mShortWorkWindow;
   }
-  return look;
+  return query;
 }
 
 bool
-endpoint_table::EveryServingOneTried(const pool_state& aPool,
-                                     std::span<const endpoint_name> aTried)
+endpoint_table::AllServingTried(const pool_state& aPool,
+                                std::span<const endpoint_name> aTried)
 {
   std::uint32_t tried = 0;
   for (auto each = aTried.begin(); each != aTried.end(); ++each) {
@@ -224,7 +228,7 @@
     const entry* found = Find(*each);
     const bool serves = found != nullptr &&
                         MemberOf(*found, aPool).has_value() &&
-                        found->mRecord.Health().Share() > 0;
+                        found->mRecord.Health().CapacityFraction() > 0;
     tried += serves ? 1 : 0;
   }
   return tried >= aPool.mIndex.Serving();
@@ -232,55 +236,56 @@
 
 // The endpoints that hold the request's prefix.
 void
-endpoint_table::SampleHolders(search& aSearch)
+endpoint_table::ConsiderPrefixHits(search& aSearch)
 {
-  for (const endpoint_number each : aSearch.mHolders) {
-    if (each != prefix_affinity::kNobody && mEntries[each] &&
+  for (const endpoint_number each : aSearch.mCachedAt) {
+    if (each != prefix_affinity::kNoEndpoint && mEntries[each] &&
         MemberOf(*mEntries[each], aSearch.mPool)) {
-      LookAt(each, aSearch);
+      Consider(each, aSearch);
     }
   }
 }
 
 void
-endpoint_table::Sample(pool_index::rank aRank, search& aSearch)
+endpoint_table::Sample(pool_index::domain_rank aRank, search& aSearch)
 {
-  for (std::size_t i = 0; i < mSettings.mChoice.mSample; ++i) {
-    const auto& withPlace = aSearch.mPool.mIndex.WithPlace(aRank);
-    if (withPlace.empty()) {
+  for (std::size_t i = 0; i < mSettings.mChoice.mSampleSize; ++i) {
+    const auto& withFreeSlot = aSearch.mPool.mIndex.WithFreeSlot(aRank);
+    if (withFreeSlot.empty()) {
       return;
     }
-    LookAt(withPlace[Random(withPlace.size())], aSearch);
+    Consider(withFreeSlot[RandomIndex(withFreeSlot.size())], aSearch);
   }
 }
 
 // From a random one on, the first that fits.
 void
-endpoint_table::Walk(pool_index::rank aRank, search& aSearch)
+endpoint_table::Scan(pool_index::domain_rank aRank, search& aSearch)
 {
-  const auto& withPlace = aSearch.mPool.mIndex.WithPlace(aRank);
-  if (withPlace.empty()) {
+  const auto& withFreeSlot = aSearch.mPool.mIndex.WithFreeSlot(aRank);
+  if (withFreeSlot.empty()) {
     return;
   }
-  std::size_t at = Random(withPlace.size());
-  for (std::size_t i = 0; i < mSettings.mLongestWalk; ++i) {
-    const std::size_t listed = withPlace.size();
-    LookAt(withPlace[at % listed], aSearch);
-    if (aSearch.mBest || withPlace.empty() || i >= listed) {
+  std::size_t at = RandomIndex(withFreeSlot.size());
+  for (std::size_t i = 0; i < mSettings.mMaxScan; ++i) {
+    const std::size_t listed = withFreeSlot.size();
+    Consider(withFreeSlot[at % listed], aSearch);
+    if (aSearch.mBest || withFreeSlot.empty() || i >= listed) {
       return;
     }
     // One that turned out to be full left the list, and another took its place
     // there: look at the same position again.
-    at += withPlace.size() == listed ? 1 : 0;
+    at += withFreeSlot.size() == listed ? 1 : 0;
   }
 }
 
 void
-endpoint_table::LookAt(endpoint_number aNumber, search& aSearch)
+endpoint_table::Consider(endpoint_number aNumber, search& aSearch)
 {
   entry& candidate = *mEntries[aNumber];
   Refresh(candidate, aSearch.mNow);
-  if (!candidate.mRecord.HasPlace(aSearch.mNow) || !Fits(candidate, aSearch)) {
+  if (!candidate.mRecord.HasFreeSlot(aSearch.mNow) ||
+      !IsEligible(candidate, aSearch)) {
     return;
   }
   const double cost = Cost(aNumber, aSearch);
@@ -291,7 +296,7 @@
 }
 
 bool
-endpoint_table::Fits(const entry& aEntry, const search& aSearch) const
+endpoint_table::IsEligible(const entry& aEntry, const search& aSearch) const
 {
   const endpoint_record& record = aEntry.mRecord;
   const bool wasTried =
@@ -300,21 +305,23 @@
   if (wasTried && aSearch.mAvoidTried) {
     return false;
   }
-  if (record.Health().Share() == 0) {
-    return FitsAsProbe(aEntry, aSearch);
+  if (record.Health().CapacityFraction() == 0) {
+    return IsEligibleForProbe(aEntry, aSearch);
   }
-  return !aSearch.mBoundLong || record.HasPlaceForLong(aSearch.mNow);
+  return !aSearch.mLimitLong || record.HasFreeSlotForLong(aSearch.mNow);
 }
 
 // A probe may get no answer. So it is a request that may be repeated, and not
 // of the highest tier, unless none came for long or nothing else serves.
 bool
-endpoint_table::FitsAsProbe(const entry& aEntry, const search& aSearch) const
+endpoint_table::IsEligibleForProbe(const entry& aEntry,
+                                   const search& aSearch) const
 {
   const work_item& item = aSearch.mItem;
   const std::optional<time_point> due =
     aEntry.mRecord.Health().NextProbe(aEntry.mRecord.InFlight());
-  const bool waitedLong = due && aSearch.mNow - *due >= mSettings.mProbeWaits;
+  const bool waitedLong =
+    due && aSearch.mNow - *due >= mSettings.mProbeFallbackDelay;
   return (item.mIdempotent && item.mTier > kHighestTier) || waitedLong ||
          aSearch.mPool.mIndex.Serving() == 0;
 }
@@ -324,56 +331,56 @@
 {
   const endpoint_record& record = mEntries[aNumber]->mRecord;
   const pool_index& pool = aSearch.mPool.mIndex;
-  if (record.Health().Share() == 0) {
+  if (record.Health().CapacityFraction() == 0) {
     // A probe that is due goes first: it is the only way back.
     return 0;
   }
-  const duration half = mSettings.mChoice.mForgetHalf;
-  endpoint_figures figures;
-  figures.mLoad = record.LoadShare();
-  figures.mFirstToken =
-    record.FirstToken().Value(pool.mFirstToken.Value(), half, aSearch.mNow);
-  figures.mPerToken =
-    record.PerToken().Value(pool.mPerToken.Value(), half, aSearch.mNow);
-  figures.mFailureShare = record.Health().FailureShare();
-  figures.mHasPrefix =
-    std::ranges::find(aSearch.mHolders, aNumber) != aSearch.mHolders.end();
+  const duration halfLife = mSettings.mChoice.mLatencyHalfLife;
+  endpoint_cost_inputs costInputs;
+  costInputs.mUtilization = record.Utilization();
+  costInputs.mTimeToFirstToken = record.TimeToFirstToken().Value(
+    pool.mTimeToFirstToken.Value(), halfLife, aSearch.mNow);
+  costInputs.mTimePerToken = record.TimePerToken().Value(
+    pool.mTimePerToken.Value(), halfLife, aSearch.mNow);
+  costInputs.mFailureRate = record.Health().FailureRate();
+  costInputs.mHasCachedPrefix =
+    std::ranges::find(aSearch.mCachedAt, aNumber) != aSearch.mCachedAt.end();
   const auto member = MemberOf(*mEntries[aNumber], aSearch.mPool);
-  figures.mOtherDomain =
+  costInputs.mInOtherDomain =
     member && pool.RankOf(*member) == pool_index::kOtherDomain;
-  return CostOf(figures, aSearch.mSize, mSettings.mChoice);
+  return EstimateCost(costInputs, aSearch.mSize, mSettings.mChoice);
 }
 
 std::size_t
-endpoint_table::Random(std::size_t aBelow)
+endpoint_table::RandomIndex(std::size_t aBelow)
 {
   return std::uniform_int_distribution<std::size_t>(0, aBelow - 1)(mRandom);
 }
 
 std::optional<endpoint_name>
-endpoint_table::ChooseBeyond(const work_item& aItem,
-                             std::span<const endpoint_name> aTried,
-                             std::uint32_t aBeyond,
-                             time_point aNow)
+endpoint_table::ChooseForQueueing(const work_item& aItem,
+                                  std::span<const endpoint_name> aTried,
+                                  std::uint32_t aMaxQueued,
+                                  time_point aNow)
 {
   const auto pool = mPools.find(aItem.mPool);
   if (pool == mPools.end() || pool->second.mIndex.size() == 0) {
     return std::nullopt;
   }
-  search look = Begin(aItem, aTried, pool->second, aNow);
+  search query = BeginSearch(aItem, aTried, pool->second, aNow);
   const pool_index& index = pool->second.mIndex;
-  const std::size_t first = Random(index.size());
-  const std::size_t most = std::min(index.size(), mSettings.mLongestWalk);
+  const std::size_t first = RandomIndex(index.size());
+  const std::size_t maxScan = std::min(index.size(), mSettings.mMaxScan);
   std::uint32_t shortest = 0;
-  for (std::size_t i = 0; i < most; ++i) {
+  for (std::size_t i = 0; i < maxScan; ++i) {
     const endpoint_number number =
       index.EndpointOf(static_cast<std::uint32_t>((first + i) % index.size()));
     const entry& candidate = *mEntries[number];
     const endpoint_record& record = candidate.mRecord;
-    if (!record.HonoursTiers() || !record.MayTakeWork(aNow) ||
-        record.Health().Share() < 1 || !record.IsShared(aNow) ||
-        record.InFlight() >= record.Capacity(aNow) + aBeyond ||
-        !Fits(candidate, look)) {
+    if (!record.HonoursTiers() || !record.AcceptsNewWork(aNow) ||
+        record.Health().CapacityFraction() < 1 || !record.IsShared(aNow) ||
+        record.InFlight() >= record.Capacity(aNow) + aMaxQueued ||
+        !IsEligible(candidate, query)) {
       continue;
     }
     // The shortest queue first: a cached prefix doesn't make up for a queue,
@@ -381,16 +388,16 @@
     const std::uint32_t inFlight = record.InFlight();
     const std::uint32_t capacity = record.Capacity(aNow);
     const std::uint32_t queued = inFlight > capacity ? inFlight - capacity : 0;
-    const double cost = Cost(number, look);
-    if (!look.mBest ||
-        std::pair(queued, cost) < std::pair(shortest, look.mBestCost)) {
-      look.mBest = number;
-      look.mBestCost = cost;
+    const double cost = Cost(number, query);
+    if (!query.mBest ||
+        std::pair(queued, cost) < std::pair(shortest, query.mBestCost)) {
+      query.mBest = number;
+      query.mBestCost = cost;
       shortest = queued;
     }
   }
-  return look.mBest
-           ? std::optional(mEntries[*look.mBest]->mRecord.Declared().mName)
+  return query.mBest
+           ? std::optional(mEntries[*query.mBest]->mRecord.Declared().mName)
            : std::nullopt;
 }
 
@@ -401,7 +408,7 @@
 {
   if (entry* found = Find(aEndpoint)) {
     found->mRecord.OnSent(aItem.mTicket, mLengths.IsLong(aItem), aNow);
-    mAffinity.Remember(aItem.mPrefix, mNumbers.at(aEndpoint), aNow);
+    mAffinity.Record(aItem.mPrefix, mNumbers.at(aEndpoint), aNow);
     Refresh(*found, aNow);
   }
 }
@@ -417,8 +424,8 @@
     return;
   }
   if (const auto pool = mPools.find(aItem.mPool);
-      pool != mPools.end() && !found->mRecord.SpansGap(aWait, aNow)) {
-    pool->second.mIndex.mFirstToken.Add(ToSeconds(aWait));
+      pool != mPools.end() && !found->mRecord.SpansClockGap(aWait, aNow)) {
+    pool->second.mIndex.mTimeToFirstToken.Add(ToSeconds(aWait));
   }
   found->mRecord.OnFirstToken(aItem.mTicket, aWait, aNow);
   Refresh(*found, aNow);
@@ -429,7 +436,7 @@
                         const work_item& aItem,
                         attempt_end aHow,
                         std::uint32_t aTokens,
-                        duration aLength,
+                        duration aElapsed,
                         time_point aNow)
 {
   if (aHow == attempt_end::kCompleted && aTokens > 0) {
@@ -439,14 +446,15 @@
   if (found == nullptr) {
     return;
   }
-  const bool mayLeave = MayLose(*found);
-  const std::optional<double> pace = found->mRecord.OnEnded(
-    aItem.mTicket, aHow, aTokens, aLength, mayLeave, aNow);
+  const bool mayEject = CanEject(*found);
+  const std::optional<double> timePerToken = found->mRecord.OnEnded(
+    aItem.mTicket, aHow, aTokens, aElapsed, mayEject, aNow);
   if (const auto pool = mPools.find(aItem.mPool);
-      pace && pool != mPools.end()) {
-    internal::typical_value& typical = pool->second.mIndex.mPerToken;
-    typical.Add(*pace);
-    found->mRecord.OnPace(*pace, typical.Value(), mayLeave, aNow);
+      timePerToken && pool != mPools.end()) {
+    internal::running_median& median = pool->second.mIndex.mTimePerToken;
+    median.Add(*timePerToken);
+    found->mRecord.OnTimePerToken(
+      *timePerToken, median.Value(), mayEject, aNow);
   }
   Refresh(*found, aNow);
 }
@@ -468,9 +476,9 @@
                          time_point aNow)
 {
   if (aState == endpoint_state::kLive) {
-    mNotLive.erase(aEndpoint);
+    mNonLiveStates.erase(aEndpoint);
   } else {
-    mNotLive[aEndpoint] = aState;
+    mNonLiveStates[aEndpoint] = aState;
   }
   if (entry* found = Find(aEndpoint)) {
     found->mRecord.SetState(aState, aNow);
@@ -517,10 +525,10 @@
 }
 
 std::uint32_t
-endpoint_table::Places(const pool_name& aPool) const
+endpoint_table::Slots(const pool_name& aPool) const
 {
   const auto found = mPools.find(aPool);
-  return found == mPools.end() ? 0 : found->second.mIndex.Places();
+  return found == mPools.end() ? 0 : found->second.mIndex.Slots();
 }
 
 bool
@@ -554,11 +562,11 @@
       const endpoint_record& record = each->mRecord;
       all.push_back({ record.Declared().mName,
                       record.State(),
-                      record.Health().Kind(),
-                      record.Health().Share(),
+                      record.Health().State(),
+                      record.Health().CapacityFraction(),
                       record.Limit().Limit(),
                       record.InFlight(),
-                      record.Others(aNow) });
+                      record.OthersInFlight(aNow) });
     }
   }
   std::ranges::sort(all, {}, [](const endpoint_status& aEach) {
@@ -575,10 +583,10 @@
 }
 
 bool
-endpoint_table::MayLose(const entry& aEntry)
+endpoint_table::CanEject(const entry& aEntry)
 {
   return std::ranges::all_of(aEntry.mPools, [](const membership& aEach) {
-    return aEach.mPool->MayLose(aEach.mMember);
+    return aEach.mPool->CanEject(aEach.mMember);
   });
 }
 
@@ -596,17 +604,17 @@
 {
   endpoint_record& record = aEntry.mRecord;
   record.Update(aNow);
-  const double share = record.Health().Share();
+  const double capacityFraction = record.Health().CapacityFraction();
   member_state state;
-  state.mLive = record.MayTakeWork(aNow);
-  state.mServing = state.mLive && share > 0;
-  state.mHasPlace = record.HasPlace(aNow);
-  state.mPlaces = state.mServing ? record.Capacity(aNow) : 0;
-  state.mLost = state.mLive ? 1 - share : 0;
+  state.mLive = record.AcceptsNewWork(aNow);
+  state.mServing = state.mLive && capacityFraction > 0;
+  state.mHasFreeSlot = record.HasFreeSlot(aNow);
+  state.mSlots = state.mServing ? record.Capacity(aNow) : 0;
+  state.mLostFraction = state.mLive ? 1 - capacityFraction : 0;
   for (const membership& each : aEntry.mPools) {
     each.mPool->Update(each.mMember, state);
   }
-  if (!state.mHasPlace) {
+  if (!state.mHasFreeSlot) {
     ScheduleRecheck(aEntry, aNow);
   }
 }
@@ -615,12 +623,12 @@
 endpoint_table::ScheduleRecheck(entry& aEntry, time_point aNow)
 {
   const endpoint_record& record = aEntry.mRecord;
-  std::optional<time_point> at = record.OwnWordEnds(aNow);
-  if (!at && record.MayTakeWork(aNow)) {
+  std::optional<time_point> at = record.LeavingReportExpiry(aNow);
+  if (!at && record.AcceptsNewWork(aNow)) {
     at = record.Health().NextProbe(record.InFlight());
   }
-  if (!at && record.MayTakeWork(aNow) && record.Others(aNow) > 0) {
-    at = aNow + kRecheckEvery;
+  if (!at && record.AcceptsNewWork(aNow) && record.OthersInFlight(aNow) > 0) {
+    at = aNow + kRecheckInterval;
   }
   if (!at || *at <= aNow || (aEntry.mRecheck && *aEntry.mRecheck <= *at)) {
     return;
--- a/thornhollow/policy/endpoint_table.h
+++ b/thornhollow/policy/endpoint_table.h
@@ -44,15 +44,15 @@
   length_estimate_settings mLength;
   endpoint_subset_settings mSubset;
   // False: long work may take every place.
-  bool mBoundLongWork = true;
+  bool mLimitLongWork = true;
   // Long work is bounded only while short work came to the pool within this
   // time: places kept for nobody are lost.
-  duration mShortSeenWithin = Seconds(10);
+  duration mShortWorkWindow = Seconds(10);
   // Endpoints looked at in turn where the sample holds no fit one; as many as a
   // pool has in a subset, so that a free place there is always found.
-  std::size_t mLongestWalk = 32;
+  std::size_t mMaxScan = 32;
   // A probe that found no fit request for this long takes any.
-  duration mProbeWaits = Seconds(10);
+  duration mProbeFallbackDelay = Seconds(10);
 
   friend bool operator==(const endpoint_table_settings&,
                          const endpoint_table_settings&) = default;
@@ -63,11 +63,11 @@
 {
   endpoint_name mName;
   endpoint_state mState = endpoint_state::kLive;
-  health_kind mHealth = health_kind::kServing;
-  double mShare = 1;
+  health_state mHealth = health_state::kHealthy;
+  double mCapacityFraction = 1;
   std::uint32_t mLimit = 0;
   std::uint32_t mInFlight = 0;
-  double mOthers = 0;
+  double mOthersInFlight = 0;
 
   friend bool operator==(const endpoint_status&,
                          const endpoint_status&) = default;
@@ -97,14 +97,14 @@
 
   // The endpoint at whose own queue `aItem` should wait, where none has a free
   // place: the one with the shortest, where this instance has fewer than
-  // `aBeyond` requests more than it has places. Only where other routers have
-  // requests, too: else nobody but this instance can free the next place, and
-  // its own queue is the better one. Never at a plain service, which honours no
-  // tiers. Nothing where there is none.
-  std::optional<endpoint_name> ChooseBeyond(
+  // `aMaxQueued` requests more than it has places. Only where other routers
+  // have requests, too: else nobody but this instance can free the next place,
+  // and its own queue is the better one. Never at a plain service, which
+  // honours no tiers. Nothing where there is none.
+  std::optional<endpoint_name> ChooseForQueueing(
     const work_item& aItem,
     std::span<const endpoint_name> aTried,
-    std::uint32_t aBeyond,
+    std::uint32_t aMaxQueued,
     time_point aNow);
 
   // An attempt goes to `aEndpoint`: takes one place there.
@@ -121,7 +121,7 @@
                const work_item& aItem,
                attempt_end aHow,
                std::uint32_t aTokens,
-               duration aLength,
+               duration aElapsed,
                time_point aNow);
 
   void OnLoadReport(const endpoint_name& aEndpoint,
@@ -145,7 +145,7 @@
   bool Serves(const pool_name& aPool) const;
 
   // Places of `aPool` over all endpoints in service, taken or free.
-  std::uint32_t Places(const pool_name& aPool) const;
+  std::uint32_t Slots(const pool_name& aPool) const;
 
   // Whether the pool's endpoints order their own queues by tier: model engines
   // do, plain services don't.
@@ -187,7 +187,7 @@
   struct pool_state
   {
     internal::pool_index mIndex;
-    std::optional<time_point> mShortSeen;
+    std::optional<time_point> mLastShortWork;
   };
   // One decision while it is made.
   struct search
@@ -196,9 +196,9 @@
     std::span<const endpoint_name> mTried;
     pool_state& mPool;
     request_size mSize;
-    prefix_affinity::holders mHolders{};
+    prefix_affinity::endpoint_list mCachedAt{};
     bool mAvoidTried = false;
-    bool mBoundLong = false;
+    bool mLimitLong = false;
     time_point mNow{};
     std::optional<endpoint_number> mBest;
     double mBestCost = 0;
@@ -214,38 +214,38 @@
   // Brings the pools up to date with what changed about an endpoint.
   void Refresh(entry& aEntry, time_point aNow);
   void ScheduleRecheck(entry& aEntry, time_point aNow);
-  static bool MayLose(const entry& aEntry);
+  static bool CanEject(const entry& aEntry);
   // The member number of `aEntry` in `aPool`, where it is one.
   static std::optional<std::uint32_t> MemberOf(const entry& aEntry,
                                                const pool_state& aPool);
 
-  search Begin(const work_item& aItem,
-               std::span<const endpoint_name> aTried,
-               pool_state& aPool,
-               time_point aNow);
-  bool EveryServingOneTried(const pool_state& aPool,
-                            std::span<const endpoint_name> aTried);
-  void LookAt(endpoint_number aNumber, search& aSearch);
-  void SampleHolders(search& aSearch);
-  void Sample(internal::pool_index::rank aRank, search& aSearch);
-  void Walk(internal::pool_index::rank aRank, search& aSearch);
-  bool Fits(const entry& aEntry, const search& aSearch) const;
-  bool FitsAsProbe(const entry& aEntry, const search& aSearch) const;
+  search BeginSearch(const work_item& aItem,
+                     std::span<const endpoint_name> aTried,
+                     pool_state& aPool,
+                     time_point aNow);
+  bool AllServingTried(const pool_state& aPool,
+                       std::span<const endpoint_name> aTried);
+  void Consider(endpoint_number aNumber, search& aSearch);
+  void ConsiderPrefixHits(search& aSearch);
+  void Sample(internal::pool_index::domain_rank aRank, search& aSearch);
+  void Scan(internal::pool_index::domain_rank aRank, search& aSearch);
+  bool IsEligible(const entry& aEntry, const search& aSearch) const;
+  bool IsEligibleForProbe(const entry& aEntry, const search& aSearch) const;
   double Cost(endpoint_number aNumber, const search& aSearch) const;
-  std::size_t Random(std::size_t aBelow);
+  std::size_t RandomIndex(std::size_t aBelow);
 
   endpoint_table_settings mSettings;
   std::mt19937_64 mRandom;
-  subset_view mView;
+  subset_context mSubsetContext;
   prefix_affinity mAffinity;
   length_estimate mLengths;
   std::unordered_map<endpoint_name, endpoint_number> mNumbers;
   // Numbers of endpoints that are gone are used again.
   std::vector<std::optional<entry>> mEntries;
-  std::vector<endpoint_number> mUnused;
+  std::vector<endpoint_number> mFreeNumbers;
   std::unordered_map<pool_name, pool_state> mPools;
   // States other than live, also of endpoints outside the subset.
-  std::unordered_map<endpoint_name, endpoint_state> mNotLive;
+  std::unordered_map<endpoint_name, endpoint_state> mNonLiveStates;
   std::priority_queue<recheck, std::vector<recheck>, std::greater<>> mRechecks;
 };
 
--- a/thornhollow/policy/endpoint_table_allocations_test.cc
+++ b/thornhollow/policy/endpoint_table_allocations_test.cc
@@ -77,10 +77,10 @@
 constexpr const char* kNamePrefix = "an-endpoint-with-a-rather-long-name-";
 // Bounds that CI checks. A decision returns the endpoint's name, which is one
 // allocation where the name is long; nothing else may be allocated per request.
-constexpr double kMostPerDecision = 1.01;
+constexpr double kMaxAllocationsPerDecision = 1.01;
 // What one endpoint takes: its record, name, places in lists, and its part of
 // the hash tables.
-constexpr std::size_t kMostBytesPerEndpoint = 2200;
+constexpr std::size_t kMaxBytesPerEndpoint = 2200;
 
 struct counted_table
 {
@@ -142,7 +142,7 @@
     Serve(item);
   }
   gCounting = false;
-  CHECK(static_cast<double>(gAllocations) / 1000 <= kMostPerDecision);
+  CHECK(static_cast<double>(gAllocations) / 1000 <= kMaxAllocationsPerDecision);
 }
 
 TEST_CASE_FIXTURE(counted_table,
@@ -150,13 +150,13 @@
 {
   const declarations declared = Declared(1000);
   endpoint_table_settings settings;
-  settings.mSubset.mMostPerPool = 1000;
+  settings.mSubset.mMaxPerPool = 1000;
   mTable = endpoint_table(settings, 1);
   Start();
   mTable.Configure(declared, domain_name("d0"), mNow);
   gCounting = false;
   MESSAGE("bytes held for each endpoint: " << gBytes / 1000);
-  CHECK(gBytes / 1000 <= kMostBytesPerEndpoint);
+  CHECK(gBytes / 1000 <= kMaxBytesPerEndpoint);
 }
 
 } // namespace
--- a/thornhollow/policy/endpoint_table_benchmark.cc
+++ b/thornhollow/policy/endpoint_table_benchmark.cc
@@ -41,7 +41,7 @@
   static endpoint_table_settings Settings(bool aWhole)
   {
     endpoint_table_settings settings;
-    settings.mSubset.mMostPerPool = aWhole ? 1000 : 16;
+    settings.mSubset.mMaxPerPool = aWhole ? 1000 : 16;
     return settings;
   }
 
@@ -125,7 +125,7 @@
 {
   for (auto _ : aState) {
     benchmark_table table(aState.range(0), aState.range(1) != 0);
-    benchmark::DoNotOptimize(table.mTable.Places(pool_name("m")));
+    benchmark::DoNotOptimize(table.mTable.Slots(pool_name("m")));
   }
 }
 
@@ -155,7 +155,7 @@
     pool.push_back({ endpoint_name("engine-" + std::to_string(i)),
                      domain_name("d" + std::to_string(i % 11)) });
   }
-  subset_view view{ instance_name("router-0"), {}, domain_name("d0") };
+  subset_context view{ instance_name("router-0"), {}, domain_name("d0") };
   for (int i = 0; i < 38; ++i) {
     view.mRouters.emplace_back("router-" + std::to_string(i));
   }
--- a/thornhollow/policy/endpoint_table_test.cc
+++ b/thornhollow/policy/endpoint_table_test.cc
@@ -86,7 +86,7 @@
   }
   CHECK(sent.size() == 5);
   CHECK_FALSE(Send(Item()));
-  CHECK(mTable.Places(pool_name("m")) == 20);
+  CHECK(mTable.Slots(pool_name("m")) == 20);
 }
 
 // Eight routers get the same report, which says that one endpoint is idle and
--- a/thornhollow/policy/internal/endpoint_record.cc
+++ b/thornhollow/policy/internal/endpoint_record.cc
@@ -6,27 +6,30 @@
 namespace thornhollow::internal {
 namespace {
 
-constexpr double kNewest = 0.2;
+constexpr double kSmoothingFactor = 0.2;
 // Fewer tokens tell little about the time for each.
-constexpr std::uint32_t kLeastTokens = 8;
+constexpr std::uint32_t kMinTokens = 8;
 
 } // namespace
 
 void
 moving_average::Add(double aValue, time_point aNow)
 {
-  mValue = mValue == 0 ? aValue : mValue + kNewest * (aValue - mValue);
-  mAdded = aNow;
+  mValue = mValue == 0 ? aValue : mValue + kSmoothingFactor * (aValue - mValue);
+  mLastUpdate = aNow;
 }
 
 double
-moving_average::Value(double aTypical, duration aHalf, time_point aNow) const
+moving_average::Value(double aPoolMedian,
+                      duration aHalfLife,
+                      time_point aNow) const
 {
   if (mValue == 0) {
-    return aTypical;
+    return aPoolMedian;
   }
-  const double halves = ToSeconds(aNow - mAdded) / ToSeconds(aHalf);
-  return aTypical + (mValue - aTypical) * std::exp2(-std::max(0.0, halves));
+  const double halves = ToSeconds(aNow - mLastUpdate) / ToSeconds(aHalfLife);
+  return aPoolMedian +
+         (mValue - aPoolMedian) * std::exp2(-std::max(0.0, halves));
 }
 
 endpoint_record::endpoint_record(const endpoint_record_settings& aSettings,
@@ -55,9 +58,10 @@
 void
 endpoint_record::OnSent(ticket aTicket, bool aLong, time_point aNow)
 {
-  const bool isWithin = mLoad.InFlight() + mLoad.Others(aNow) < mLimit.Limit();
-  mAttempts.push_back({ aTicket, aLong, isWithin, {} });
-  mLong += aLong ? 1 : 0;
+  const bool isWithinLimit =
+    mLoad.InFlight() + mLoad.OthersInFlight(aNow) < mLimit.Limit();
+  mAttempts.push_back({ aTicket, aLong, isWithinLimit, {} });
+  mLongInFlight += aLong ? 1 : 0;
   mLoad.OnSent(aNow);
   mHealth.OnSent(aNow);
 }
@@ -65,19 +69,20 @@
 void
 endpoint_record::OnFirstToken(ticket aTicket, duration aWait, time_point aNow)
 {
-  Confirm();
-  if (SpansGap(aWait, aNow)) {
+  ClearUnconfirmed();
+  if (SpansClockGap(aWait, aNow)) {
     return;
   }
   const auto found = std::ranges::find(mAttempts, aTicket, &attempt::mTicket);
   if (found == mAttempts.end()) {
     return;
   }
-  found->mFirstToken = aWait;
+  found->mTimeToFirstToken = aWait;
   mHealth.OnFirstToken(aWait, aNow);
-  mFirstToken.Add(ToSeconds(aWait), aNow);
+  mTimeToFirstToken.Add(ToSeconds(aWait), aNow);
   if (found->mWithinLimit) {
-    mLimit.OnFirstToken(aWait, mLoad.InFlight() + mLoad.Others(aNow), aNow);
+    mLimit.OnFirstToken(
+      aWait, mLoad.InFlight() + mLoad.OthersInFlight(aNow), aNow);
   }
 }
 
@@ -85,8 +90,8 @@
 endpoint_record::OnEnded(ticket aTicket,
                          attempt_end aHow,
                          std::uint32_t aTokens,
-                         duration aLength,
-                         bool aMayLeave,
+                         duration aElapsed,
+                         bool aMayEject,
                          time_point aNow)
 {
   const auto found = std::ranges::find(mAttempts, aTicket, &attempt::mTicket);
@@ -96,63 +101,64 @@
   const attempt ended = *found;
   *found = mAttempts.back();
   mAttempts.pop_back();
-  mLong -= ended.mLong ? 1 : 0;
-  mHealth.OnEnded(aHow, aLength, aMayLeave, aNow);
+  mLongInFlight -= ended.mLong ? 1 : 0;
+  mHealth.OnEnded(aHow, aElapsed, aMayEject, aNow);
   if (aHow == attempt_end::kDeclined) {
     // The one that was declined isn't running there.
     mLimit.OnDeclined(mLoad.InFlight() - 1, aNow);
   }
   if (aHow == attempt_end::kDeclinedLeaving) {
-    mSaidLeaving = aNow;
+    mLeavingReportedAt = aNow;
   }
   mLoad.OnEnded(aNow);
-  const bool tells = aHow == attempt_end::kCompleted &&
-                     aTokens >= kLeastTokens && ended.mFirstToken > duration{};
-  if (!tells || SpansGap(aLength, aNow)) {
+  const bool isInformative = aHow == attempt_end::kCompleted &&
+                             aTokens >= kMinTokens &&
+                             ended.mTimeToFirstToken > duration{};
+  if (!isInformative || SpansClockGap(aElapsed, aNow)) {
     return std::nullopt;
   }
-  return ToSeconds(aLength - ended.mFirstToken) / (aTokens - 1);
+  return ToSeconds(aElapsed - ended.mTimeToFirstToken) / (aTokens - 1);
 }
 
 void
-endpoint_record::OnPace(double aSeconds,
-                        double aTypical,
-                        bool aMayLeave,
-                        time_point aNow)
+endpoint_record::OnTimePerToken(double aSeconds,
+                                double aPoolMedian,
+                                bool aMayEject,
+                                time_point aNow)
 {
-  mPerToken.Add(aSeconds, aNow);
+  mTimePerToken.Add(aSeconds, aNow);
   mLimit.OnPace(FromSeconds(aSeconds));
-  if (aTypical > 0) {
-    const double own = mPerToken.Value(aTypical, Seconds(1), aNow);
-    mHealth.OnPace(own / aTypical, aMayLeave, aNow);
+  if (aPoolMedian > 0) {
+    const double own = mTimePerToken.Value(aPoolMedian, Seconds(1), aNow);
+    mHealth.OnRelativeTimePerToken(own / aPoolMedian, aMayEject, aNow);
   }
 }
 
 void
 endpoint_record::OnReport(const load_report& aReport, time_point aNow)
 {
-  if (mGap && aReport.mTakenAt < *mGap) {
+  if (mLastClockGap && aReport.mTakenAt < *mLastClockGap) {
     return;
   }
-  Confirm();
+  ClearUnconfirmed();
   mLoad.OnReport(aReport, aNow);
   if (aReport.mWaiting > 0) {
     mHealth.OnQueueReported(std::min(aReport.mTakenAt, aNow));
   }
   if (aReport.mLeaving) {
-    mSaidLeaving = aNow;
-  } else if (mSaidLeaving && aReport.mTakenAt > *mSaidLeaving) {
-    mSaidLeaving.reset();
+    mLeavingReportedAt = aNow;
+  } else if (mLeavingReportedAt && aReport.mTakenAt > *mLeavingReportedAt) {
+    mLeavingReportedAt.reset();
   }
 }
 
 void
 endpoint_record::SetState(endpoint_state aState, time_point /*aNow*/)
 {
-  Confirm();
+  ClearUnconfirmed();
   if (mState == endpoint_state::kGone && aState == endpoint_state::kLive) {
     // Another process under the same name.
-    mSaidLeaving.reset();
+    mLeavingReportedAt.reset();
   }
   mState = aState;
 }
@@ -160,26 +166,27 @@
 void
 endpoint_record::OnClockGap(time_point aNow)
 {
-  mGap = aNow;
+  mLastClockGap = aNow;
   mUnconfirmed = mLoad.InFlight();
-  mLoad.ForgetReport();
+  mLoad.DiscardReport();
   mHealth.OnClockGap(aNow);
 }
 
 bool
-endpoint_record::MayTakeWork(time_point aNow) const
+endpoint_record::AcceptsNewWork(time_point aNow) const
 {
   return mIsDeclared && mState == endpoint_state::kLive &&
-         !OwnWordEnds(aNow).has_value();
+         !LeavingReportExpiry(aNow).has_value();
 }
 
 std::optional<time_point>
-endpoint_record::OwnWordEnds(time_point aNow) const
+endpoint_record::LeavingReportExpiry(time_point aNow) const
 {
-  if (!mSaidLeaving || aNow - *mSaidLeaving >= mSettings.mOwnWordLife) {
+  if (!mLeavingReportedAt ||
+      aNow - *mLeavingReportedAt >= mSettings.mLeavingReportLifetime) {
     return std::nullopt;
   }
-  return *mSaidLeaving + mSettings.mOwnWordLife;
+  return *mLeavingReportedAt + mSettings.mLeavingReportLifetime;
 }
 
 // The limit holds for all routers together: what the others hold is taken off.
@@ -192,15 +199,15 @@
 endpoint_record::Capacity(time_point aNow) const
 {
   const std::uint32_t limit = mLimit.Limit();
-  const double others = mLoad.Others(aNow);
-  double places = limit;
+  const double others = mLoad.OthersInFlight(aNow);
+  double slots = limit;
   if (others > 0) {
-    const double even =
-      std::floor(static_cast<double>(limit) / mSettings.mRouters);
-    places = std::max({ 1.0, even, std::round(limit - others) });
+    const double fairShare =
+      std::floor(static_cast<double>(limit) / mSettings.mMaxRouters);
+    slots = std::max({ 1.0, fairShare, std::round(limit - others) });
   }
   std::uint32_t capacity = mHealth.Allowance(
-    static_cast<std::uint32_t>(places), mLoad.InFlight(), aNow);
+    static_cast<std::uint32_t>(slots), mLoad.InFlight(), aNow);
   if (mUnconfirmed) {
     capacity = std::min(capacity, *mUnconfirmed + 1);
   }
@@ -208,28 +215,29 @@
 }
 
 bool
-endpoint_record::HasPlace(time_point aNow) const
+endpoint_record::HasFreeSlot(time_point aNow) const
 {
-  return MayTakeWork(aNow) && mLoad.InFlight() < Capacity(aNow);
+  return AcceptsNewWork(aNow) && mLoad.InFlight() < Capacity(aNow);
 }
 
 bool
-endpoint_record::HasPlaceForLong(time_point aNow) const
+endpoint_record::HasFreeSlotForLong(time_point aNow) const
 {
-  const double most = std::floor(Capacity(aNow) * mSettings.mLongShare);
-  return mLong < std::max(1.0, most);
+  const double maxLong =
+    std::floor(Capacity(aNow) * mSettings.mMaxLongFraction);
+  return mLongInFlight < std::max(1.0, maxLong);
 }
 
 double
-endpoint_record::LoadShare() const
+endpoint_record::Utilization() const
 {
   return static_cast<double>(mLoad.InFlight()) / mLimit.Limit();
 }
 
 bool
-endpoint_record::SpansGap(duration aLength, time_point aNow) const
+endpoint_record::SpansClockGap(duration aElapsed, time_point aNow) const
 {
-  return mGap && aNow - aLength < *mGap;
+  return mLastClockGap && aNow - aElapsed < *mLastClockGap;
 }
 
 } // namespace thornhollow::internal
--- a/thornhollow/policy/internal/endpoint_record.h
+++ b/thornhollow/policy/internal/endpoint_record.h
@@ -19,12 +19,12 @@
   concurrency_limit_settings mLimit;
   endpoint_health_settings mHealth;
   // Routers that may share an endpoint; see `Capacity`.
-  std::uint32_t mRouters = 8;
+  std::uint32_t mMaxRouters = 8;
   // How long an endpoint's own word that it leaves outweighs a list that says
   // it is live.
-  duration mOwnWordLife = Seconds(30);
+  duration mLeavingReportLifetime = Seconds(30);
   // Part of an endpoint's places that long work may take.
-  double mLongShare = 0.75;
+  double mMaxLongFraction = 0.75;
 
   friend bool operator==(const endpoint_record_settings&,
                          const endpoint_record_settings&) = default;
@@ -35,12 +35,13 @@
 {
 public:
   void Add(double aValue, time_point aNow);
-  // Drifts to `aTypical`, by half in each `aHalf`; that where nothing is known.
-  double Value(double aTypical, duration aHalf, time_point aNow) const;
+  // Drifts to `aPoolMedian`, by half in each `aHalfLife`; that where nothing is
+  // known.
+  double Value(double aPoolMedian, duration aHalfLife, time_point aNow) const;
 
 private:
   double mValue = 0;
-  time_point mAdded{};
+  time_point mLastUpdate{};
 };
 
 class endpoint_record
@@ -65,47 +66,50 @@
   std::optional<double> OnEnded(ticket aTicket,
                                 attempt_end aHow,
                                 std::uint32_t aTokens,
-                                duration aLength,
-                                bool aMayLeave,
+                                duration aElapsed,
+                                bool aMayEject,
                                 time_point aNow);
   // Takes one observation of the time for each token.
-  void OnPace(double aSeconds,
-              double aTypical,
-              bool aMayLeave,
-              time_point aNow);
+  void OnTimePerToken(double aSeconds,
+                      double aPoolMedian,
+                      bool aMayEject,
+                      time_point aNow);
   void OnReport(const load_report& aReport, time_point aNow);
   void SetState(endpoint_state aState, time_point aNow);
   void OnClockGap(time_point aNow);
   void Update(time_point aNow) { mHealth.Update(aNow); }
 
-  bool MayTakeWork(time_point aNow) const;
+  bool AcceptsNewWork(time_point aNow) const;
   // Until when the endpoint's own word that it leaves counts; nothing where it
   // gave none.
-  std::optional<time_point> OwnWordEnds(time_point aNow) const;
+  std::optional<time_point> LeavingReportExpiry(time_point aNow) const;
   // Own requests that may be in flight there now.
   std::uint32_t Capacity(time_point aNow) const;
-  bool HasPlace(time_point aNow) const;
+  bool HasFreeSlot(time_point aNow) const;
   // Whether one more long request fits beside those there.
-  bool HasPlaceForLong(time_point aNow) const;
+  bool HasFreeSlotForLong(time_point aNow) const;
   // Own requests in flight there as a share of the limit.
-  double LoadShare() const;
+  double Utilization() const;
 
   // Whether others work with it too, by its reports, or else by a limit that
   // fell: own requests alone, at most as many as its slots, fill no queue.
   bool IsShared(time_point aNow) const
   {
-    return mLoad.Others(aNow) > 0 || mLimit.Limit() < mDeclared.mSlots;
+    return mLoad.OthersInFlight(aNow) > 0 || mLimit.Limit() < mDeclared.mSlots;
   }
   std::uint32_t InFlight() const { return mLoad.InFlight(); }
-  double Others(time_point aNow) const { return mLoad.Others(aNow); }
+  double OthersInFlight(time_point aNow) const
+  {
+    return mLoad.OthersInFlight(aNow);
+  }
   const endpoint_health& Health() const { return mHealth; }
   const concurrency_limit& Limit() const { return mLimit; }
   endpoint_state State() const { return mState; }
-  const moving_average& FirstToken() const { return mFirstToken; }
-  const moving_average& PerToken() const { return mPerToken; }
-  // Whether an answer that took `aLength` up to now was sent before a pause of
+  const moving_average& TimeToFirstToken() const { return mTimeToFirstToken; }
+  const moving_average& TimePerToken() const { return mTimePerToken; }
+  // Whether an answer that took `aElapsed` up to now was sent before a pause of
   // this process: then its times say nothing.
-  bool SpansGap(duration aLength, time_point aNow) const;
+  bool SpansClockGap(duration aElapsed, time_point aNow) const;
 
 private:
   struct attempt
@@ -115,28 +119,28 @@
     // Sent while the endpoint was thought to have a free place. Of one that was
     // sent to queue there, the wait says nothing about the limit.
     bool mWithinLimit = true;
-    duration mFirstToken{};
+    duration mTimeToFirstToken{};
   };
 
-  void Confirm() { mUnconfirmed.reset(); }
+  void ClearUnconfirmed() { mUnconfirmed.reset(); }
 
   endpoint_record_settings mSettings;
   endpoint mDeclared;
   bool mHonoursTiers;
   bool mIsDeclared = true;
   endpoint_state mState = endpoint_state::kLive;
-  std::optional<time_point> mSaidLeaving;
+  std::optional<time_point> mLeavingReportedAt;
   // Set after a pause, until something new is heard: the requests in flight
   // then.
   std::optional<std::uint32_t> mUnconfirmed;
-  std::optional<time_point> mGap;
+  std::optional<time_point> mLastClockGap;
   std::vector<attempt> mAttempts;
-  std::uint32_t mLong = 0;
+  std::uint32_t mLongInFlight = 0;
   endpoint_load mLoad;
   concurrency_limit mLimit;
   endpoint_health mHealth;
-  moving_average mFirstToken;
-  moving_average mPerToken;
+  moving_average mTimeToFirstToken;
+  moving_average mTimePerToken;
 };
 
 } // namespace thornhollow::internal
--- a/thornhollow/policy/internal/pool_index.cc
+++ b/thornhollow/policy/internal/pool_index.cc
@@ -7,12 +7,12 @@
 
 constexpr double kMedianStep = 0.02;
 // Share of a pool's live endpoints that may be out as outliers.
-constexpr double kMostLost = 1.0 / 3;
+constexpr double kMaxLostFraction = 1.0 / 3;
 
 } // namespace
 
 void
-typical_value::Add(double aValue)
+running_median::Add(double aValue)
 {
   if (mValue == 0) {
     mValue = aValue;
@@ -30,14 +30,14 @@
 {
   mMembers.clear();
   mLists = {};
-  mPlaces = 0;
+  mSlots = 0;
   mLive = 0;
   mServing = 0;
-  mLost = 0;
+  mLostFraction = 0;
 }
 
 std::uint32_t
-pool_index::Add(std::uint32_t aEndpoint, rank aRank)
+pool_index::Add(std::uint32_t aEndpoint, domain_rank aRank)
 {
   mMembers.push_back({ aEndpoint, aRank, 0, {} });
   return static_cast<std::uint32_t>(mMembers.size() - 1);
@@ -52,29 +52,30 @@
   }
   const member_state before = changed.mState;
   changed.mState = aState;
-  mPlaces += aState.mPlaces - before.mPlaces;
+  mSlots += aState.mSlots - before.mSlots;
   mLive += static_cast<std::uint32_t>(aState.mLive) -
            static_cast<std::uint32_t>(before.mLive);
   mServing += static_cast<std::uint32_t>(aState.mServing) -
               static_cast<std::uint32_t>(before.mServing);
-  mLost = std::max(0.0, mLost + aState.mLost - before.mLost);
-  if (aState.mHasPlace && !before.mHasPlace) {
+  mLostFraction =
+    std::max(0.0, mLostFraction + aState.mLostFraction - before.mLostFraction);
+  if (aState.mHasFreeSlot && !before.mHasFreeSlot) {
     Insert(aMember);
-  } else if (!aState.mHasPlace && before.mHasPlace) {
+  } else if (!aState.mHasFreeSlot && before.mHasFreeSlot) {
     Erase(aMember);
   }
 }
 
 bool
-pool_index::MayLose(std::uint32_t aMember) const
+pool_index::CanEject(std::uint32_t aMember) const
 {
   if (mLive < 2) {
     return false;
   }
-  const double most = std::max(1.0, mLive * kMostLost);
-  const double others = mLost - mMembers[aMember].mState.mLost;
+  const double maxLost = std::max(1.0, mLive * kMaxLostFraction);
+  const double others = mLostFraction - mMembers[aMember].mState.mLostFraction;
   // Sums of shares are compared with some room for rounding.
-  return others + 1 <= most + 1e-6;
+  return others + 1 <= maxLost + 1e-6;
 }
 
 void
--- a/thornhollow/policy/internal/pool_index.h
+++ b/thornhollow/policy/internal/pool_index.h
@@ -17,18 +17,18 @@
   bool mLive = false;
   // Gets more than probes.
   bool mServing = false;
-  bool mHasPlace = false;
+  bool mHasFreeSlot = false;
   // Places that this router may use there, taken or free.
-  std::uint32_t mPlaces = 0;
+  std::uint32_t mSlots = 0;
   // Part of its share that it lost as an outlier, 0 to 1.
-  double mLost = 0;
+  double mLostFraction = 0;
 
   friend bool operator==(const member_state&, const member_state&) = default;
 };
 
 // A running median of values that arrive one at a time, in constant memory:
 // each value moves it by a fiftieth towards itself. Robust against stragglers.
-class typical_value
+class running_median
 {
 public:
   void Add(double aValue);
@@ -43,7 +43,7 @@
 {
 public:
   // Domains by preference.
-  enum rank : std::uint8_t
+  enum domain_rank : std::uint8_t
   {
     kOwnDomain,
     kOtherDomain,
@@ -53,37 +53,40 @@
   // Forgets the members, keeps what was learnt about the pool.
   void Clear();
   // Adds an endpoint; returns its member number here.
-  std::uint32_t Add(std::uint32_t aEndpoint, rank aRank);
+  std::uint32_t Add(std::uint32_t aEndpoint, domain_rank aRank);
   // Constant time.
   void Update(std::uint32_t aMember, const member_state& aState);
 
   // Endpoint numbers of members with a free place, in no order.
-  const std::vector<std::uint32_t>& WithPlace(rank aRank) const
+  const std::vector<std::uint32_t>& WithFreeSlot(domain_rank aRank) const
   {
     return mLists[aRank].mEndpoints;
   }
-  rank RankOf(std::uint32_t aMember) const { return mMembers[aMember].mRank; }
+  domain_rank RankOf(std::uint32_t aMember) const
+  {
+    return mMembers[aMember].mRank;
+  }
   // Members, with or without a place.
   std::size_t size() const { return mMembers.size(); }
   std::uint32_t EndpointOf(std::uint32_t aMember) const
   {
     return mMembers[aMember].mEndpoint;
   }
-  std::uint32_t Places() const { return mPlaces; }
+  std::uint32_t Slots() const { return mSlots; }
   std::uint32_t Live() const { return mLive; }
   std::uint32_t Serving() const { return mServing; }
   // Whether one more member may lose its share: a third of the live ones at
   // most, one where that is less, and never the only one.
-  bool MayLose(std::uint32_t aMember) const;
+  bool CanEject(std::uint32_t aMember) const;
 
-  typical_value mFirstToken;
-  typical_value mPerToken;
+  running_median mTimeToFirstToken;
+  running_median mTimePerToken;
 
 private:
   struct member
   {
     std::uint32_t mEndpoint = 0;
-    rank mRank = kOwnDomain;
+    domain_rank mRank = kOwnDomain;
     // Where it stands in the list, while it has a place.
     std::uint32_t mPosition = 0;
     member_state mState;
@@ -100,10 +103,10 @@
 
   std::vector<member> mMembers;
   std::array<list, kRanks> mLists;
-  std::uint32_t mPlaces = 0;
+  std::uint32_t mSlots = 0;
   std::uint32_t mLive = 0;
   std::uint32_t mServing = 0;
-  double mLost = 0;
+  double mLostFraction = 0;
 };
 
 } // namespace thornhollow::internal
--- a/thornhollow/policy/internal/pool_index_test.cc
+++ b/thornhollow/policy/internal/pool_index_test.cc
@@ -15,9 +15,9 @@
     }
   }
 
-  void Set(std::uint32_t aMember, bool aHasPlace, double aLost)
+  void Set(std::uint32_t aMember, bool aHasFreeSlot, double aLostFraction)
   {
-    mPool.Update(aMember, { true, true, aHasPlace, 2, aLost });
+    mPool.Update(aMember, { true, true, aHasFreeSlot, 2, aLostFraction });
   }
 
   pool_index mPool;
@@ -27,12 +27,12 @@
 {
   Set(1, false, 0);
   Set(0, false, 0);
-  CHECK(mPool.WithPlace(pool_index::kOwnDomain) ==
+  CHECK(mPool.WithFreeSlot(pool_index::kOwnDomain) ==
         std::vector<std::uint32_t>{ 12, 13 });
   Set(1, true, 0);
-  CHECK(mPool.WithPlace(pool_index::kOwnDomain) ==
+  CHECK(mPool.WithFreeSlot(pool_index::kOwnDomain) ==
         std::vector<std::uint32_t>{ 12, 13, 11 });
-  CHECK(mPool.Places() == 8);
+  CHECK(mPool.Slots() == 8);
   CHECK(mPool.Serving() == 4);
 }
 
@@ -40,10 +40,10 @@
 // nothing would be served though each of them may answer.
 TEST_CASE_FIXTURE(four_members, "pool_index/one_lost_of_four/no_other_may_go")
 {
-  CHECK(mPool.MayLose(1));
+  CHECK(mPool.CanEject(1));
   Set(0, false, 1);
-  CHECK(mPool.MayLose(0));
-  CHECK_FALSE(mPool.MayLose(1));
+  CHECK(mPool.CanEject(0));
+  CHECK_FALSE(mPool.CanEject(1));
 }
 
 } // namespace
--- a/thornhollow/policy/prefix_affinity.cc
+++ b/thornhollow/policy/prefix_affinity.cc
@@ -8,62 +8,64 @@
 
 prefix_affinity::prefix_affinity(const prefix_affinity_settings& aSettings)
   : mSettings(aSettings)
-  , mSets((std::max<std::size_t>(aSettings.mPrefixes, 1) + kWays - 1) / kWays)
+  , mSets((std::max<std::size_t>(aSettings.mMaxPrefixes, 1) + kWays - 1) /
+          kWays)
 {
 }
 
 void
-prefix_affinity::Remember(std::uint64_t aPrefix,
-                          std::uint32_t aEndpoint,
-                          time_point aNow)
+prefix_affinity::Record(std::uint64_t aPrefix,
+                        std::uint32_t aEndpoint,
+                        time_point aNow)
 {
-  if (aPrefix == 0 || !mSettings.mRemember) {
+  if (aPrefix == 0 || !mSettings.mEnabled) {
     return;
   }
-  auto& ways = mSets[SetOf(aPrefix)];
+  auto& ways = mSets[SetIndex(aPrefix)];
   auto found = std::ranges::find(ways, aPrefix, &way::mPrefix);
   if (found == ways.end()) {
-    found = std::ranges::min_element(ways, {}, &way::mUsed);
+    found = std::ranges::min_element(ways, {}, &way::mLastUsed);
     *found = way{};
     found->mPrefix = aPrefix;
   }
-  found->mUsed = aNow;
+  found->mLastUsed = aNow;
   // Moves the endpoint to the front; the least recent one drops off the end.
-  auto last = std::ranges::find(found->mHolders, aEndpoint);
-  if (last == found->mHolders.end()) {
+  auto last = std::ranges::find(found->mEndpoints, aEndpoint);
+  if (last == found->mEndpoints.end()) {
     --last;
   }
-  std::move_backward(found->mHolders.begin(), last, last + 1);
-  found->mHolders.front() = aEndpoint;
+  std::move_backward(found->mEndpoints.begin(), last, last + 1);
+  found->mEndpoints.front() = aEndpoint;
 }
 
-prefix_affinity::holders
-prefix_affinity::Holders(std::uint64_t aPrefix, time_point aNow) const
+prefix_affinity::endpoint_list
+prefix_affinity::Lookup(std::uint64_t aPrefix, time_point aNow) const
 {
   if (aPrefix != 0) {
-    const auto& ways = mSets[SetOf(aPrefix)];
+    const auto& ways = mSets[SetIndex(aPrefix)];
     const auto found = std::ranges::find(ways, aPrefix, &way::mPrefix);
-    if (found != ways.end() && aNow - found->mUsed < mSettings.mLife) {
-      return found->mHolders;
+    if (found != ways.end() &&
+        aNow - found->mLastUsed < mSettings.mTimeToLive) {
+      return found->mEndpoints;
     }
   }
-  return way{}.mHolders;
+  return way{}.mEndpoints;
 }
 
 void
-prefix_affinity::Forget(std::uint32_t aEndpoint)
+prefix_affinity::RemoveEndpoint(std::uint32_t aEndpoint)
 {
   for (auto& ways : mSets) {
     for (way& each : ways) {
       const auto kept =
-        std::remove(each.mHolders.begin(), each.mHolders.end(), aEndpoint);
-      std::fill(kept, each.mHolders.end(), kNobody);
+        std::remove(each.mEndpoints.begin(), each.mEndpoints.end(), aEndpoint);
+      std::fill(kept, each.mEndpoints.end(), kNoEndpoint);
     }
   }
 }
 
 std::size_t
-prefix_affinity::SetOf(std::uint64_t aPrefix) const
+prefix_affinity::SetIndex(std::uint64_t aPrefix) const
 {
   return CombineHash(aPrefix, 0) % mSets.size();
 }
--- a/thornhollow/policy/prefix_affinity.h
+++ b/thornhollow/policy/prefix_affinity.h
@@ -1,8 +1,8 @@
 // Which endpoints are likely to hold a prompt's leading part in their cache:
 // those to which this router sent it lately.
 //
-//   affinity.Remember(item.mPrefix, endpoint, now);
-//   for (const std::uint32_t each : affinity.Holders(item.mPrefix, now)) {...}
+//   affinity.Record(item.mPrefix, endpoint, now);
+//   for (const std::uint32_t each : affinity.Lookup(item.mPrefix, now)) {...}
 //
 // Load pattern: many requests share a long leading part. Without this each goes
 // wherever there is room, every endpoint computes the same part again, and its
@@ -34,10 +34,10 @@
 struct prefix_affinity_settings
 {
   // False: remembers nothing.
-  bool mRemember = true;
+  bool mEnabled = true;
   // Prefixes remembered; rounded up to whole sets.
-  std::size_t mPrefixes = 4096;
-  duration mLife = Seconds(120);
+  std::size_t mMaxPrefixes = 4096;
+  duration mTimeToLive = Seconds(120);
 
   friend bool operator==(const prefix_affinity_settings&,
                          const prefix_affinity_settings&) = default;
@@ -46,23 +46,21 @@
 class prefix_affinity
 {
 public:
-  static constexpr std::size_t kHolders = 4;
-  static constexpr std::uint32_t kNobody = UINT32_MAX;
+  static constexpr std::size_t kMaxEndpoints = 4;
+  static constexpr std::uint32_t kNoEndpoint = UINT32_MAX;
 
-  // Endpoint numbers, the most recent first; `kNobody` after the last.
-  using holders = std::array<std::uint32_t, kHolders>;
+  // Endpoint numbers, the most recent first; `kNoEndpoint` after the last.
+  using endpoint_list = std::array<std::uint32_t, kMaxEndpoints>;
 
   explicit prefix_affinity(const prefix_affinity_settings& aSettings);
 
   // A request with prefix hash `aPrefix` (0: none) went to `aEndpoint`.
-  void Remember(std::uint64_t aPrefix,
-                std::uint32_t aEndpoint,
-                time_point aNow);
+  void Record(std::uint64_t aPrefix, std::uint32_t aEndpoint, time_point aNow);
 
-  holders Holders(std::uint64_t aPrefix, time_point aNow) const;
+  endpoint_list Lookup(std::uint64_t aPrefix, time_point aNow) const;
 
   // `aEndpoint` is gone or lost its cache. Linear in the table.
-  void Forget(std::uint32_t aEndpoint);
+  void RemoveEndpoint(std::uint32_t aEndpoint);
 
 private:
   static constexpr std::size_t kWays = 4;
@@ -70,11 +68,14 @@
   struct way
   {
     std::uint64_t mPrefix = 0;
-    time_point mUsed{};
-    holders mHolders{ kNobody, kNobody, kNobody, kNobody };
+    time_point mLastUsed{};
+    endpoint_list mEndpoints{ kNoEndpoint,
+                              kNoEndpoint,
+                              kNoEndpoint,
+                              kNoEndpoint };
   };
 
-  std::size_t SetOf(std::uint64_t aPrefix) const;
+  std::size_t SetIndex(std::uint64_t aPrefix) const;
 
   prefix_affinity_settings mSettings;
   std::vector<std::array<way, kWays>> mSets;
--- a/thornhollow/policy/relay_pool.cc
+++ b/thornhollow/policy/relay_pool.cc
@@ -20,10 +20,10 @@
 HealthSettings(bool aEngines)
 {
   endpoint_health_settings settings;
-  settings.mFailuresInRow = aEngines ? 3 : 5;
-  settings.mFailureShare = aEngines ? 0.3 : 0.45;
-  settings.mLeastAttempts = aEngines ? 5 : 10;
-  settings.mLastProbeAfter = Seconds(4);
+  settings.mEjectAfterFailures = aEngines ? 3 : 5;
+  settings.mMaxFailureRate = aEngines ? 0.3 : 0.45;
+  settings.mMinAttempts = aEngines ? 5 : 10;
+  settings.mMaxProbeDelay = Seconds(4);
   return settings;
 }
 
@@ -95,7 +95,7 @@
 relay_pool::Remove(const endpoint_name& aName)
 {
   if (const auto found = mRecords.find(aName); found != mRecords.end()) {
-    mAffinity.Forget(found->second.mNumber);
+    mAffinity.RemoveEndpoint(found->second.mNumber);
     mRecords.erase(found);
   }
 }
@@ -299,7 +299,7 @@
                          time_point aNow,
                          relay_pick& aPick)
 {
-  const auto holders = mAffinity.Holders(aWork.mSharedPrefix, aNow);
+  const auto holders = mAffinity.Lookup(aWork.mSharedPrefix, aNow);
   const auto first = FirstInOrder(aWork, aCandidates, kNearRanks);
   const double own =
     ReadCost(aWork.mPromptTokens - aWork.mSharedTokens, aWork.mSharedTokens);
@@ -332,7 +332,7 @@
       aPick.mToRead = static_cast<std::uint32_t>(own + missing);
       aPick.mHolds = hasParts;
       aPick.mSentBefore = holds;
-      aPick.mKnownPrefix = holders.front() != prefix_affinity::kNobody;
+      aPick.mKnownPrefix = holders.front() != prefix_affinity::kNoEndpoint;
       aPick.mBacklog = each->mToRead + each->mOthersToRead;
       aPick.mExpected =
         mSettings.mFirstEvent + FromSeconds((waiting + own + missing) * pace);
@@ -388,7 +388,7 @@
 // `aChosen` is believed to.
 const relay_pool::record*
 relay_pool::Holder(const relay_work& aWork,
-                   const prefix_affinity::holders& aHolders,
+                   const prefix_affinity::endpoint_list& aHolders,
                    const record& aChosen,
                    time_point aNow) const
 {
@@ -427,7 +427,7 @@
 bool
 relay_pool::MayGive(const record& aRecord)
 {
-  return aRecord.mHealth.Kind() != health_kind::kFailing;
+  return aRecord.mHealth.State() != health_state::kFailing;
 }
 
 const relay_pool::record*
@@ -479,7 +479,7 @@
   found->mHealth.OnSent(aNow);
   if (aWork.mSharedPrefix != 0) {
     mSentByAny.OnSent(aPick.mKnownPrefix);
-    mAffinity.Remember(aWork.mSharedPrefix, found->mNumber, aNow);
+    mAffinity.Record(aWork.mSharedPrefix, found->mNumber, aNow);
   }
 }
 
@@ -540,7 +540,7 @@
   // elsewhere.
   const auto failing = static_cast<std::size_t>(
     std::ranges::count_if(mRecords, [](const auto& aOne) {
-      return aOne.second.mHealth.Kind() == health_kind::kFailing;
+      return aOne.second.mHealth.State() == health_state::kFailing;
     }));
   const bool mayLeave = 2 * (failing + 1) <= mRecords.size();
   found->mHealth.OnEnded(aHow, aLength, mayLeave, aNow);
--- a/thornhollow/policy/relay_pool.h
+++ b/thornhollow/policy/relay_pool.h
@@ -103,9 +103,9 @@
   engine_border_settings mBorder;
   engine_sides_settings mSides;
   relay_admission_settings mAdmission;
-  prefix_affinity_settings mAffinity = { .mRemember = true,
-                                         .mPrefixes = 1024,
-                                         .mLife = Seconds(30) };
+  prefix_affinity_settings mAffinity = { .mEnabled = true,
+                                         .mMaxPrefixes = 1024,
+                                         .mTimeToLive = Seconds(30) };
 
   friend bool operator==(const relay_pool_settings&,
                          const relay_pool_settings&) = default;
@@ -254,7 +254,7 @@
   double CrowdSeconds(const record& aRecord, const relay_work& aWork) const;
   duration SlotWait() const;
   const record* Holder(const relay_work& aWork,
-                       const prefix_affinity::holders& aHolders,
+                       const prefix_affinity::endpoint_list& aHolders,
                        const record& aChosen,
                        time_point aNow) const;
   const record* EarlierHome(const relay_work& aWork, time_point aNow) const;
--- a/thornhollow/policy/scenario/catalog.cc
+++ b/thornhollow/policy/scenario/catalog.cc
@@ -224,12 +224,12 @@
     aOf.mRecord.mLimit.mLearn = false;
   });
   without("health", [](endpoint_table_settings& aOf) {
-    aOf.mRecord.mHealth.mJudge = false;
+    aOf.mRecord.mHealth.mEnabled = false;
   });
   without("prefixes",
-          [](endpoint_table_settings& aOf) { aOf.mPrefix.mRemember = false; });
+          [](endpoint_table_settings& aOf) { aOf.mPrefix.mEnabled = false; });
   without("long_bound",
-          [](endpoint_table_settings& aOf) { aOf.mBoundLongWork = false; });
+          [](endpoint_table_settings& aOf) { aOf.mLimitLongWork = false; });
   aAll.push_back({ "endpoints_off", off });
 }
 
--- a/thornhollow/policy/scheduler.cc
+++ b/thornhollow/policy/scheduler.cc
@@ -310,7 +310,8 @@
   }
 }
 
-scheduler::pool_windows::pool_windows(const endpoint_queue_settings& aSettings)
+scheduler::pool_windows::pool_windows(
+  const endpoint_queue_window_settings& aSettings)
   : mWindows(kTiers + 1, endpoint_queue_window(aSettings))
 {
 }
@@ -339,11 +340,11 @@
   if (window == nullptr || !window->HasRoom()) {
     return std::nullopt;
   }
-  auto queue = mEndpoints.ChooseBeyond(item,
-                                       aProgress.mTried,
-                                       aOwed ? mSettings.mMostOwedBeyond
-                                             : mSettings.mMostBeyond,
-                                       aNow);
+  auto queue = mEndpoints.ChooseForQueueing(item,
+                                            aProgress.mTried,
+                                            aOwed ? mSettings.mMostOwedBeyond
+                                                  : mSettings.mMostBeyond,
+                                            aNow);
   aProgress.mBeyond = queue.has_value();
   return queue;
 }
@@ -395,7 +396,7 @@
     return;
   }
   if (std::exchange(aProgress.mBeyond, false)) {
-    WindowFor(aProgress.mItem, aProgress.mOwed)->OnLost();
+    WindowFor(aProgress.mItem, aProgress.mOwed)->OnDequeued();
   }
   const endpoint_name place = *std::exchange(aProgress.mPlace, std::nullopt);
   const work_item& item = aProgress.mItem;
--- a/thornhollow/policy/scheduler.h
+++ b/thornhollow/policy/scheduler.h
@@ -43,7 +43,7 @@
   retry_budget_settings mRetries;
   run_time_settings mRunTimes;
   clock_gap_settings mClockGap;
-  endpoint_queue_settings mEndpointQueues;
+  endpoint_queue_window_settings mEndpointQueues;
   // Whether other instances' pressure counts also for pools whose endpoints
   // order their queues by tier: there it costs the middle tiers more than it
   // brings the highest (docs/design/decisions_under_load.md).
@@ -150,7 +150,7 @@
   };
   struct pool_windows
   {
-    explicit pool_windows(const endpoint_queue_settings& aSettings);
+    explicit pool_windows(const endpoint_queue_window_settings& aSettings);
 
     // By tier, highest first; the last is for what takes its minimum share.
     std::vector<endpoint_queue_window> mWindows;
--- a/thornhollow/policy/scheduler_search_test.cc
+++ b/thornhollow/policy/scheduler_search_test.cc
@@ -375,7 +375,7 @@
     const auto said = mSaidLeaving.find(aEndpoint);
     return said == mSaidLeaving.end() ||
            mNow - said->second >=
-             internal::endpoint_record_settings{}.mOwnWordLife;
+             internal::endpoint_record_settings{}.mLeavingReportLifetime;
   }
 
   void CheckCounts()
--- a/thornhollow/policy/waiting_modules_test.cc
+++ b/thornhollow/policy/waiting_modules_test.cc
@@ -78,7 +78,7 @@
 
 TEST_CASE("endpoint_queue_window/late_answers/window_falls_once_a_bound")
 {
-  endpoint_queue_window window{ endpoint_queue_settings{} };
+  endpoint_queue_window window{ endpoint_queue_window_settings{} };
   for (int i = 0; i < 4; ++i) {
     CHECK(window.HasRoom());
     window.OnSent();
