--- a/thornhollow/daemon/relay_dispatcher.cc
+++ b/thornhollow/daemon/relay_dispatcher.cc
@@ -55,7 +55,7 @@
   settings.mAdmission.mAdmit = aSettings.mEngines.mAdmission;
   const engine_placement placement = aSettings.mEngines.mPlacement;
   if (placement != engine_placement::kApart) {
-    settings.mBorder.mSeparate = false;
+    settings.mPartition.mSeparate = false;
     settings.mCopyFromTokens = 0;
   }
   if (placement == engine_placement::kLeast) {
@@ -206,7 +206,7 @@
 {
   const bool engines = IsEnginePool(aName);
   auto found = mPools.find(aName);
-  if (found != mPools.end() && found->second.OfEngines() == engines) {
+  if (found != mPools.end() && found->second.ServesEngines() == engines) {
     return found->second;
   }
   if (found != mPools.end()) {
@@ -272,7 +272,7 @@
 relay_dispatcher::OnPeerHeard(const domain_name& aDomain, time_point aNow)
 {
   for (auto& [name, pool] : mPools) {
-    pool.OnPeerHeard(aDomain, aNow);
+    pool.OnPeerMessage(aDomain, aNow);
   }
 }
 
@@ -281,7 +281,7 @@
 {
   bool isNew = false;
   for (auto& [name, pool] : mPools) {
-    isNew = pool.OnUnreached(aPick, aNow) || isNew;
+    isNew = pool.OnUnreachable(aPick, aNow) || isNew;
   }
   if (isNew) {
     mLog.Write(log_level::kInfo,
@@ -308,8 +308,8 @@
 {
   std::map<pool_name, pool_view> demand;
   for (auto& [name, pool] : mPools) {
-    if (pool.OfEngines()) {
-      demand[name] = pool.OwnView(aNow);
+    if (pool.ServesEngines()) {
+      demand[name] = pool.LocalView(aNow);
     }
   }
   return demand;
@@ -320,7 +320,7 @@
 {
   std::vector<relay_load> loads;
   for (const auto& [name, pool] : mPools) {
-    if (pool.OfEngines()) {
+    if (pool.ServesEngines()) {
       const std::vector<relay_load> its = pool.Loads(Now());
       loads.insert(loads.end(), its.begin(), its.end());
     }
@@ -344,18 +344,18 @@
   time_point aNow)
 {
   for (auto& [name, pool] : mPools) {
-    if (!pool.OfEngines()) {
+    if (!pool.ServesEngines()) {
       continue;
     }
     for (const relay_load& each : pool.Loads(aNow)) {
       const auto found = aWork.find(WorkKey(each.mName));
       const endpoint_work others =
         found == aWork.end() ? endpoint_work{} : found->second;
-      pool.SetOthers({ .mName = each.mName,
-                       .mInFlight = others.mOpen,
-                       .mToRead = others.mToRead,
-                       .mPace = others.mPace },
-                     aNow);
+      pool.SetRemoteLoad({ .mName = each.mName,
+                           .mInFlight = others.mOpen,
+                           .mPrefillTokens = others.mToRead,
+                           .mPrefillNanoseconds = others.mPace },
+                         aNow);
       LogPace(each);
     }
   }
@@ -377,7 +377,7 @@
              "engine_pace",
              { { "endpoint", aLoad.mName.Text() },
                { "slow", std::int64_t{ aLoad.mSlow } },
-               { "own_ns_per_token", aLoad.mPace } });
+               { "own_ns_per_token", aLoad.mPrefillNanoseconds } });
 }
 
 void
@@ -397,7 +397,7 @@
                  { { "pool", name.Text() },
                    { "bulk_engines", static_cast<std::int64_t>(after) },
                    { "engines", static_cast<std::int64_t>(pool->size()) },
-                   { "read_per_s", pool->ReadPerSecond() },
+                   { "read_per_s", pool->PrefillTokensPerSecond() },
                    { "demand", DemandText(view.mDemand) } });
     }
   }
--- a/thornhollow/daemon/relay_gateway.cc
+++ b/thornhollow/daemon/relay_gateway.cc
@@ -239,9 +239,12 @@
   {
     std::vector<endpoint_work> work;
     for (const relay_load& each : mDispatcher.OwnLoads()) {
-      if (each.mToRead > 0 || each.mPace > 0 || each.mInFlight > 0) {
-        work.push_back(
-          { WorkKey(each.mName), each.mToRead, each.mPace, each.mInFlight });
+      if (each.mPrefillTokens > 0 || each.mPrefillNanoseconds > 0 ||
+          each.mInFlight > 0) {
+        work.push_back({ WorkKey(each.mName),
+                         each.mPrefillTokens,
+                         each.mPrefillNanoseconds,
+                         each.mInFlight });
       }
     }
     return work;
--- a/thornhollow/daemon/relay_session.cc
+++ b/thornhollow/daemon/relay_session.cc
@@ -91,13 +91,13 @@
   return class_name("tier" + std::to_string(aTier) + "_" + kind);
 }
 
-relay_work
+request_profile
 WorkOf(const relay_request& aRequest, const route& aRoute, tier_number aTier)
 {
-  relay_work work;
+  request_profile work;
   work.mTier = aTier;
   work.mPromptTokens = aRequest.mPromptTokens;
-  work.mRank = EngineRank(aRoute, aTier);
+  work.mEnginePriority = EngineRank(aRoute, aTier);
   work.mTarget = aRoute.mTarget;
   work.mPause = aRoute.mPauseTarget;
   // The last part is the request's own.
@@ -110,8 +110,8 @@
   // With the last one two shared parts at the least.
   if (aRequest.mParts.size() > 2) {
     const prompt_part& first = aRequest.mParts.front();
-    work.mFirstPart = Hash64(first.mId);
-    work.mFirstPartTokens = std::min(first.mTokens, work.mSharedTokens);
+    work.mFirstBlock = Hash64(first.mId);
+    work.mFirstBlockTokens = std::min(first.mTokens, work.mSharedTokens);
   }
   return work;
 }
@@ -151,7 +151,7 @@
     }
     mWork.mTeam = mTeam == nullptr ? team_name() : mTeam->mName;
     mWork.mDeadline = mExchange->Arrival() + patience;
-    mWork.mReturns =
+    mWork.mIsRetry =
       ToSeconds(patience) < ToSeconds(mRoute->mTimeout) * kReturnsBelow;
     mCountedAs = CountedAs(*mRoute, mWork.mTier);
     mDispatcher.Metrics().OnRequest(mCountedAs);
@@ -160,7 +160,7 @@
       const auto verdict = pool->Admit(mWork, patience, Now());
       if (const auto* refused = std::get_if<admission_refusal>(&verdict)) {
         LogNotTaken(*refused);
-        Refuse(refused->mKind, refused->mComeBackAfter);
+        Refuse(refused->mKind, refused->mRetryAfter);
         return;
       }
       mFirstPick = std::get<std::optional<relay_pick>>(verdict);
@@ -244,7 +244,7 @@
     facts.mTeam = mTeam == nullptr ? team_name() : mTeam->mName;
     facts.mTimeLeft = mWork.mDeadline - Now();
     if (mWork.mPromptTokens > 0) {
-      facts.mPriority = mWork.mRank;
+      facts.mPriority = mWork.mEnginePriority;
       facts.mCopyPrefixFrom = mPick.mCopyFrom;
     }
     facts.mResumeAfter =
@@ -591,9 +591,9 @@
         { "why", std::string(Name(aRefusal.mKind)) },
         { "pool", mPool->Text() },
         { "wait_ms", ToMilliseconds(aRefusal.mWait) },
-        { "seen_wait_ms", ToMilliseconds(aRefusal.mSeenWait) },
-        { "longest_ms", ToMilliseconds(aRefusal.mLongest) },
-        { "come_back_ms", ToMilliseconds(aRefusal.mComeBackAfter) } });
+        { "seen_wait_ms", ToMilliseconds(aRefusal.mObservedWait) },
+        { "longest_ms", ToMilliseconds(aRefusal.mMaxWait) },
+        { "come_back_ms", ToMilliseconds(aRefusal.mRetryAfter) } });
   }
 
   void LogAttempt(attempt_failure aFailure, const std::string& aDetail)
@@ -608,7 +608,7 @@
         { "endpoint", mPick.mEndpoint.Text() },
         { "reused", std::int64_t{ mAttempt && mAttempt->Reused() } },
         { "after_ms", ToMilliseconds(now - mSentAt) },
-        { "expected_ms", ToMilliseconds(mPick.mExpected) },
+        { "expected_ms", ToMilliseconds(mPick.mExpectedWait) },
         { "begun", std::int64_t{ mAnswerBegun } } });
   }
 
@@ -627,11 +627,11 @@
         { "endpoint", mPick.mEndpoint.Text() },
         { "attempts", static_cast<std::int64_t>(mTried.size()) },
         { "prompt_tokens", std::int64_t{ mWork.mPromptTokens } },
-        { "to_read", std::int64_t{ mPick.mToRead } },
+        { "to_read", std::int64_t{ mPick.mPrefillTokens } },
         { "target_ms", ToMilliseconds(mWork.mTarget) },
         { "side", mPick.mBulk ? "bulk" : "interactive" },
-        { "backlog", static_cast<std::int64_t>(mPick.mBacklog) },
-        { "expected_ms", ToMilliseconds(mPick.mExpected) },
+        { "backlog", static_cast<std::int64_t>(mPick.mBacklogTokens) },
+        { "expected_ms", ToMilliseconds(mPick.mExpectedWait) },
         { "longest_pause_ms", ToMilliseconds(mLongestPause) },
         { "first_byte_ms", ToMilliseconds(mFirstByte.value_or(duration{})) },
         { "total_ms", ToMilliseconds(now - mExchange->Arrival()) },
@@ -648,7 +648,7 @@
   const route* mRoute = nullptr;
   const routed_team* mTeam = nullptr;
   const pool_name* mPool = nullptr;
-  relay_work mWork;
+  request_profile mWork;
   class_name mCountedAs;
   std::shared_ptr<const std::string> mBody;
 
--- a/thornhollow/fleet/testing/relay_load_fleet.h
+++ b/thornhollow/fleet/testing/relay_load_fleet.h
@@ -156,7 +156,7 @@
     std::size_t mInstance = 0;
     std::size_t mEngine = 0;
     std::size_t mKind = 0;
-    relay_work mWork;
+    request_profile mWork;
     relay_pick mPick;
     time_point mArrived{};
     bool mBegun = false;
@@ -233,7 +233,7 @@
     const double own =
       std::min(Sized(kind.mOwnTokens, kind.mSpread), 8 * kind.mOwnTokens);
     one.mWork.mTeam = team_name("team-" + std::to_string(mRandom() % 40));
-    one.mWork.mRank = kind.mRank;
+    one.mWork.mEnginePriority = kind.mRank;
     one.mWork.mSharedTokens = static_cast<std::uint32_t>(kind.mSharedTokens);
     one.mWork.mPromptTokens =
       static_cast<std::uint32_t>(own + kind.mSharedTokens);
@@ -252,13 +252,13 @@
     relay_pool& pool = *mInstances[aOne.mInstance].mPool;
     const auto admitted = pool.Admit(aOne.mWork, left, mNow);
     if (const auto* refused = std::get_if<admission_refusal>(&admitted)) {
-      if (aOne.mWork.mReturns) {
+      if (aOne.mWork.mIsRetry) {
         ++mResults[aOne.mKind].mRefused;
         return;
       }
-      aOne.mWork.mReturns = true;
+      aOne.mWork.mIsRetry = true;
       aOne.mInstance = mRandom() % mInstances.size();
-      mReturning.emplace(mNow + refused->mComeBackAfter,
+      mReturning.emplace(mNow + refused->mRetryAfter,
                          returning{ aOne, aOwn, aAnswer });
       return;
     }
@@ -282,7 +282,7 @@
     pool.OnSent(aOne.mPick, aOne.mWork, mNow);
     const double missing = Missing(aOne);
     const engine_request request{
-      ++mLastId, aOne.mWork.mRank, aOwn + missing, aAnswer
+      ++mLastId, aOne.mWork.mEnginePriority, aOwn + missing, aAnswer
     };
     if (!mEngines[aOne.mEngine].Put(request)) {
       pool.OnEnded(
@@ -375,7 +375,7 @@
   void TellSums(instance& aOne)
   {
     for (const sums_to_tell& each : aOne.mPeers->SumsToTell(
-           { { kPool, aOne.mPool->OwnView(mNow) } }, mNow)) {
+           { { kPool, aOne.mPool->LocalView(mNow) } }, mNow)) {
       relay_hello hello = Brief(aOne);
       hello.mSums = each.mSums;
       mInstances[mNumberOf.at(each.mAddress)].mPeers->OnHello(hello, mNow);
@@ -412,12 +412,14 @@
     hello.mBrief = false;
     hello.mPeers = aOne.mPeers->SomePeers();
     for (const relay_load& each : aOne.mPool->Loads(mNow)) {
-      if (each.mToRead > 0 || each.mInFlight > 0) {
-        hello.mWork.push_back(
-          { WorkKey(each.mName), each.mToRead, each.mPace, each.mInFlight });
+      if (each.mPrefillTokens > 0 || each.mInFlight > 0) {
+        hello.mWork.push_back({ WorkKey(each.mName),
+                                each.mPrefillTokens,
+                                each.mPrefillNanoseconds,
+                                each.mInFlight });
       }
     }
-    hello.mDemand = { { kPool, aOne.mPool->OwnView(mNow) } };
+    hello.mDemand = { { kPool, aOne.mPool->LocalView(mNow) } };
     hello.mWantsAnswer = aOne.mPeers->Alive() == 0;
     for (const std::string& each : round.mWhole) {
       const auto to = mNumberOf.find(each);
@@ -434,11 +436,11 @@
       const auto found = work.find(WorkKey(each.mName));
       const endpoint_work its =
         found == work.end() ? endpoint_work{} : found->second;
-      aOne.mPool->SetOthers({ each.mName, its.mOpen, its.mToRead, its.mPace },
-                            mNow);
+      aOne.mPool->SetRemoteLoad(
+        { each.mName, its.mOpen, its.mToRead, its.mPace }, mNow);
     }
     const auto views =
-      aOne.mPeers->AllViews({ { kPool, aOne.mPool->OwnView(mNow) } }, mNow);
+      aOne.mPeers->AllViews({ { kPool, aOne.mPool->LocalView(mNow) } }, mNow);
     aOne.mPool->SetView(views.at(kPool), mNow);
   }
 
--- /dev/null
+++ b/thornhollow/policy/decaying_rate.h
@@ -0,0 +1,48 @@
+// How much comes in a second, with what came longer ago counting for less.
+//
+//   decaying_rate rate;
+//   rate.Add(1200, now);
+//   const double perSecond = rate.PerSecond(now);
+//
+#ifndef THORNHOLLOW_POLICY_DECAYING_RATE_H_
+#define THORNHOLLOW_POLICY_DECAYING_RATE_H_
+
+#include <algorithm>
+#include <cmath>
+
+#include "thornhollow/base/time.h"
+
+namespace thornhollow {
+
+class decaying_rate
+{
+public:
+  // A few of the arrivals' clumps, and shorter than a burst.
+  static constexpr double kTimeConstantSeconds = 2.0;
+
+  explicit decaying_rate(double aMemorySeconds = kTimeConstantSeconds)
+    : mTimeConstantSeconds(aMemorySeconds)
+  {
+  }
+
+  void Add(double aAmount, time_point aNow)
+  {
+    mPerSecond = PerSecond(aNow) + aAmount / mTimeConstantSeconds;
+    mUpdatedAt = std::max(mUpdatedAt, aNow);
+  }
+
+  double PerSecond(time_point aNow) const
+  {
+    const double passed = std::max(0.0, ToSeconds(aNow - mUpdatedAt));
+    return mPerSecond * std::exp(-passed / mTimeConstantSeconds);
+  }
+
+private:
+  double mTimeConstantSeconds;
+  double mPerSecond = 0;
+  time_point mUpdatedAt{};
+};
+
+} // namespace thornhollow
+
+#endif // THORNHOLLOW_POLICY_DECAYING_RATE_H_
--- a/thornhollow/policy/read_rate.h
+++ b/thornhollow/policy/prefill_rate.h
@@ -1,7 +1,7 @@
 // How many prompt tokens an engine of a pool reads in a second.
 //
-//   read_rate rate(55'000);
-//   rate.OnRead(tokensBefore + ownTokens, wait);
+//   prefill_rate rate(55'000);
+//   rate.OnPrefill(tokensBefore + ownTokens, wait);
 //   const duration wait = FromSeconds(tokens / rate.PerSecond());
 //
 // Load pattern: engines of a deployment that nobody has measured; rates of
@@ -12,61 +12,62 @@
 // proportion, large ones at first, so that odd answers move it little and a
 // wrong first guess is left within ten: within a fifth, for rates of 20 to 150
 // thousand, when one answer in five waited behind unknown prompts.
-#ifndef THORNHOLLOW_POLICY_READ_RATE_H_
-#define THORNHOLLOW_POLICY_READ_RATE_H_
+#ifndef THORNHOLLOW_POLICY_PREFILL_RATE_H_
+#define THORNHOLLOW_POLICY_PREFILL_RATE_H_
 
 #include <algorithm>
 #include <cstddef>
 
 #include "thornhollow/base/time.h"
-#include "thornhollow/policy/read_pace.h"
+#include "thornhollow/policy/prefill_time_per_token.h"
 
 namespace thornhollow {
 
-class read_rate
+class prefill_rate
 {
 public:
   // An engine outside of these isn't believed, nor who tells of one.
-  static constexpr double kLeast = 2'000;
-  static constexpr double kMost = 2'000'000;
+  static constexpr double kMin = 2'000;
+  static constexpr double kMax = 2'000'000;
 
   // `aPrior`: tokens a second, until something was seen.
-  explicit read_rate(double aPrior)
+  explicit prefill_rate(double aPrior)
     : mPerSecond(aPrior)
   {
   }
 
   // An answer began after `aWait`, when its engine had read `aTokens`.
-  void OnRead(double aTokens, duration aWait)
+  void OnPrefill(double aTokens, duration aWait)
   {
-    const double seconds = ToSeconds(aWait) - read_pace::kOverheadSeconds;
-    if (aTokens < kLeastTokens || seconds <= 0) {
+    const double seconds =
+      ToSeconds(aWait) - prefill_time_per_token::kOverheadSeconds;
+    if (aTokens < kMinTokens || seconds <= 0) {
       return;
     }
-    const double seen = std::clamp(aTokens / seconds, kLeast, kMost);
+    const double sample = std::clamp(aTokens / seconds, kMin, kMax);
     const double step =
-      std::clamp(1 / static_cast<double>(++mSeen), kLeastStep, kFirstStep);
-    mPerSecond *= seen > mPerSecond ? 1 + step : 1 / (1 + step);
-    mPerSecond = std::clamp(mPerSecond, kLeast, kMost);
+      std::clamp(1 / static_cast<double>(++mSamples), kMinStep, kMaxStep);
+    mPerSecond *= sample > mPerSecond ? 1 + step : 1 / (1 + step);
+    mPerSecond = std::clamp(mPerSecond, kMin, kMax);
   }
 
   double PerSecond() const { return mPerSecond; }
   // Whether it is more than the first guess.
-  bool Known() const { return mSeen >= kLeastSeen; }
+  bool Known() const { return mSamples >= kMinSamples; }
 
 private:
   // Shorter readings tell more of the network than of the engine.
-  static constexpr double kLeastTokens = 1'000;
-  static constexpr double kFirstStep = 0.25;
-  static constexpr double kLeastStep = 0.02;
+  static constexpr double kMinTokens = 1'000;
+  static constexpr double kMaxStep = 0.25;
+  static constexpr double kMinStep = 0.02;
 
   // From then on it is told to others.
-  static constexpr std::size_t kLeastSeen = 5;
+  static constexpr std::size_t kMinSamples = 5;
 
   double mPerSecond;
-  std::size_t mSeen = 0;
+  std::size_t mSamples = 0;
 };
 
 } // namespace thornhollow
 
-#endif // THORNHOLLOW_POLICY_READ_RATE_H_
+#endif // THORNHOLLOW_POLICY_PREFILL_RATE_H_
--- a/thornhollow/policy/read_rate_test.cc
+++ b/thornhollow/policy/prefill_rate_test.cc
@@ -3,7 +3,7 @@
 
 #include <doctest/doctest.h>
 
-#include "thornhollow/policy/read_rate.h"
+#include "thornhollow/policy/prefill_rate.h"
 
 namespace thornhollow {
 namespace {
@@ -35,10 +35,10 @@
       const engine_of_a_pool engine{ perSecond, chunk };
       std::mt19937_64 random(7);
       std::uniform_real_distribution<double> size(6'000, 12'000);
-      read_rate subject(kPrior);
+      prefill_rate subject(kPrior);
       for (int answer = 0; answer < 10; ++answer) {
         const double tokens = size(random);
-        subject.OnRead(tokens, engine.WaitFor(tokens, random));
+        subject.OnPrefill(tokens, engine.WaitFor(tokens, random));
       }
       CAPTURE(perSecond);
       CAPTURE(chunk);
@@ -52,32 +52,32 @@
 TEST_CASE("read_rate/engine_turns_slow/is_followed")
 {
   std::mt19937_64 random(3);
-  read_rate subject(kPrior);
+  prefill_rate subject(kPrior);
   const engine_of_a_pool before{ 60'000, 4'096 };
   const engine_of_a_pool after{ 30'000, 4'096 };
   for (int answer = 0; answer < 50; ++answer) {
-    subject.OnRead(8'000, before.WaitFor(8'000, random));
+    subject.OnPrefill(8'000, before.WaitFor(8'000, random));
   }
   for (int answer = 0; answer < 60; ++answer) {
-    subject.OnRead(8'000, after.WaitFor(8'000, random));
+    subject.OnPrefill(8'000, after.WaitFor(8'000, random));
   }
   CHECK(subject.PerSecond() < 36'000);
 }
 
 TEST_CASE("read_rate/odd_answers/are_bounded")
 {
-  read_rate subject(kPrior);
-  subject.OnRead(9'000, duration::zero());
-  subject.OnRead(9'000, Milliseconds(-5));
-  subject.OnRead(10, Seconds(2));
+  prefill_rate subject(kPrior);
+  subject.OnPrefill(9'000, duration::zero());
+  subject.OnPrefill(9'000, Milliseconds(-5));
+  subject.OnPrefill(10, Seconds(2));
   CHECK(subject.PerSecond() == doctest::Approx(kPrior));
   CHECK_FALSE(subject.Known());
   for (int answer = 0; answer < 1'000; ++answer) {
-    subject.OnRead(1e12, Milliseconds(19));
+    subject.OnPrefill(1e12, Milliseconds(19));
   }
   CHECK(subject.PerSecond() <= 2e6);
   for (int answer = 0; answer < 2'000; ++answer) {
-    subject.OnRead(1'000, Seconds(1'000));
+    subject.OnPrefill(1'000, Seconds(1'000));
   }
   CHECK(subject.PerSecond() >= 2'000);
 }
--- a/thornhollow/policy/read_pace.h
+++ b/thornhollow/policy/prefill_time_per_token.h
@@ -1,7 +1,7 @@
 // How fast an engine reads prompts, and what a prompt costs it.
 //
-//   pace.OnRead(2'900, wait, now);
-//   if (pace.NanosecondsPerToken() > 1.15 * fastest) { ... it is slow ... }
+//   pace.OnPrefill(2'900, wait, now);
+//   if (pace.Nanoseconds() > 1.15 * fastest) { ... it is slow ... }
 //
 // Load pattern: engines of one pool that differ by a third in speed. What makes
 // an event of a stream late is five long steps in a row; with a chunk of a
@@ -14,8 +14,8 @@
 // seen lately is the engine's own, whatever it was busy with. Pauses between
 // events tell less: the low quantiles of pauses of 20 ms differ by a quarter
 // from instance to instance.
-#ifndef THORNHOLLOW_POLICY_READ_PACE_H_
-#define THORNHOLLOW_POLICY_READ_PACE_H_
+#ifndef THORNHOLLOW_POLICY_PREFILL_TIME_PER_TOKEN_H_
+#define THORNHOLLOW_POLICY_PREFILL_TIME_PER_TOKEN_H_
 
 #include <algorithm>
 
@@ -23,26 +23,26 @@
 
 namespace thornhollow {
 
-class read_pace
+class prefill_time_per_token
 {
 public:
   // Shorter prompts tell more of the network than of the engine.
-  static constexpr double kLeastTokens = 3'500;
+  static constexpr double kMinTokens = 3'500;
   // From a request's arrival to its first event, the reading left out: two
   // ways, the engine's own start, a step.
   static constexpr double kOverheadSeconds = 0.018;
   // The least is forgotten by so much a second, as engines slow down for good.
-  static constexpr double kForgetPerSecond = 0.003;
+  static constexpr double kGrowthPerSecond = 0.003;
 
   // A prompt of which so many tokens were read had its first event after
   // `aWait`.
-  void OnRead(double aTokens, duration aWait, time_point aNow)
+  void OnPrefill(double aTokens, duration aWait, time_point aNow)
   {
     const double seconds = ToSeconds(aWait) - kOverheadSeconds;
-    if (aTokens < kLeastTokens || seconds <= 0) {
+    if (aTokens < kMinTokens || seconds <= 0) {
       return;
     }
-    OnTold(seconds / aTokens * 1e9, aNow);
+    OnReported(seconds / aTokens * 1e9, aNow);
   }
 
   // Another instance's pace for the same engine. It is kept like an own one,
@@ -50,26 +50,26 @@
   // within a few rounds, however few of them each hears at a time. Of ninety
   // instances that went by what they had heard in the last second, each took
   // another 12 to 71 of ninety engines for slow.
-  void OnTold(double aNanosecondsPerToken, time_point aNow)
+  void OnReported(double aNanosecondsPerToken, time_point aNow)
   {
-    const double before = NanosecondsPerToken(aNow);
-    mLeast = before == 0 ? aNanosecondsPerToken
-                         : std::min(aNanosecondsPerToken, before);
-    mAt = aNow;
+    const double before = Nanoseconds(aNow);
+    mMin = before == 0 ? aNanosecondsPerToken
+                       : std::min(aNanosecondsPerToken, before);
+    mUpdatedAt = aNow;
   }
 
   // 0 before a prompt was read.
-  double NanosecondsPerToken(time_point aNow) const
+  double Nanoseconds(time_point aNow) const
   {
-    const double passed = std::max(0.0, ToSeconds(aNow - mAt));
-    return mLeast * (1 + kForgetPerSecond * passed);
+    const double passed = std::max(0.0, ToSeconds(aNow - mUpdatedAt));
+    return mMin * (1 + kGrowthPerSecond * passed);
   }
 
 private:
-  double mLeast = 0;
-  time_point mAt{};
+  double mMin = 0;
+  time_point mUpdatedAt{};
 };
 
 } // namespace thornhollow
 
-#endif // THORNHOLLOW_POLICY_READ_PACE_H_
+#endif // THORNHOLLOW_POLICY_PREFILL_TIME_PER_TOKEN_H_
--- a/thornhollow/policy/known_prefixes.h
+++ b/thornhollow/policy/prefix_reuse_estimator.h
@@ -1,7 +1,7 @@
 // How likely it is that some instance has sent a prefix before, of which this
 // one knows nothing.
 //
-//   known_prefixes known;
+//   prefix_reuse_estimator known;
 //   known.OnSent(wasKnownHere);
 //   const double likely = known.Probability(instances);
 //
@@ -13,8 +13,8 @@
 //
 // Each of the other instances sees other requests of the same sessions, and
 // knows as large a part of them as this one does.
-#ifndef THORNHOLLOW_POLICY_KNOWN_PREFIXES_H_
-#define THORNHOLLOW_POLICY_KNOWN_PREFIXES_H_
+#ifndef THORNHOLLOW_POLICY_PREFIX_REUSE_ESTIMATOR_H_
+#define THORNHOLLOW_POLICY_PREFIX_REUSE_ESTIMATOR_H_
 
 #include <algorithm>
 #include <cmath>
@@ -22,32 +22,32 @@
 
 namespace thornhollow {
 
-class known_prefixes
+class prefix_reuse_estimator
 {
 public:
   // A request was sent whose prefix this instance had sent before, or not.
   void OnSent(bool aKnown)
   {
-    ++mSeen;
-    const double step = std::max(1 / static_cast<double>(mSeen), kLeastStep);
-    mPart += ((aKnown ? 1 : 0) - mPart) * step;
+    ++mSamples;
+    const double step = std::max(1 / static_cast<double>(mSamples), kMinStep);
+    mKnownFraction += ((aKnown ? 1 : 0) - mKnownFraction) * step;
   }
 
   double Probability(std::size_t aInstances) const
   {
     const auto instances =
       static_cast<double>(std::max<std::size_t>(aInstances, 1));
-    return 1 - std::pow(1 - mPart, instances);
+    return 1 - std::pow(1 - mKnownFraction, instances);
   }
 
 private:
   // A few dozen requests: sessions come and go within tens of seconds.
-  static constexpr double kLeastStep = 0.03;
+  static constexpr double kMinStep = 0.03;
 
-  std::size_t mSeen = 0;
-  double mPart = 0;
+  std::size_t mSamples = 0;
+  double mKnownFraction = 0;
 };
 
 } // namespace thornhollow
 
-#endif // THORNHOLLOW_POLICY_KNOWN_PREFIXES_H_
+#endif // THORNHOLLOW_POLICY_PREFIX_REUSE_ESTIMATOR_H_
--- a/thornhollow/policy/known_prefixes_test.cc
+++ b/thornhollow/policy/prefix_reuse_estimator_test.cc
@@ -1,20 +1,20 @@
 #include <doctest/doctest.h>
 
-#include "thornhollow/policy/known_prefixes.h"
+#include "thornhollow/policy/prefix_reuse_estimator.h"
 
 namespace thornhollow {
 namespace {
 
 TEST_CASE("known_prefixes/nothing_sent_yet/nobody_knows_any")
 {
-  const known_prefixes subject;
+  const prefix_reuse_estimator subject;
   CHECK(subject.Probability(8) == doctest::Approx(0));
   CHECK(subject.Probability(0) == doctest::Approx(0));
 }
 
 TEST_CASE("known_prefixes/one_in_five_known_here/most_known_by_some_of_eight")
 {
-  known_prefixes subject;
+  prefix_reuse_estimator subject;
   for (int each = 0; each < 500; ++each) {
     subject.OnSent(each % 5 == 0);
   }
@@ -27,7 +27,7 @@
 // was forgotten too slowly, and prompts were believed to be short.
 TEST_CASE("known_prefixes/sessions_change/is_followed_within_a_hundred")
 {
-  known_prefixes subject;
+  prefix_reuse_estimator subject;
   for (int each = 0; each < 1'000; ++each) {
     subject.OnSent(true);
   }
--- a/thornhollow/policy/relay_admission.cc
+++ b/thornhollow/policy/relay_admission.cc
@@ -7,16 +7,16 @@
 
 // A team counts while it asks for at least so many requests a second: one
 // within three times the rate's memory.
-constexpr double kLeastTeamRate = 0.025;
-constexpr duration kForgetEvery = Seconds(1);
+constexpr double kMinTeamRate = 0.025;
+constexpr duration kEvictionInterval = Seconds(1);
 // Callers come back only within a third of the time that they have left.
-constexpr int kPartOfTimeLeft = 3;
+constexpr int kTimeLeftDivisor = 3;
 
 } // namespace
 
 relay_admission::relay_admission(const relay_admission_settings& aSettings)
   : mSettings(aSettings)
-  , mReturns(aSettings.mReturns)
+  , mRetrySchedule(aSettings.mRetrySchedule)
 {
 }
 
@@ -27,14 +27,15 @@
 }
 
 double
-relay_admission::Rate(time_point aNow) const
+relay_admission::PrefillTokensPerSecond(time_point aNow) const
 {
-  return std::max(
-    { mStarted.PerSecond(aNow), mCapacity * mSettings.mLeastReading, 1.0 });
+  return std::max({ mStartedTokens.PerSecond(aNow),
+                    mCapacity * mSettings.mMinPrefillFraction,
+                    1.0 });
 }
 
 duration
-relay_admission::SeenWait(time_point aNow) const
+relay_admission::ObservedWait(time_point aNow) const
 {
   const double answers = mAnswers.PerSecond(aNow);
   return answers > 0 ? FromSeconds(mWaits.PerSecond(aNow) / answers)
@@ -42,101 +43,104 @@
 }
 
 std::optional<admission_refusal>
-relay_admission::Judge(const admission_request& aRequest,
-                       std::mt19937_64& aRandom,
-                       time_point aNow)
+relay_admission::Decide(const admission_request& aRequest,
+                        std::mt19937_64& aRandom,
+                        time_point aNow)
 {
-  ForgetIdleTeams(aNow);
-  mAsked.Add(1, aNow);
-  mAskedByTeam[aRequest.mTeam].Add(1, aNow);
+  EvictIdleTeams(aNow);
+  mRequests.Add(1, aNow);
+  mRequestsByTeam[aRequest.mTeam].Add(1, aNow);
   mTiers.OnAsked(aRequest.mTier, aNow);
-  if (ServedFirst(aRequest, aNow)) {
+  if (OvertakesQueue(aRequest, aNow)) {
     return std::nullopt;
   }
-  const duration wait = aRequest.mExpected;
-  const duration seen = SeenWait(aNow);
-  const double longest =
-    ToSeconds(aRequest.mTarget) * PartFor(aRequest.mTeam, aNow);
-  const bool inTime = wait < aRequest.mTimeLeft;
-  const bool calm = ToSeconds(seen) < longest * mSettings.mSeenPartOfTarget;
-  const bool soon = aRequest.mReturns || ToSeconds(wait) <= longest;
-  const bool fits = calm || (inTime && soon);
+  const duration wait = aRequest.mExpectedWait;
+  const duration observed = ObservedWait(aNow);
+  const double maxWait =
+    ToSeconds(aRequest.mTarget) * WaitFactor(aRequest.mTeam, aNow);
+  const bool meetsDeadline = wait < aRequest.mTimeLeft;
+  const bool calm =
+    ToSeconds(observed) < maxWait * mSettings.mMinObservedFraction;
+  const bool soon = aRequest.mIsRetry || ToSeconds(wait) <= maxWait;
+  const bool fits = calm || (meetsDeadline && soon);
   // A route without a target promises nothing that a queue could break.
   const bool promised = aRequest.mTarget > duration::zero();
   if (!mSettings.mAdmit || !promised ||
-      (fits && !InExcess(aRequest, aRandom, aNow))) {
+      (fits && !ExceedsCapacity(aRequest, aRandom, aNow))) {
     return std::nullopt;
   }
   const duration backlog =
-    std::max(wait - FromSeconds(longest), duration::zero());
-  const duration after = mReturns.ComeBackAfter(
-    backlog, aRequest.mTokens, Rate(aNow), aRandom, aNow);
+    std::max(wait - FromSeconds(maxWait), duration::zero());
+  const duration after = mRetrySchedule.ComeBackAfter(
+    backlog, aRequest.mTokens, PrefillTokensPerSecond(aNow), aRandom, aNow);
   return admission_refusal{
-    inTime ? error_kind::kQueueFull : error_kind::kDeadlineUnmeetable,
-    std::min<duration>(after, aRequest.mTimeLeft / kPartOfTimeLeft),
+    meetsDeadline ? error_kind::kQueueFull : error_kind::kDeadlineUnmeetable,
+    std::min<duration>(after, aRequest.mTimeLeft / kTimeLeftDivisor),
     wait,
-    seen,
-    FromSeconds(longest)
+    observed,
+    FromSeconds(maxWait)
   };
 }
 
 // For a team that asks for more than its even part its tier has to wait less:
 // its burst alone could take all slots.
 bool
-relay_admission::ServedFirst(const admission_request& aRequest,
-                             time_point aNow) const
+relay_admission::OvertakesQueue(const admission_request& aRequest,
+                                time_point aNow) const
 {
   const double calm = ToSeconds(aRequest.mTarget) *
-                      mSettings.mSeenPartOfTarget *
-                      std::min(1.0, PartFor(aRequest.mTeam, aNow));
+                      mSettings.mMinObservedFraction *
+                      std::min(1.0, WaitFactor(aRequest.mTeam, aNow));
   return mTiers.HasLower(aRequest.mTier, aNow) &&
          ToSeconds(mTiers.SeenWait(aRequest.mTier, aNow)) < calm;
 }
 
 bool
-relay_admission::InExcess(const admission_request& aRequest,
-                          std::mt19937_64& aRandom,
-                          time_point aNow) const
+relay_admission::ExceedsCapacity(const admission_request& aRequest,
+                                 std::mt19937_64& aRandom,
+                                 time_point aNow) const
 {
-  if (aRequest.mOverload < mSettings.mClearOverload) {
+  if (aRequest.mOverload < mSettings.mOverloadThreshold) {
     return false;
   }
-  const double more = aRequest.mReturns ? mSettings.mForReturning : 1;
+  const double factor = aRequest.mIsRetry ? mSettings.mRetryFactor : 1;
   std::uniform_real_distribution<double> chance(0, 1);
   return chance(aRandom) * aRequest.mOverload >
-         more * PartFor(aRequest.mTeam, aNow);
+         factor * WaitFactor(aRequest.mTeam, aNow);
 }
 
 double
-relay_admission::PartFor(const team_name& aTeam, time_point aNow) const
+relay_admission::WaitFactor(const team_name& aTeam, time_point aNow) const
 {
-  const auto found = mAskedByTeam.find(aTeam);
-  const double its =
-    found == mAskedByTeam.end() ? 0 : found->second.PerSecond(aNow);
-  const auto teams = std::max<std::size_t>(mAskedByTeam.size(), 1);
-  const double even = mAsked.PerSecond(aNow) / static_cast<double>(teams);
-  if (mAskedByTeam.size() > 1 && its > even * mSettings.mMoreFrom) {
-    return mSettings.mForMore;
+  const auto found = mRequestsByTeam.find(aTeam);
+  const double rate =
+    found == mRequestsByTeam.end() ? 0 : found->second.PerSecond(aNow);
+  const auto teams = std::max<std::size_t>(mRequestsByTeam.size(), 1);
+  const double fairShare =
+    mRequests.PerSecond(aNow) / static_cast<double>(teams);
+  if (mRequestsByTeam.size() > 1 &&
+      rate > fairShare * mSettings.mAboveShareThreshold) {
+    return mSettings.mAboveShareFactor;
   }
-  return its < even ? mSettings.mForLess : 1;
+  return rate < fairShare ? mSettings.mBelowShareFactor : 1;
 }
 
 void
-relay_admission::ForgetIdleTeams(time_point aNow)
+relay_admission::EvictIdleTeams(time_point aNow)
 {
-  if (aNow < mNextForget) {
+  if (aNow < mNextEviction) {
     return;
   }
-  mNextForget = aNow + kForgetEvery;
-  std::erase_if(mAskedByTeam, [aNow](const auto& aOne) {
-    return aOne.second.PerSecond(aNow) < kLeastTeamRate;
+  mNextEviction = aNow + kEvictionInterval;
+  std::erase_if(mRequestsByTeam, [aNow](const auto& aEntry) {
+    return aEntry.second.PerSecond(aNow) < kMinTeamRate;
   });
 }
 
 void
 relay_admission::OnSent(const admitted_prompt& aPrompt)
 {
-  mUnstarted += aPrompt.mTokens;
+  mUnstartedTokens += aPrompt.mTokens;
   mTiers.OnSent(aPrompt.mTier);
 }
 
@@ -145,29 +149,29 @@
                            duration aWait,
                            time_point aNow)
 {
-  mStarted.Add(aPrompt.mTokens, aNow);
+  mStartedTokens.Add(aPrompt.mTokens, aNow);
   mAnswers.Add(1, aNow);
   mWaits.Add(ToSeconds(aWait), aNow);
   mTiers.OnStarted(aPrompt.mTier, aWait, aNow);
-  OnUnstartedLess(aPrompt.mTokens);
+  ReduceUnstarted(aPrompt.mTokens);
 }
 
 void
-relay_admission::OnLost(const admitted_prompt& aPrompt)
+relay_admission::OnAborted(const admitted_prompt& aPrompt)
 {
   mTiers.OnLost(aPrompt.mTier);
-  OnUnstartedLess(aPrompt.mTokens);
+  ReduceUnstarted(aPrompt.mTokens);
 }
 
 void
-relay_admission::OnUnstartedLess(std::uint32_t aTokens)
+relay_admission::ReduceUnstarted(std::uint32_t aTokens)
 {
-  mUnstarted -= std::min<std::uint64_t>(mUnstarted, aTokens);
-  if (mUnstarted == 0) {
+  mUnstartedTokens -= std::min<std::uint64_t>(mUnstartedTokens, aTokens);
+  if (mUnstartedTokens == 0) {
     // Both rates fade alike, so their ratio would say forever how long the last
     // answers had waited.
-    mAnswers = faded_rate();
-    mWaits = faded_rate();
+    mAnswers = decaying_rate();
+    mWaits = decaying_rate();
   }
 }
 
--- a/thornhollow/policy/relay_admission.h
+++ b/thornhollow/policy/relay_admission.h
@@ -2,11 +2,11 @@
 // before it wait.
 //
 //   relay_admission admission(relay_admission_settings{});
-//   if (const auto refused = admission.Judge(request, random, now)) {
+//   if (const auto refused = admission.Decide(request, random, now)) {
 //     ... answer with refused->mKind, to come back after that time ...
 //   }
 //   admission.OnSent(prompt);
-//   admission.OnStarted(prompt, wait, now);   // or OnLost(prompt)
+//   admission.OnStarted(prompt, wait, now);   // or OnAborted(prompt)
 //
 // Load pattern: for ten seconds twice as many long prompts as engines can read.
 // Engines take them all and serve them in order: after a few seconds every
@@ -26,8 +26,8 @@
 // News of others' prompts is too old where ninety instances send thousands of
 // prompts a second: each saw engines with room, and of 2,000 prompts a second
 // 30 began in time, where engines could read 460 to 1,450. So once more is
-// asked for than `mClearOverload` times what engines can read, by sums over all
-// instances, no more than that part of it is taken.
+// asked for than `mOverloadThreshold` times what engines can read, by sums over
+// all instances, no more than that part of it is taken.
 //
 // Tiers: while a lower one is asked for, a tier whose own answers begin soon is
 // taken, whatever the lower ones wait: engines serve it first. Else it would be
@@ -50,7 +50,7 @@
 #include "thornhollow/base/error.h"
 #include "thornhollow/base/ids.h"
 #include "thornhollow/base/time.h"
-#include "thornhollow/policy/faded_rate.h"
+#include "thornhollow/policy/decaying_rate.h"
 #include "thornhollow/policy/return_schedule.h"
 #include "thornhollow/policy/tier_waits.h"
 
@@ -63,25 +63,25 @@
   // Nothing is refused while answers began sooner than this part of the target
   // lately, in the mean: one instance's queue is a few prompts of very
   // different length, and says by itself too little.
-  double mSeenPartOfTarget = 0.4;
+  double mMinObservedFraction = 0.4;
   // Part of their time for which engines read at the least: a full batch of
   // streams takes the other half.
-  double mLeastReading = 0.5;
+  double mMinPrefillFraction = 0.5;
   // From here on only the part that engines can read is taken: what is counted
   // as work and what engines can do are known to a fifth or so each.
-  double mClearOverload = 1.5;
+  double mOverloadThreshold = 1.5;
   // Who comes back is taken so much more often then.
-  double mForReturning = 1.5;
+  double mRetryFactor = 1.5;
   // Of the longest wait, for teams above and below their even part: enough
   // apart for the queue of one not to reach the others' bound.
-  double mForMore = 0.5;
-  double mForLess = 1.25;
+  double mAboveShareFactor = 0.5;
+  double mBelowShareFactor = 1.25;
   // Above this many times the even part a team counts as asking for more: two
   // requests where others have one are chance.
-  double mMoreFrom = 2;
+  double mAboveShareThreshold = 2;
   // From a few prompts' reading to the third of 15 s that callers wait for.
-  return_schedule_settings mReturns = { .mLeast = Milliseconds(500),
-                                        .mMost = Seconds(5) };
+  return_schedule_settings mRetrySchedule = { .mLeast = Milliseconds(500),
+                                              .mMost = Seconds(5) };
 
   friend bool operator==(const relay_admission_settings&,
                          const relay_admission_settings&) = default;
@@ -99,9 +99,9 @@
   // Until its caller stops waiting.
   duration mTimeLeft{};
   // Until its first event, as placement expects it.
-  duration mExpected{};
+  duration mExpectedWait{};
   // Its caller has asked before.
-  bool mReturns = false;
+  bool mIsRetry = false;
   // What is asked for over all instances, for each token that engines can read.
   double mOverload = 0;
 
@@ -122,12 +122,12 @@
 struct admission_refusal
 {
   error_kind mKind = error_kind::kQueueFull;
-  duration mComeBackAfter{};
+  duration mRetryAfter{};
   // What decided: the wait as worked out, the mean of answers that began
   // lately, and the longest wait that this team may have.
   duration mWait{};
-  duration mSeenWait{};
-  duration mLongest{};
+  duration mObservedWait{};
+  duration mMaxWait{};
 
   friend bool operator==(const admission_refusal&,
                          const admission_refusal&) = default;
@@ -143,9 +143,9 @@
   void SetCapacity(double aTokensPerSecond);
 
   // Nothing where the request is taken. It counts as asked for either way.
-  std::optional<admission_refusal> Judge(const admission_request& aRequest,
-                                         std::mt19937_64& aRandom,
-                                         time_point aNow);
+  std::optional<admission_refusal> Decide(const admission_request& aRequest,
+                                          std::mt19937_64& aRandom,
+                                          time_point aNow);
 
   void OnSent(const admitted_prompt& aPrompt);
   // Its answer begins.
@@ -153,37 +153,37 @@
                  duration aWait,
                  time_point aNow);
   // It ended before.
-  void OnLost(const admitted_prompt& aPrompt);
+  void OnAborted(const admitted_prompt& aPrompt);
 
   // Of answers that began lately, in the mean; zero once nothing waits.
-  duration SeenWait(time_point aNow) const;
+  duration ObservedWait(time_point aNow) const;
 
 private:
-  double Rate(time_point aNow) const;
+  double PrefillTokensPerSecond(time_point aNow) const;
   // Whether engines serve it before what waits.
-  bool ServedFirst(const admission_request& aRequest, time_point aNow) const;
-  void OnUnstartedLess(std::uint32_t aTokens);
+  bool OvertakesQueue(const admission_request& aRequest, time_point aNow) const;
+  void ReduceUnstarted(std::uint32_t aTokens);
   // Whether it is among those that can't be read.
-  bool InExcess(const admission_request& aRequest,
-                std::mt19937_64& aRandom,
-                time_point aNow) const;
+  bool ExceedsCapacity(const admission_request& aRequest,
+                       std::mt19937_64& aRandom,
+                       time_point aNow) const;
   // Of the longest wait, what the team may have.
-  double PartFor(const team_name& aTeam, time_point aNow) const;
-  void ForgetIdleTeams(time_point aNow);
+  double WaitFactor(const team_name& aTeam, time_point aNow) const;
+  void EvictIdleTeams(time_point aNow);
 
   relay_admission_settings mSettings;
   double mCapacity = 0;
-  std::uint64_t mUnstarted = 0;
-  faded_rate mStarted;
+  std::uint64_t mUnstartedTokens = 0;
+  decaying_rate mStartedTokens;
   // Answers that began, and the seconds that they waited.
-  faded_rate mAnswers;
-  faded_rate mWaits;
+  decaying_rate mAnswers;
+  decaying_rate mWaits;
   tier_waits mTiers;
   // Requests asked for, taken or not; by team those that asked lately.
-  faded_rate mAsked;
-  std::map<team_name, faded_rate> mAskedByTeam;
-  time_point mNextForget{};
-  return_schedule mReturns;
+  decaying_rate mRequests;
+  std::map<team_name, decaying_rate> mRequestsByTeam;
+  time_point mNextEviction{};
+  return_schedule mRetrySchedule;
 };
 
 } // namespace thornhollow
--- a/thornhollow/policy/relay_admission_benchmark.cc
+++ b/thornhollow/policy/relay_admission_benchmark.cc
@@ -24,9 +24,9 @@
       .mTokens = 8'000,
       .mTarget = Seconds(2),
       .mTimeLeft = Seconds(15),
-      .mExpected = Milliseconds(200)
+      .mExpectedWait = Milliseconds(200)
     };
-    benchmark::DoNotOptimize(admission.Judge(request, random, now));
+    benchmark::DoNotOptimize(admission.Decide(request, random, now));
     admission.OnSent({ 0, 8'000 });
     admission.OnStarted({ 0, 8'000 }, Milliseconds(200), now);
   }
--- a/thornhollow/policy/relay_admission_test.cc
+++ b/thornhollow/policy/relay_admission_test.cc
@@ -16,7 +16,7 @@
 constexpr double kRate = 40'000;
 
 // Engines that read one prompt after another, in virtual time.
-struct engines_in_order
+struct fifo_engines
 {
   relay_admission mAdmission{ relay_admission_settings{} };
   std::mt19937_64 mRandom{ 1 };
@@ -34,7 +34,7 @@
   int mLate = 0;
   int mRefused = 0;
 
-  engines_in_order() { mAdmission.SetCapacity(kRate); }
+  fifo_engines() { mAdmission.SetCapacity(kRate); }
 
   admission_request From(const team_name& aTeam) const
   {
@@ -43,7 +43,7 @@
              .mTokens = kPrompt,
              .mTarget = Seconds(2),
              .mTimeLeft = Seconds(15),
-             .mExpected = queue + FromSeconds(kPrompt / kRate) };
+             .mExpectedWait = queue + FromSeconds(kPrompt / kRate) };
   }
 
   void RunUntil(time_point aNow)
@@ -67,7 +67,7 @@
 
   bool Offer(const team_name& aTeam)
   {
-    if (mAdmission.Judge(From(aTeam), mRandom, mNow)) {
+    if (mAdmission.Decide(From(aTeam), mRandom, mNow)) {
       ++mRefused;
       return false;
     }
@@ -90,7 +90,7 @@
 // taken: after four seconds every answer began later than promised, and work
 // was done for callers that had left. Without admission 19 of 100 began in
 // time.
-TEST_CASE_FIXTURE(engines_in_order,
+TEST_CASE_FIXTURE(fifo_engines,
                   "relay_admission/twice_the_capacity/most_taken_begin_in_time")
 {
   Load(10, Seconds(10));
@@ -100,7 +100,7 @@
   CHECK(mRefused >= 35);
 }
 
-TEST_CASE_FIXTURE(engines_in_order,
+TEST_CASE_FIXTURE(fifo_engines,
                   "relay_admission/within_capacity/nothing_is_refused")
 {
   Load(4.5, Seconds(30));
@@ -110,7 +110,7 @@
 // Large prompts came from all teams now and then. Each made its team one that
 // asks for more than others, so that it was refused where small ones were
 // taken.
-TEST_CASE_FIXTURE(engines_in_order,
+TEST_CASE_FIXTURE(fifo_engines,
                   "relay_admission/large_prompts/are_taken_as_often_as_small")
 {
   int largeTaken = 0;
@@ -122,7 +122,7 @@
       From(team_name("team" + std::to_string(tick * 7 % 5)));
     const bool isLarge = tick % 10 == 0;
     request.mTokens = isLarge ? 6 * kPrompt : kPrompt / 2;
-    const bool taken = !mAdmission.Judge(request, mRandom, mNow);
+    const bool taken = !mAdmission.Decide(request, mRandom, mNow);
     if (taken) {
       Take();
     }
@@ -136,8 +136,7 @@
 
 // Three prompts came within a tick after a quiet minute, and one was refused
 // though engines were idle: the rate seen lately was next to nothing.
-TEST_CASE_FIXTURE(engines_in_order,
-                  "relay_admission/burst_after_silence/is_taken")
+TEST_CASE_FIXTURE(fifo_engines, "relay_admission/burst_after_silence/is_taken")
 {
   Load(1, Seconds(3));
   RunUntil(mNow + Seconds(60));
@@ -149,7 +148,7 @@
 
 // Capacity came back, but the queue that had been refused for was forgotten too
 // slowly: callers were sent away from idle engines.
-TEST_CASE_FIXTURE(engines_in_order,
+TEST_CASE_FIXTURE(fifo_engines,
                   "relay_admission/overload_ends/all_are_taken_soon")
 {
   Load(15, Seconds(10));
@@ -162,12 +161,12 @@
 // A minute after an overload the mean of the waits that were seen last was
 // still seconds: it is a ratio of two numbers that fade alike. The next burst
 // was refused by idle engines.
-TEST_CASE_FIXTURE(engines_in_order,
+TEST_CASE_FIXTURE(fifo_engines,
                   "relay_admission/overload_long_over/nothing_is_remembered")
 {
   Load(15, Seconds(10));
   RunUntil(mNow + Seconds(60));
-  CHECK(mAdmission.SeenWait(mNow) == duration::zero());
+  CHECK(mAdmission.ObservedWait(mNow) == duration::zero());
   mRefused = 0;
   for (int each = 0; each < 20; ++each) {
     CHECK(Offer(team_name("office")));
@@ -176,7 +175,7 @@
 
 // One team sent many times its usual. All teams were refused alike, and those
 // that sent no more than ever lost as much as the one that caused it.
-TEST_CASE_FIXTURE(engines_in_order,
+TEST_CASE_FIXTURE(fifo_engines,
                   "relay_admission/one_team_sends_most/it_is_refused_most")
 {
   int calmRefused = 0;
@@ -200,72 +199,72 @@
 }
 
 TEST_CASE_FIXTURE(
-  engines_in_order,
+  fifo_engines,
   "relay_admission/refused/come_back_spread_and_while_they_wait")
 {
   Load(15, Seconds(6));
   for (int each = 0; each < 5; ++each) {
     Take();
   }
-  duration least = Seconds(60);
-  duration most{};
+  duration minDelay = Seconds(60);
+  duration maxDelay{};
   int refused = 0;
   for (int each = 0; each < 50; ++each) {
-    if (const auto told =
-          mAdmission.Judge(From(team_name("office")), mRandom, mNow)) {
+    if (const auto refusal =
+          mAdmission.Decide(From(team_name("office")), mRandom, mNow)) {
       ++refused;
-      CHECK(told->mKind == error_kind::kQueueFull);
-      least = std::min(least, told->mComeBackAfter);
-      most = std::max(most, told->mComeBackAfter);
+      CHECK(refusal->mKind == error_kind::kQueueFull);
+      minDelay = std::min(minDelay, refusal->mRetryAfter);
+      maxDelay = std::max(maxDelay, refusal->mRetryAfter);
     }
   }
   REQUIRE(refused == 50);
-  CHECK(least >= Milliseconds(250));
-  CHECK(most <= Seconds(5));
-  CHECK(most - least > Seconds(1));
+  CHECK(minDelay >= Milliseconds(250));
+  CHECK(maxDelay <= Seconds(5));
+  CHECK(maxDelay - minDelay > Seconds(1));
 }
 
-TEST_CASE_FIXTURE(engines_in_order,
+TEST_CASE_FIXTURE(fifo_engines,
                   "relay_admission/caller_leaves_before_its_turn/is_told_so")
 {
   Load(15, Seconds(6));
   admission_request request = From(team_name("office"));
   request.mTimeLeft = Milliseconds(600);
-  const auto result = mAdmission.Judge(request, mRandom, mNow);
+  const auto result = mAdmission.Decide(request, mRandom, mNow);
   REQUIRE(result.has_value());
   CHECK(result->mKind == error_kind::kDeadlineUnmeetable);
-  CHECK(result->mComeBackAfter <= Milliseconds(200));
+  CHECK(result->mRetryAfter <= Milliseconds(200));
 }
 
 TEST_CASE_FIXTURE(
-  engines_in_order,
+  fifo_engines,
   "relay_admission/prompts_lost_with_their_engine/leave_no_wait")
 {
   Load(15, Seconds(6));
   while (!mQueue.empty()) {
     mQueue.pop_front();
-    mAdmission.OnLost({ 0, kPrompt });
+    mAdmission.OnAborted({ 0, kPrompt });
   }
   mFree = mNow;
-  CHECK(mAdmission.SeenWait(mNow) == duration::zero());
+  CHECK(mAdmission.ObservedWait(mNow) == duration::zero());
   CHECK(Offer(team_name("office")));
 }
 
 // Ninety instances each saw engines with room, as news of the others' prompts
 // was seconds old, and took four times what engines could read: of 2,000
 // prompts a second 30 began in time.
-TEST_CASE_FIXTURE(engines_in_order,
+TEST_CASE_FIXTURE(fifo_engines,
                   "relay_admission/clear_overload/only_what_fits_is_taken")
 {
   int taken = 0;
   int returned = 0;
   for (int each = 0; each < 2'000; ++each) {
     admission_request request = From(team_name("t" + std::to_string(each % 7)));
-    request.mExpected = Milliseconds(100);
+    request.mExpectedWait = Milliseconds(100);
     request.mOverload = 4;
-    taken += mAdmission.Judge(request, mRandom, mNow) ? 0 : 1;
-    request.mReturns = true;
-    returned += mAdmission.Judge(request, mRandom, mNow) ? 0 : 1;
+    taken += mAdmission.Decide(request, mRandom, mNow) ? 0 : 1;
+    request.mIsRetry = true;
+    returned += mAdmission.Decide(request, mRandom, mNow) ? 0 : 1;
     mNow += Milliseconds(1);
   }
   CHECK(taken > 400);
@@ -273,29 +272,29 @@
   CHECK(returned > taken);
 }
 
-TEST_CASE_FIXTURE(engines_in_order,
+TEST_CASE_FIXTURE(fifo_engines,
                   "relay_admission/target_of_zero/is_no_reason_to_refuse")
 {
   Load(15, Seconds(6));
   admission_request request = From(team_name("office"));
   request.mTarget = duration::zero();
   request.mOverload = 4;
-  CHECK_FALSE(mAdmission.Judge(request, mRandom, mNow));
+  CHECK_FALSE(mAdmission.Decide(request, mRandom, mNow));
 }
 
-TEST_CASE_FIXTURE(engines_in_order,
+TEST_CASE_FIXTURE(fifo_engines,
                   "relay_admission/overload_unclear/engines_decide")
 {
   for (int each = 0; each < 500; ++each) {
     admission_request request = From(team_name("office"));
     request.mOverload = 1.4;
-    CHECK_FALSE(mAdmission.Judge(request, mRandom, mNow));
+    CHECK_FALSE(mAdmission.Decide(request, mRandom, mNow));
   }
 }
 
 // Callers that had been refused came back as told, while the overload lasted,
 // and were refused once more: half a second of waiting for nothing.
-TEST_CASE_FIXTURE(engines_in_order,
+TEST_CASE_FIXTURE(fifo_engines,
                   "relay_admission/comes_back/is_taken_while_it_can_be_served")
 {
   Load(15, Seconds(6));
@@ -303,16 +302,16 @@
     Take();
   }
   admission_request request = From(team_name("office"));
-  REQUIRE(mAdmission.Judge(request, mRandom, mNow));
-  request.mReturns = true;
-  CHECK_FALSE(mAdmission.Judge(request, mRandom, mNow));
+  REQUIRE(mAdmission.Decide(request, mRandom, mNow));
+  request.mIsRetry = true;
+  CHECK_FALSE(mAdmission.Decide(request, mRandom, mNow));
   request.mTimeLeft = Milliseconds(600);
-  CHECK(mAdmission.Judge(request, mRandom, mNow));
+  CHECK(mAdmission.Decide(request, mRandom, mNow));
 }
 
 // Engines that read prompts of a lower number's tier first, or all in the order
 // in which they came; two in three prompts are of the second tier.
-struct engines_with_two_tiers
+struct two_tier_engines
 {
   struct prompt
   {
@@ -321,7 +320,7 @@
   };
   struct count
   {
-    int mAsked = 0;
+    int mRequests = 0;
     int mInTime = 0;
     int mLate = 0;
     int mRefused = 0;
@@ -335,7 +334,7 @@
   time_point mFree{};
   std::array<count, 2> mOf{};
 
-  engines_with_two_tiers() { mAdmission.SetCapacity(kRate); }
+  two_tier_engines() { mAdmission.SetCapacity(kRate); }
 
   void Read()
   {
@@ -356,15 +355,15 @@
 
   void Offer(std::uint32_t aTier)
   {
-    ++mOf.at(aTier).mAsked;
+    ++mOf.at(aTier).mRequests;
     const double queued = static_cast<double>(mQueue.size()) * kPrompt / kRate;
     const admission_request request{ .mTeam = team_name("office"),
                                      .mTier = aTier,
                                      .mTokens = kPrompt,
                                      .mTarget = Seconds(2),
                                      .mTimeLeft = Seconds(15),
-                                     .mExpected = FromSeconds(queued) };
-    if (mAdmission.Judge(request, mRandom, mNow)) {
+                                     .mExpectedWait = FromSeconds(queued) };
+    if (mAdmission.Decide(request, mRandom, mNow)) {
       ++mOf.at(aTier).mRefused;
       return;
     }
@@ -389,23 +388,23 @@
 
 // Guards against refusing the first tier for a queue of the second, which
 // engines let it pass: a higher tier was shed before a lower one.
-TEST_CASE_FIXTURE(engines_with_two_tiers,
+TEST_CASE_FIXTURE(two_tier_engines,
                   "relay_admission/twice_the_capacity/lower_tier_is_shed_first")
 {
   Load(10, Seconds(10));
   CHECK(mOf[0].mRefused == 0);
-  CHECK(mOf[0].mInTime == mOf[0].mAsked);
+  CHECK(mOf[0].mInTime == mOf[0].mRequests);
   CHECK(mOf[1].mRefused >= 20);
 }
 
 // Where engines don't heed tiers the first one waits as well. Guards against
 // taking all of it then, for answers that begin late.
-TEST_CASE_FIXTURE(engines_with_two_tiers,
+TEST_CASE_FIXTURE(two_tier_engines,
                   "relay_admission/tiers_not_heeded/first_is_refused_as_well")
 {
   mByTier = false;
   Load(10, Seconds(10));
-  CHECK(mOf[0].mRefused >= mOf[0].mAsked / 4);
+  CHECK(mOf[0].mRefused >= mOf[0].mRequests / 4);
 }
 
 } // namespace
--- a/thornhollow/policy/relay_pool.cc
+++ b/thornhollow/policy/relay_pool.cc
@@ -15,7 +15,7 @@
 // Plain services answer part of their requests with errors of their own as a
 // matter of course (14 in 100 where the users' inventory is asked), so more
 // failures are needed before one is left than for engines, which answer
-// without a failure for as long as they are sound.
+// without a failure for as long as they are healthy.
 endpoint_health_settings
 HealthSettings(bool aEngines)
 {
@@ -29,30 +29,30 @@
 
 // Engines whose place in a session's order counts: with the default steps the
 // penalty is whole from the third on.
-constexpr std::size_t kNearRanks = 4;
-
-// Prompt tokens that reading `aOwn` tokens after `aCached` known ones is worth,
-// as compared to reading without context: a step of its own for each chunk, and
-// attention to all tokens before. The two figures are those of two makes of
-// engine and an eighth or so for usual prompts; without them the days with
-// trouble of a site with other engines were worth 0.759 instead of 0.770, as
-// engines were told apart by the length of their prompts.
+constexpr std::size_t kPreferredRanks = 4;
+
+// Prompt tokens that reading `aUncached` tokens after `aCached` known ones is
+// worth, as compared to reading without context: a step of its own for each
+// chunk, and attention to all tokens before. The two figures are those of two
+// makes of engine and an eighth or so for usual prompts; without them the days
+// with trouble of a site with other engines were worth 0.759 instead of 0.770,
+// as engines were told apart by the length of their prompts.
 double
-ReadCost(double aOwn, double aCached)
+PrefillCost(double aUncached, double aCached)
 {
-  constexpr double kSteps = 0.125;
-  constexpr double kTokensForAPair = 18.3e-6;
-  const double pairs = aOwn * (aCached + aOwn / 2);
-  return aOwn * (1 + kSteps) + pairs * kTokensForAPair;
+  constexpr double kChunkOverhead = 0.125;
+  constexpr double kTokensPerPair = 18.3e-6;
+  const double pairs = aUncached * (aCached + aUncached / 2);
+  return aUncached * (1 + kChunkOverhead) + pairs * kTokensPerPair;
 }
 
 // Nothing is refused before engines have this part of what they can read to do:
 // a queue that is there all the same is a clump, and gone before who is sent
 // away for it comes back.
-constexpr double kFullFrom = 0.85;
+constexpr double kSaturationThreshold = 0.85;
 
 // Engines of one pool don't differ by more, whatever was seen of a few prompts.
-constexpr double kMostApart = 2.5;
+constexpr double kMaxSpeedRatio = 2.5;
 
 } // namespace
 
@@ -66,11 +66,11 @@
   , mReach(domain_reach_settings{}, mOwnDomain)
   , mRandom(aSeed)
   , mAffinity(aSettings.mAffinity)
-  , mBorder(aSettings.mBorder)
+  , mPartition(aSettings.mPartition)
   , mSides(aSettings.mSides)
   , mAdmission(aSettings.mAdmission)
-  , mReadRate(aSettings.mReadPerSecond)
-  , mReadPerSecond(aSettings.mReadPerSecond)
+  , mPrefillRate(aSettings.mPrefillTokensPerSecond)
+  , mPrefillTokensPerSecond(aSettings.mPrefillTokensPerSecond)
 {
 }
 
@@ -101,39 +101,42 @@
 }
 
 engine_side
-relay_pool::SideOf(const relay_work& aWork) const
+relay_pool::SideOf(const request_profile& aRequest) const
 {
-  return mBorder.IsBulk(KindOf(aWork)) ? engine_side::kBulk
-                                       : engine_side::kInteractive;
+  return mPartition.IsBulk(KindOf(aRequest)) ? engine_side::kBulk
+                                             : engine_side::kInteractive;
 }
 
 std::variant<std::optional<relay_pick>, admission_refusal>
-relay_pool::Admit(const relay_work& aWork, duration aTimeLeft, time_point aNow)
+relay_pool::Admit(const request_profile& aRequest,
+                  duration aTimeLeft,
+                  time_point aNow)
 {
-  const auto pick = Choose(aWork, {}, aNow);
+  const auto pick = Choose(aRequest, {}, aNow);
   if (!mEngines || !pick) {
     return pick;
   }
   // What is refused counts as asked for.
-  mMeter.OnAsked(KindOf(aWork), pick->mToRead, aNow);
-  mPopular.OnAsked(aWork.mFirstPart, aNow);
-  const double room = static_cast<double>(mBorder.Bulk()) * mReadPerSecond;
+  mMeter.OnAsked(KindOf(aRequest), pick->mPrefillTokens, aNow);
+  mPopularBlocks.OnRequested(aRequest.mFirstBlock, aNow);
+  const double room =
+    static_cast<double>(mPartition.Bulk()) * mPrefillTokensPerSecond;
   const duration forSlot = SlotWait();
   const bool full =
-    mBulkDemand >= room * kFullFrom || forSlot > duration::zero();
+    mBulkDemand >= room * kSaturationThreshold || forSlot > duration::zero();
   if (!pick->mBulk || !full) {
     return pick;
   }
   // While slots are short who comes back isn't put first: the target has passed
   // for most of them, and others' would pass as well.
-  const auto refused = mAdmission.Judge(
-    { .mTeam = aWork.mTeam,
-      .mTier = aWork.mTier,
-      .mTokens = aWork.mPromptTokens - aWork.mSharedTokens,
-      .mTarget = aWork.mTarget,
+  const auto refused = mAdmission.Decide(
+    { .mTeam = aRequest.mTeam,
+      .mTier = aRequest.mTier,
+      .mTokens = aRequest.mPromptTokens - aRequest.mSharedTokens,
+      .mTarget = aRequest.mTarget,
       .mTimeLeft = aTimeLeft,
-      .mExpected = pick->mExpected + forSlot,
-      .mReturns = aWork.mReturns && forSlot <= duration::zero(),
+      .mExpectedWait = pick->mExpectedWait + forSlot,
+      .mIsRetry = aRequest.mIsRetry && forSlot <= duration::zero(),
       .mOverload = mBulkDemand / room },
     mRandom,
     aNow);
@@ -144,25 +147,25 @@
 }
 
 std::optional<relay_pick>
-relay_pool::Choose(const relay_work& aWork,
+relay_pool::Choose(const request_profile& aRequest,
                    const std::vector<endpoint_name>& aTried,
                    time_point aNow)
 {
   for (auto& [name, each] : mRecords) {
     each.mHealth.Update(aNow);
   }
-  std::vector<record*> candidates = Candidates(aWork, aTried, aNow);
+  std::vector<record*> candidates = Candidates(aRequest, aTried, aNow);
   if (candidates.empty()) {
     return std::nullopt;
   }
   relay_pick pick;
-  record* chosen = mEngines ? ChooseEngine(aWork, candidates, aNow, pick)
+  record* chosen = mEngines ? ChooseEngine(aRequest, candidates, aNow, pick)
                             : ChoosePlain(candidates);
   pick.mEndpoint = chosen->mEndpoint.mName;
   pick.mAddress = chosen->mEndpoint.mAddress;
   pick.mDomain = chosen->mEndpoint.mDomain;
   pick.mLifetime = chosen->mEndpoint.mLifetime;
-  pick.mBulk = SideOf(aWork) == engine_side::kBulk;
+  pick.mBulk = SideOf(aRequest) == engine_side::kBulk;
   return pick;
 }
 
@@ -176,66 +179,67 @@
 }
 
 std::vector<relay_pool::record*>
-relay_pool::Candidates(const relay_work& aWork,
+relay_pool::Candidates(const request_profile& aRequest,
                        const std::vector<endpoint_name>& aTried,
                        time_point aNow)
 {
-  std::vector<record*> sound;
+  std::vector<record*> healthy;
   std::vector<record*> doubtful;
   for (auto& [name, each] : mRecords) {
     if (each.mEndpoint.mDraining || std::ranges::count(aTried, name) > 0) {
       continue;
     }
-    (TakesNewWork(each, aNow) ? sound : doubtful).push_back(&each);
+    (TakesNewWork(each, aNow) ? healthy : doubtful).push_back(&each);
   }
-  // With no sound one left a doubtful one is worth the try: refusing is
+  // With no healthy one left a doubtful one is worth the try: refusing is
   // certain to fail.
-  if (sound.empty()) {
+  if (healthy.empty()) {
     return doubtful;
   }
-  sound = WithinReach(std::move(sound), aNow);
-  return mEngines ? OfSide(aWork, sound, aNow) : sound;
+  healthy = Reachable(std::move(healthy), aNow);
+  return mEngines ? OnSide(aRequest, healthy, aNow) : healthy;
 }
 
 // Those whose failure domains aren't in doubt; all where that leaves none.
 std::vector<relay_pool::record*>
-relay_pool::WithinReach(std::vector<record*> aSound, time_point aNow) const
+relay_pool::Reachable(std::vector<record*> aHealthy, time_point aNow) const
 {
   if (!mReach.AnyDoubted(aNow)) {
-    return aSound;
+    return aHealthy;
   }
   std::vector<record*> within;
-  within.reserve(aSound.size());
-  std::ranges::copy_if(aSound, std::back_inserter(within), [&](record* aOne) {
-    return !mReach.Doubted(aOne->mEndpoint.mDomain, aNow);
-  });
-  return within.empty() ? std::move(aSound) : within;
+  within.reserve(aHealthy.size());
+  std::ranges::copy_if(
+    aHealthy, std::back_inserter(within), [&](record* aRecord) {
+      return !mReach.Doubted(aRecord->mEndpoint.mDomain, aNow);
+    });
+  return within.empty() ? std::move(aHealthy) : within;
 }
 
 void
 relay_pool::AssignSides(const demand_sums& aDemand, time_point aNow)
 {
-  std::vector<engine_standing> sound;
+  std::vector<engine_standing> healthy;
   for (auto& [name, each] : mRecords) {
     each.mHealth.Update(aNow);
     if (TakesNewWork(each, aNow)) {
-      sound.push_back({ each.mNumber, each.mSlow, each.mRank });
+      healthy.push_back({ each.mNumber, each.mSlow, each.mRank });
     }
   }
-  if (!mBorder.Separates() || sound.size() < 2) {
-    sound.clear();
+  if (!mPartition.Separates() || healthy.size() < 2) {
+    healthy.clear();
   }
-  const double part = static_cast<double>(mBorder.Bulk()) /
+  const double part = static_cast<double>(mPartition.Bulk()) /
                       static_cast<double>(std::max<std::size_t>(size(), 1));
   const auto bulk = static_cast<std::size_t>(
-    std::lround(part * static_cast<double>(sound.size())));
-  mBulkSound = sound.empty() ? size() : bulk;
-  const std::size_t most = sound.empty() ? 0 : sound.size() - 1;
+    std::lround(part * static_cast<double>(healthy.size())));
+  mHealthyBulkEngines = healthy.empty() ? size() : bulk;
+  const std::size_t most = healthy.empty() ? 0 : healthy.size() - 1;
   mAdmission.SetCapacity(
-    static_cast<double>(mBulkSound) * ReadPerSecond() /
+    static_cast<double>(mHealthyBulkEngines) * PrefillTokensPerSecond() /
     static_cast<double>(std::max<std::size_t>(mInstances, 1)));
   mSides.Observe(
-    std::move(sound),
+    std::move(healthy),
     std::clamp<std::size_t>(bulk, std::min<std::size_t>(most, 1), most),
     aDemand.empty(),
     aNow);
@@ -245,17 +249,17 @@
 // Bulk work passes over those that still clear, as long as the others have
 // room for it.
 std::vector<relay_pool::record*>
-relay_pool::OfSide(const relay_work& aWork,
-                   const std::vector<record*>& aSound,
+relay_pool::OnSide(const request_profile& aRequest,
+                   const std::vector<record*>& aHealthy,
                    time_point aNow) const
 {
-  if (!mBorder.Separates()) {
-    return aSound;
+  if (!mPartition.Separates()) {
+    return aHealthy;
   }
-  const engine_side side = SideOf(aWork);
+  const engine_side side = SideOf(aRequest);
   std::vector<record*> all;
   std::vector<record*> clear;
-  for (record* each : aSound) {
+  for (record* each : aHealthy) {
     if (mSides.Of(each->mNumber) == side) {
       all.push_back(each);
       if (!mSides.Clearing(each->mNumber, aNow)) {
@@ -263,12 +267,12 @@
       }
     }
   }
-  const double room =
-    static_cast<double>(clear.size()) * ReadPerSecond() * mSettings.mClearBelow;
+  const double room = static_cast<double>(clear.size()) *
+                      PrefillTokensPerSecond() * mSettings.mAvoidClearingBelow;
   if (side == engine_side::kBulk && mBulkDemand < room) {
     return clear;
   }
-  return all.empty() ? aSound : all;
+  return all.empty() ? aHealthy : all;
 }
 
 relay_pool::record*
@@ -294,19 +298,20 @@
 }
 
 relay_pool::record*
-relay_pool::ChooseEngine(const relay_work& aWork,
+relay_pool::ChooseEngine(const request_profile& aRequest,
                          const std::vector<record*>& aCandidates,
                          time_point aNow,
                          relay_pick& aPick)
 {
-  const auto holders = mAffinity.Holders(aWork.mSharedPrefix, aNow);
-  const auto first = FirstInOrder(aWork, aCandidates, kNearRanks);
-  const double own =
-    ReadCost(aWork.mPromptTokens - aWork.mSharedTokens, aWork.mSharedTokens);
+  const auto holders = mAffinity.Holders(aRequest.mSharedPrefix, aNow);
+  const auto first = PreferredEngines(aRequest, aCandidates, kPreferredRanks);
+  const double own = PrefillCost(
+    aRequest.mPromptTokens - aRequest.mSharedTokens, aRequest.mSharedTokens);
   const double session =
-    aWork.mSharedTokens -
-    (mPopular.HeldByAll(aWork.mFirstPart, aCandidates.size(), mInstances, aNow)
-       ? aWork.mFirstPartTokens
+    aRequest.mSharedTokens -
+    (mPopularBlocks.CachedOnAll(
+       aRequest.mFirstBlock, aCandidates.size(), mInstances, aNow)
+       ? aRequest.mFirstBlockTokens
        : 0);
   record* best = nullptr;
   double bestCost = 0;
@@ -314,33 +319,33 @@
     const bool holds = std::ranges::count(holders, each->mNumber) > 0;
     const auto rank =
       static_cast<std::size_t>(std::ranges::find(first, each) - first.begin());
-    const bool hasParts = holds || rank == 0;
-    const double missing = session * Absent(holds, rank);
+    const bool prefixCached = holds || rank == 0;
+    const double missing = session * MissProbability(holds, rank);
     const double penalty =
       rank == first.size()
         ? mSettings.mMissPenalty
         : std::min(mSettings.mMissPenalty,
-                   mSettings.mMissStep * static_cast<double>(rank));
+                   mSettings.mMissPenaltyStep * static_cast<double>(rank));
     const double waiting =
-      static_cast<double>(each->mToRead + each->mOthersToRead);
+      static_cast<double>(each->mPrefillTokens + each->mRemotePrefillTokens);
     const double pace = SecondsPerToken(*each, aNow);
-    const double cost =
-      (waiting + own + missing * penalty) * pace + CrowdSeconds(*each, aWork);
+    const double cost = (waiting + own + missing * penalty) * pace +
+                        OccupancySeconds(*each, aRequest);
     if (best == nullptr || cost < bestCost) {
       best = each;
       bestCost = cost;
-      aPick.mToRead = static_cast<std::uint32_t>(own + missing);
-      aPick.mHolds = hasParts;
+      aPick.mPrefillTokens = static_cast<std::uint32_t>(own + missing);
+      aPick.mPrefixCached = prefixCached;
       aPick.mSentBefore = holds;
       aPick.mKnownPrefix = holders.front() != prefix_affinity::kNobody;
-      aPick.mBacklog = each->mToRead + each->mOthersToRead;
-      aPick.mExpected =
-        mSettings.mFirstEvent + FromSeconds((waiting + own + missing) * pace);
+      aPick.mBacklogTokens = each->mPrefillTokens + each->mRemotePrefillTokens;
+      aPick.mExpectedWait = mSettings.mFirstEventOverhead +
+                            FromSeconds((waiting + own + missing) * pace);
     }
   }
   if (mSettings.mCopyFromTokens > 0 &&
-      aWork.mSharedTokens >= mSettings.mCopyFromTokens) {
-    if (const record* from = Holder(aWork, holders, *best, aNow)) {
+      aRequest.mSharedTokens >= mSettings.mCopyFromTokens) {
+    if (const record* from = CopySource(aRequest, holders, *best, aNow)) {
       aPick.mCopyFrom = from->mEndpoint.mAddress;
     }
   }
@@ -349,12 +354,12 @@
 
 // How likely an engine is to lack a session's shared parts.
 double
-relay_pool::Absent(bool aSentThere, std::size_t aRank) const
+relay_pool::MissProbability(bool aSentHere, std::size_t aRank) const
 {
-  if (aSentThere) {
+  if (aSentHere) {
     return 0;
   }
-  return aRank == 0 ? 1 - mSentByAny.Probability(mInstances) : 1;
+  return aRank == 0 ? 1 - mPrefixReuse.Probability(mInstances) : 1;
 }
 
 // What its open requests cost one more: each makes the events of all others
@@ -363,15 +368,17 @@
 // most of their sessions: its slots are taken, others' stay free, and the last
 // ones wait.
 double
-relay_pool::CrowdSeconds(const record& aRecord, const relay_work& aWork) const
+relay_pool::OccupancySeconds(const record& aRecord,
+                             const request_profile& aRequest) const
 {
   if (mSlots == 0) {
     return 0;
   }
   const double taken =
-    static_cast<double>(aRecord.mInFlight + aRecord.mOthersInFlight) /
+    static_cast<double>(aRecord.mInFlight + aRecord.mRemoteInFlight) /
     static_cast<double>(mSlots);
-  return ToSeconds(aWork.mTarget) * mSettings.mCrowdPart * taken * taken;
+  return ToSeconds(aRequest.mTarget) * mSettings.mOccupancyFraction * taken *
+         taken;
 }
 
 // Until bulk work finds a free slot, by what is open over all instances: of
@@ -379,41 +386,43 @@
 duration
 relay_pool::SlotWait() const
 {
-  const auto slots = static_cast<double>(mBulkSound * mSlots);
-  return FromSeconds(ToSeconds(mBulkHold.WaitFor(mBulkOpen, slots)) *
-                     mSettings.mUnevenQueues);
+  const auto slots = static_cast<double>(mHealthyBulkEngines * mSlots);
+  return FromSeconds(ToSeconds(mBulkOccupancy.WaitFor(mBulkInFlight, slots)) *
+                     mSettings.mQueueImbalance);
 }
 
 // Another engine that is believed to hold the shared parts; nothing where
 // `aChosen` is believed to.
 const relay_pool::record*
-relay_pool::Holder(const relay_work& aWork,
-                   const prefix_affinity::holders& aHolders,
-                   const record& aChosen,
-                   time_point aNow) const
+relay_pool::CopySource(const request_profile& aRequest,
+                       const prefix_affinity::holders& aHolders,
+                       const record& aChosen,
+                       time_point aNow) const
 {
   if (std::ranges::count(aHolders, aChosen.mNumber) > 0) {
     return nullptr;
   }
   for (const std::uint32_t each : aHolders) {
-    if (const record* found = ByNumber(each); found && MayGive(*found)) {
+    if (const record* found = ByNumber(each); found && CanServeCopy(*found)) {
       return found;
     }
   }
-  const record* earlier = EarlierHome(aWork, aNow);
+  const record* earlier = PreviousPreferredEngine(aRequest, aNow);
   return earlier == &aChosen ? nullptr : earlier;
 }
 
 // Where all instances sent the session before engines changed sides lately.
 const relay_pool::record*
-relay_pool::EarlierHome(const relay_work& aWork, time_point aNow) const
+relay_pool::PreviousPreferredEngine(const request_profile& aRequest,
+                                    time_point aNow) const
 {
-  const engine_side side = SideOf(aWork);
+  const engine_side side = SideOf(aRequest);
   const record* home = nullptr;
   std::uint64_t highest = 0;
   for (const auto& [name, each] : mRecords) {
-    const std::uint64_t weight = CombineHash(aWork.mSharedPrefix, each.mRank);
-    if (MayGive(each) && mSides.Earlier(each.mNumber, aNow) == side &&
+    const std::uint64_t weight =
+      CombineHash(aRequest.mSharedPrefix, each.mRank);
+    if (CanServeCopy(each) && mSides.Earlier(each.mNumber, aNow) == side &&
         (home == nullptr || weight > highest)) {
       home = &each;
       highest = weight;
@@ -425,7 +434,7 @@
 // An engine that fails may not answer the one that asks it for a copy, and the
 // request would wait for as long as that one tries.
 bool
-relay_pool::MayGive(const record& aRecord)
+relay_pool::CanServeCopy(const record& aRecord)
 {
   return aRecord.mHealth.Kind() != health_kind::kFailing;
 }
@@ -433,24 +442,25 @@
 const relay_pool::record*
 relay_pool::ByNumber(std::uint32_t aNumber) const
 {
-  const auto found = std::ranges::find_if(
-    mRecords, [=](const auto& aOne) { return aOne.second.mNumber == aNumber; });
+  const auto found = std::ranges::find_if(mRecords, [=](const auto& aEntry) {
+    return aEntry.second.mNumber == aNumber;
+  });
   return found == mRecords.end() ? nullptr : &found->second;
 }
 
-// The first `aMost` candidates in the session's order, which is the same on
+// The first `aMaxCount` candidates in the session's order, which is the same on
 // every instance.
 std::vector<const relay_pool::record*>
-relay_pool::FirstInOrder(const relay_work& aWork,
-                         const std::vector<record*>& aCandidates,
-                         std::size_t aMost)
+relay_pool::PreferredEngines(const request_profile& aRequest,
+                             const std::vector<record*>& aCandidates,
+                             std::size_t aMaxCount)
 {
   std::vector<std::pair<std::uint64_t, const record*>> order;
   order.reserve(aCandidates.size());
   for (const record* each : aCandidates) {
-    order.emplace_back(CombineHash(aWork.mSharedPrefix, each->mRank), each);
+    order.emplace_back(CombineHash(aRequest.mSharedPrefix, each->mRank), each);
   }
-  const std::size_t kept = std::min(aMost, order.size());
+  const std::size_t kept = std::min(aMaxCount, order.size());
   const auto end = order.begin() + static_cast<std::ptrdiff_t>(kept);
   std::ranges::partial_sort(order, end, std::greater());
   std::vector<const record*> first;
@@ -463,48 +473,51 @@
 
 void
 relay_pool::OnSent(const relay_pick& aPick,
-                   const relay_work& aWork,
+                   const request_profile& aRequest,
                    time_point aNow)
 {
-  mMeter.OnSent(KindOf(aWork), aNow);
+  mMeter.OnSent(KindOf(aRequest), aNow);
   if (aPick.mBulk) {
-    mAdmission.OnSent({ aWork.mTier, aPick.mToRead });
+    mAdmission.OnSent({ aRequest.mTier, aPick.mPrefillTokens });
   }
   record* found = Find(aPick);
   if (found == nullptr) {
     return;
   }
   ++found->mInFlight;
-  found->mToRead += aPick.mToRead;
+  found->mPrefillTokens += aPick.mPrefillTokens;
   found->mHealth.OnSent(aNow);
-  if (aWork.mSharedPrefix != 0) {
-    mSentByAny.OnSent(aPick.mKnownPrefix);
-    mAffinity.Remember(aWork.mSharedPrefix, found->mNumber, aNow);
+  if (aRequest.mSharedPrefix != 0) {
+    mPrefixReuse.OnSent(aPick.mKnownPrefix);
+    mAffinity.Remember(aRequest.mSharedPrefix, found->mNumber, aNow);
   }
 }
 
 void
 relay_pool::OnFirstByte(const relay_pick& aPick,
-                        const relay_work& aWork,
+                        const request_profile& aRequest,
                         duration aWait,
                         time_point aNow)
 {
   if (aPick.mBulk) {
-    mAdmission.OnStarted({ aWork.mTier, aPick.mToRead }, aWait, aNow);
-    mBulkHold.OnBegun(aWait);
+    mAdmission.OnStarted({ aRequest.mTier, aPick.mPrefillTokens }, aWait, aNow);
+    mBulkOccupancy.OnStarted(aWait);
   }
   mReach.OnAnswered(aPick.mDomain, aNow);
   if (record* found = Find(aPick)) {
-    found->mToRead -= std::min<std::uint64_t>(found->mToRead, aPick.mToRead);
+    found->mPrefillTokens -=
+      std::min<std::uint64_t>(found->mPrefillTokens, aPick.mPrefillTokens);
     found->mHealth.OnFirstToken(aWait, aNow);
     // Where parts were to be read that another instance had sent there before,
     // the time would be too short for what was counted.
-    if (mEngines && aPick.mHolds) {
-      const double read = ReadCost(aWork.mPromptTokens - aWork.mSharedTokens,
-                                   aWork.mSharedTokens);
-      found->mPace.OnRead(read, aWait, aNow);
+    if (mEngines && aPick.mPrefixCached) {
+      const double read =
+        PrefillCost(aRequest.mPromptTokens - aRequest.mSharedTokens,
+                    aRequest.mSharedTokens);
+      found->mPrefillTime.OnPrefill(read, aWait, aNow);
       if (aPick.mSentBefore) {
-        mReadRate.OnRead(read + static_cast<double>(aPick.mBacklog), aWait);
+        mPrefillRate.OnPrefill(read + static_cast<double>(aPick.mBacklogTokens),
+                               aWait);
       }
     }
   }
@@ -512,21 +525,21 @@
 
 void
 relay_pool::OnEnded(const relay_pick& aPick,
-                    const relay_work& aWork,
+                    const request_profile& aRequest,
                     attempt_end aHow,
                     bool aBegun,
                     duration aLength,
                     time_point aNow)
 {
   if (aPick.mBulk && !aBegun) {
-    mAdmission.OnLost({ aWork.mTier, aPick.mToRead });
+    mAdmission.OnAborted({ aRequest.mTier, aPick.mPrefillTokens });
   }
   if (aHow == attempt_end::kDeclined) {
     mReach.OnAnswered(aPick.mDomain, aNow);
   }
-  mMeter.OnEnded(KindOf(aWork));
+  mMeter.OnEnded(KindOf(aRequest));
   if (aPick.mBulk && aHow == attempt_end::kCompleted) {
-    mBulkHold.OnEnded(aLength);
+    mBulkOccupancy.OnEnded(aLength);
   }
   record* found = Find(aPick);
   if (found == nullptr) {
@@ -534,61 +547,62 @@
   }
   found->mInFlight -= std::min(found->mInFlight, 1U);
   if (!aBegun) {
-    found->mToRead -= std::min<std::uint64_t>(found->mToRead, aPick.mToRead);
+    found->mPrefillTokens -=
+      std::min<std::uint64_t>(found->mPrefillTokens, aPick.mPrefillTokens);
   }
   // Half of the pool may be left for failures; beyond that the cause is
   // elsewhere.
   const auto failing = static_cast<std::size_t>(
-    std::ranges::count_if(mRecords, [](const auto& aOne) {
-      return aOne.second.mHealth.Kind() == health_kind::kFailing;
+    std::ranges::count_if(mRecords, [](const auto& aEntry) {
+      return aEntry.second.mHealth.Kind() == health_kind::kFailing;
     }));
   const bool mayLeave = 2 * (failing + 1) <= mRecords.size();
   found->mHealth.OnEnded(aHow, aLength, mayLeave, aNow);
 }
 
 bool
-relay_pool::OnUnreached(const relay_pick& aPick, time_point aNow)
+relay_pool::OnUnreachable(const relay_pick& aPick, time_point aNow)
 {
   return mReach.OnUnreached(aPick.mDomain, aNow);
 }
 
 void
-relay_pool::OnPeerHeard(const domain_name& aDomain, time_point aNow)
+relay_pool::OnPeerMessage(const domain_name& aDomain, time_point aNow)
 {
   mReach.OnPeerHeard(aDomain, aNow);
 }
 
 void
-relay_pool::SetOthers(const relay_load& aLoad, time_point aNow)
+relay_pool::SetRemoteLoad(const relay_load& aLoad, time_point aNow)
 {
   if (const auto found = mRecords.find(aLoad.mName); found != mRecords.end()) {
-    found->second.mOthersToRead = aLoad.mToRead;
-    found->second.mOthersInFlight = aLoad.mInFlight;
-    if (aLoad.mPace > 0) {
-      found->second.mPace.OnTold(aLoad.mPace, aNow);
+    found->second.mRemotePrefillTokens = aLoad.mPrefillTokens;
+    found->second.mRemoteInFlight = aLoad.mInFlight;
+    if (aLoad.mPrefillNanoseconds > 0) {
+      found->second.mPrefillTime.OnReported(aLoad.mPrefillNanoseconds, aNow);
     }
   }
 }
 
 void
-relay_pool::JudgePaces(time_point aNow)
+relay_pool::UpdateSlowEngines(time_point aNow)
 {
   double fastest = 0;
   for (const auto& [name, each] : mRecords) {
-    const double pace = each.mPace.NanosecondsPerToken(aNow);
+    const double pace = each.mPrefillTime.Nanoseconds(aNow);
     if (pace > 0 && (fastest == 0 || pace < fastest)) {
       fastest = pace;
     }
   }
   for (auto& [name, each] : mRecords) {
-    const double pace = each.mPace.NanosecondsPerToken(aNow);
-    if (pace > 0 && !each.mPaceKnown) {
-      each.mPaceKnown = aNow;
+    const double pace = each.mPrefillTime.Nanoseconds(aNow);
+    if (pace > 0 && !each.mPrefillTimeKnownSince) {
+      each.mPrefillTimeKnownSince = aNow;
     }
     const double bound =
-      each.mSlow ? mSettings.mSlowUntil : mSettings.mSlowFrom;
-    each.mSlow = each.mPaceKnown &&
-                 aNow - *each.mPaceKnown >= mSettings.mJudgeAfter &&
+      each.mSlow ? mSettings.mSlowExitThreshold : mSettings.mSlowThreshold;
+    each.mSlow = each.mPrefillTimeKnownSince &&
+                 aNow - *each.mPrefillTimeKnownSince >= mSettings.mWarmup &&
                  pace > fastest * bound;
   }
 }
@@ -596,35 +610,37 @@
 double
 relay_pool::SecondsPerToken(const record& aRecord, time_point aNow) const
 {
-  const double its = aRecord.mPace.NanosecondsPerToken(aNow);
+  const double its = aRecord.mPrefillTime.Nanoseconds(aNow);
   const bool judged =
-    aRecord.mPaceKnown && aNow - *aRecord.mPaceKnown >= mSettings.mJudgeAfter;
-  const double relative =
-    judged && its > 0 && mMeanPace > 0
-      ? std::clamp(its / mMeanPace, 1 / kMostApart, kMostApart)
-      : 1;
-  return relative / mReadPerSecond;
+    aRecord.mPrefillTimeKnownSince &&
+    aNow - *aRecord.mPrefillTimeKnownSince >= mSettings.mWarmup;
+  const double relative = judged && its > 0 && mMeanPrefillNanoseconds > 0
+                            ? std::clamp(its / mMeanPrefillNanoseconds,
+                                         1 / kMaxSpeedRatio,
+                                         kMaxSpeedRatio)
+                            : 1;
+  return relative / mPrefillTokensPerSecond;
 }
 
 void
-relay_pool::MeasurePaces(time_point aNow)
+relay_pool::UpdateMeanPrefillTime(time_point aNow)
 {
   double sum = 0;
   std::size_t known = 0;
   for (const auto& [name, each] : mRecords) {
-    if (const double pace = each.mPace.NanosecondsPerToken(aNow); pace > 0) {
+    if (const double pace = each.mPrefillTime.Nanoseconds(aNow); pace > 0) {
       sum += pace;
       ++known;
     }
   }
-  mMeanPace = known == 0 ? 0 : sum / static_cast<double>(known);
+  mMeanPrefillNanoseconds = known == 0 ? 0 : sum / static_cast<double>(known);
 }
 
 std::size_t
 relay_pool::SlowEngines() const
 {
   return static_cast<std::size_t>(std::ranges::count_if(
-    mRecords, [](const auto& aOne) { return aOne.second.mSlow; }));
+    mRecords, [](const auto& aEntry) { return aEntry.second.mSlow; }));
 }
 
 void
@@ -633,19 +649,21 @@
   if (!mEngines) {
     return;
   }
-  mReadPerSecond = aView.mReadSeen > 0 ? aView.mReadSum / aView.mReadSeen
-                                       : mReadRate.PerSecond();
-  JudgePaces(aNow);
-  MeasurePaces(aNow);
-  mBorder.Observe(aView.mDemand,
-                  { mRecords.size(), mReadPerSecond, mSlots, SlowEngines() },
-                  aNow);
+  mPrefillTokensPerSecond = aView.mReadSeen > 0
+                              ? aView.mReadSum / aView.mReadSeen
+                              : mPrefillRate.PerSecond();
+  UpdateSlowEngines(aNow);
+  UpdateMeanPrefillTime(aNow);
+  mPartition.Observe(
+    aView.mDemand,
+    { mRecords.size(), mPrefillTokensPerSecond, mSlots, SlowEngines() },
+    aNow);
   AssignSides(aView.mDemand, aNow);
   mBulkDemand = 0;
-  mBulkOpen = 0;
+  mBulkInFlight = 0;
   for (const kind_demand& each : aView.mDemand) {
-    mBulkDemand += mBorder.IsBulk(each.mKind) ? each.mTokens : 0;
-    mBulkOpen += mBorder.IsBulk(each.mKind) ? each.mOpen : 0;
+    mBulkDemand += mPartition.IsBulk(each.mKind) ? each.mTokens : 0;
+    mBulkInFlight += mPartition.IsBulk(each.mKind) ? each.mOpen : 0;
   }
 }
 
@@ -655,17 +673,17 @@
   mReach.Forget();
   for (auto& [name, each] : mRecords) {
     each.mHealth.OnClockGap(aNow);
-    each.mOthersToRead = 0;
-    each.mOthersInFlight = 0;
+    each.mRemotePrefillTokens = 0;
+    each.mRemoteInFlight = 0;
   }
 }
 
 pool_view
-relay_pool::OwnView(time_point aNow) const
+relay_pool::LocalView(time_point aNow) const
 {
   pool_view view{ mMeter.Demand(aNow) };
-  if (mReadRate.Known()) {
-    view.mReadSum = mReadRate.PerSecond();
+  if (mPrefillRate.Known()) {
+    view.mReadSum = mPrefillRate.PerSecond();
     view.mReadSeen = 1;
   }
   return view;
@@ -679,8 +697,8 @@
   for (const auto& [name, each] : mRecords) {
     loads.push_back({ name,
                       each.mInFlight,
-                      each.mToRead,
-                      each.mPace.NanosecondsPerToken(aNow),
+                      each.mPrefillTokens,
+                      each.mPrefillTime.Nanoseconds(aNow),
                       each.mSlow });
   }
   return loads;
--- a/thornhollow/policy/relay_pool.h
+++ b/thornhollow/policy/relay_pool.h
@@ -52,14 +52,14 @@
 #include "thornhollow/policy/endpoint_health.h"
 #include "thornhollow/policy/engine_border.h"
 #include "thornhollow/policy/engine_sides.h"
-#include "thornhollow/policy/known_prefixes.h"
-#include "thornhollow/policy/popular_parts.h"
+#include "thornhollow/policy/popular_prefix_blocks.h"
+#include "thornhollow/policy/prefill_rate.h"
+#include "thornhollow/policy/prefill_time_per_token.h"
 #include "thornhollow/policy/prefix_affinity.h"
-#include "thornhollow/policy/read_pace.h"
-#include "thornhollow/policy/read_rate.h"
+#include "thornhollow/policy/prefix_reuse_estimator.h"
 #include "thornhollow/policy/relay_admission.h"
-#include "thornhollow/policy/relay_work.h"
-#include "thornhollow/policy/slot_hold.h"
+#include "thornhollow/policy/request_profile.h"
+#include "thornhollow/policy/slot_occupancy.h"
 #include "thornhollow/policy/work_kind.h"
 
 namespace thornhollow {
@@ -68,21 +68,21 @@
 {
   // Prompt tokens that an engine reads a second, while nothing is known of any:
   // the middle of 20 to 150 thousand, which is what present engines do.
-  double mReadPerSecond = 55'000;
+  double mPrefillTokensPerSecond = 55'000;
   // From a request's arrival at an idle engine to its first event, the reading
   // left out.
-  duration mFirstEvent = Milliseconds(20);
+  duration mFirstEventOverhead = Milliseconds(20);
   // See above.
   double mMissPenalty = 16;
   // The penalty of the engine next in rank after the session's first, twice
   // that for the one after, up to the whole. A session that one engine can't
   // serve thus spreads over the same few on every instance.
-  double mMissStep = 8;
+  double mMissPenaltyStep = 8;
   // Of its target, what a request loses at an engine whose slots are all taken.
-  double mCrowdPart = 0.1;
+  double mOccupancyFraction = 0.1;
   // The queue for slots is uneven: where the mean engine has a short one, an
   // instance's request waits so many times as long at the one it is sent to.
-  double mUnevenQueues = 4;
+  double mQueueImbalance = 4;
   // Shared parts of at least so many tokens are copied from an engine that is
   // believed to hold them, where the chosen one isn't; 0: never. A copy takes
   // less time than reading and none from streams; shorter parts are read in a
@@ -91,16 +91,16 @@
   // Bulk work passes over engines that still have interactive streams from
   // before they became bulk ones while the others would be busy reading for
   // less than this part of the time: a full site needs the room.
-  double mClearBelow = 0.6;
+  double mAvoidClearingBelow = 0.6;
   // Slow from this multiple of the pool's fastest pace on, and no more below
   // the other: engines differ by 1.3.
-  double mSlowFrom = 1.17;
-  double mSlowUntil = 1.10;
+  double mSlowThreshold = 1.17;
+  double mSlowExitThreshold = 1.10;
   // Before that long after its first prompt an engine isn't judged: the first
   // few waits hold other prompts' time. Not longer, as slow engines have
   // interactive streams until then, whose pauses break their promise.
-  duration mJudgeAfter = Seconds(6);
-  engine_border_settings mBorder;
+  duration mWarmup = Seconds(6);
+  engine_border_settings mPartition;
   engine_sides_settings mSides;
   relay_admission_settings mAdmission;
   prefix_affinity_settings mAffinity = { .mRemember = true,
@@ -131,9 +131,9 @@
   // Requests without an end yet.
   std::uint32_t mInFlight = 0;
   // Prompt tokens of those without a first event yet.
-  std::uint64_t mToRead = 0;
+  std::uint64_t mPrefillTokens = 0;
   // Nanoseconds for which it reads a prompt token, at its best; 0: not known.
-  double mPace = 0;
+  double mPrefillNanoseconds = 0;
   bool mSlow = false;
 
   friend bool operator==(const relay_load&, const relay_load&) = default;
@@ -153,32 +153,32 @@
   void Remove(const endpoint_name& aName);
   std::size_t size() const { return mRecords.size(); }
   // Chooses by the rules for engines.
-  bool OfEngines() const { return mEngines; }
+  bool ServesEngines() const { return mEngines; }
 
-  // Whether `aWork`, whose caller waits for `aTimeLeft` more, is taken; to be
-  // asked before its first attempt, for which it returns where to send it:
+  // Whether `aRequest`, whose caller waits for `aTimeLeft` more, is taken; to
+  // be asked before its first attempt, for which it returns where to send it:
   // choosing once more would double what a request costs. All but bulk work on
   // engines is taken; nothing is chosen where no endpoint takes new work.
   std::variant<std::optional<relay_pick>, admission_refusal>
-  Admit(const relay_work& aWork, duration aTimeLeft, time_point aNow);
+  Admit(const request_profile& aRequest, duration aTimeLeft, time_point aNow);
 
-  // Where to send `aWork`, none of `aTried`; nothing where no endpoint takes
+  // Where to send `aRequest`, none of `aTried`; nothing where no endpoint takes
   // new work.
-  std::optional<relay_pick> Choose(const relay_work& aWork,
+  std::optional<relay_pick> Choose(const request_profile& aRequest,
                                    const std::vector<endpoint_name>& aTried,
                                    time_point aNow);
 
   void OnSent(const relay_pick& aPick,
-              const relay_work& aWork,
+              const request_profile& aRequest,
               time_point aNow);
   // The first event or the whole answer begins.
   void OnFirstByte(const relay_pick& aPick,
-                   const relay_work& aWork,
+                   const request_profile& aRequest,
                    duration aWait,
                    time_point aNow);
   // `aBegun`: the first byte had come.
   void OnEnded(const relay_pick& aPick,
-               const relay_work& aWork,
+               const request_profile& aRequest,
                attempt_end aHow,
                bool aBegun,
                duration aLength,
@@ -186,13 +186,13 @@
 
   // The endpoint gave no sign, as if it were out of reach; `OnEnded` is called
   // as well. Returns whether its failure domain came into doubt by that.
-  bool OnUnreached(const relay_pick& aPick, time_point aNow);
+  bool OnUnreachable(const relay_pick& aPick, time_point aNow);
   // Another instance of the failure domain was heard.
-  void OnPeerHeard(const domain_name& aDomain, time_point aNow);
+  void OnPeerMessage(const domain_name& aDomain, time_point aNow);
 
   // What other instances said of it, in sums, and in the least of their paces,
   // 0 where they said none.
-  void SetOthers(const relay_load& aLoad, time_point aNow);
+  void SetRemoteLoad(const relay_load& aLoad, time_point aNow);
   // What is known over all instances, this one included. To be called every
   // 100 ms.
   void SetView(const pool_view& aView, time_point aNow);
@@ -204,11 +204,11 @@
   void OnClockGap(time_point aNow);
 
   // This instance's own part of it.
-  pool_view OwnView(time_point aNow) const;
+  pool_view LocalView(time_point aNow) const;
   std::vector<relay_load> Loads(time_point aNow) const;
-  std::size_t BulkEngines() const { return mBorder.Bulk(); }
+  std::size_t BulkEngines() const { return mPartition.Bulk(); }
   // Prompt tokens that one engine reads in a second, in the mean.
-  double ReadPerSecond() const { return mReadPerSecond; }
+  double PrefillTokensPerSecond() const { return mPrefillTokensPerSecond; }
 
 private:
   struct record
@@ -219,51 +219,53 @@
     std::uint64_t mRank = 0;
     endpoint_health mHealth;
     std::uint32_t mInFlight = 0;
-    std::uint64_t mToRead = 0;
-    std::uint64_t mOthersToRead = 0;
-    std::uint32_t mOthersInFlight = 0;
-    read_pace mPace = {};
+    std::uint64_t mPrefillTokens = 0;
+    std::uint64_t mRemotePrefillTokens = 0;
+    std::uint32_t mRemoteInFlight = 0;
+    prefill_time_per_token mPrefillTime = {};
     // When a pace of it was known first.
-    std::optional<time_point> mPaceKnown = std::nullopt;
+    std::optional<time_point> mPrefillTimeKnownSince = std::nullopt;
     // Reads prompts so slowly that it is left to bulk work first.
     bool mSlow = false;
   };
 
   record* Find(const relay_pick& aPick);
   bool TakesNewWork(const record& aRecord, time_point aNow) const;
-  std::vector<record*> Candidates(const relay_work& aWork,
+  std::vector<record*> Candidates(const request_profile& aRequest,
                                   const std::vector<endpoint_name>& aTried,
                                   time_point aNow);
-  std::vector<record*> WithinReach(std::vector<record*> aSound,
-                                   time_point aNow) const;
-  void JudgePaces(time_point aNow);
-  void MeasurePaces(time_point aNow);
+  std::vector<record*> Reachable(std::vector<record*> aHealthy,
+                                 time_point aNow) const;
+  void UpdateSlowEngines(time_point aNow);
+  void UpdateMeanPrefillTime(time_point aNow);
   std::size_t SlowEngines() const;
   double SecondsPerToken(const record& aRecord, time_point aNow) const;
-  engine_side SideOf(const relay_work& aWork) const;
+  engine_side SideOf(const request_profile& aRequest) const;
   void AssignSides(const demand_sums& aDemand, time_point aNow);
-  std::vector<record*> OfSide(const relay_work& aWork,
-                              const std::vector<record*>& aSound,
+  std::vector<record*> OnSide(const request_profile& aRequest,
+                              const std::vector<record*>& aHealthy,
                               time_point aNow) const;
   record* ChoosePlain(const std::vector<record*>& aCandidates);
-  record* ChooseEngine(const relay_work& aWork,
+  record* ChooseEngine(const request_profile& aRequest,
                        const std::vector<record*>& aCandidates,
                        time_point aNow,
                        relay_pick& aPick);
-  double Absent(bool aSentThere, std::size_t aRank) const;
-  double CrowdSeconds(const record& aRecord, const relay_work& aWork) const;
+  double MissProbability(bool aSentHere, std::size_t aRank) const;
+  double OccupancySeconds(const record& aRecord,
+                          const request_profile& aRequest) const;
   duration SlotWait() const;
-  const record* Holder(const relay_work& aWork,
-                       const prefix_affinity::holders& aHolders,
-                       const record& aChosen,
-                       time_point aNow) const;
-  const record* EarlierHome(const relay_work& aWork, time_point aNow) const;
-  static bool MayGive(const record& aRecord);
+  const record* CopySource(const request_profile& aRequest,
+                           const prefix_affinity::holders& aHolders,
+                           const record& aChosen,
+                           time_point aNow) const;
+  const record* PreviousPreferredEngine(const request_profile& aRequest,
+                                        time_point aNow) const;
+  static bool CanServeCopy(const record& aRecord);
   const record* ByNumber(std::uint32_t aNumber) const;
-  static std::vector<const record*> FirstInOrder(
-    const relay_work& aWork,
+  static std::vector<const record*> PreferredEngines(
+    const request_profile& aRequest,
     const std::vector<record*>& aCandidates,
-    std::size_t aMost);
+    std::size_t aMaxCount);
   relay_pool_settings mSettings;
   bool mEngines;
   domain_name mOwnDomain;
@@ -272,24 +274,24 @@
   std::map<endpoint_name, record> mRecords;
   std::uint32_t mNextNumber = 0;
   prefix_affinity mAffinity;
-  engine_border mBorder;
+  engine_border mPartition;
   engine_sides mSides;
   relay_admission mAdmission;
   std::size_t mInstances = 1;
   // Prompt tokens a second for bulk work, over all instances.
   double mBulkDemand = 0;
-  // Engines that take it and are sound.
-  std::size_t mBulkSound = 0;
+  // Engines that take it and are healthy.
+  std::size_t mHealthyBulkEngines = 0;
   // Requests of it at engines, over all instances.
-  double mBulkOpen = 0;
-  slot_hold mBulkHold;
+  double mBulkInFlight = 0;
+  slot_occupancy mBulkOccupancy;
   // Nanoseconds for a token, in the mean over engines; 0: not known.
-  double mMeanPace = 0;
-  known_prefixes mSentByAny;
-  popular_parts mPopular;
-  read_rate mReadRate;
+  double mMeanPrefillNanoseconds = 0;
+  prefix_reuse_estimator mPrefixReuse;
+  popular_prefix_blocks mPopularBlocks;
+  prefill_rate mPrefillRate;
   // The same over all instances.
-  double mReadPerSecond;
+  double mPrefillTokensPerSecond;
   std::size_t mSlots = 0;
   work_meter mMeter;
 };
--- a/thornhollow/policy/relay_pool_benchmark.cc
+++ b/thornhollow/policy/relay_pool_benchmark.cc
@@ -28,7 +28,7 @@
                now);
   std::uint64_t number = 0;
   for (auto _ : aState) {
-    relay_work work;
+    request_profile work;
     const bool isLong = number % 3 == 0;
     work.mTarget = isLong ? plan.mTarget : note.mTarget;
     work.mPause = isLong ? plan.mPause : note.mPause;
--- a/thornhollow/policy/relay_pool_test.cc
+++ b/thornhollow/policy/relay_pool_test.cc
@@ -24,10 +24,10 @@
   return aName.Text() + ":80";
 }
 
-relay_work
+request_profile
 Work(std::uint64_t aSession, bool aLong)
 {
-  relay_work work;
+  request_profile work;
   work.mPromptTokens = aLong ? 12'000 : 800;
   work.mSharedTokens = aLong ? 5'400 : 200;
   work.mSharedPrefix = aSession;
@@ -61,25 +61,27 @@
     mPool.SetView(View(50'000, 20'000), mNow);
   }
 
-  std::optional<admission_refusal> Refused(const relay_work& aWork)
+  std::optional<admission_refusal> Refused(const request_profile& aRequest)
   {
-    const auto verdict = mPool.Admit(aWork, Seconds(15), mNow);
+    const auto verdict = mPool.Admit(aRequest, Seconds(15), mNow);
     const auto* refused = std::get_if<admission_refusal>(&verdict);
     return refused == nullptr ? std::nullopt : std::optional(*refused);
   }
 
-  relay_pick Send(const relay_work& aWork)
+  relay_pick Send(const request_profile& aRequest)
   {
-    const auto pick = mPool.Choose(aWork, {}, mNow);
+    const auto pick = mPool.Choose(aRequest, {}, mNow);
     REQUIRE(pick.has_value());
-    mPool.OnSent(*pick, aWork, mNow);
+    mPool.OnSent(*pick, aRequest, mNow);
     return *pick;
   }
 
-  void Finish(const relay_pick& aPick, const relay_work& aWork, duration aWait)
+  void Finish(const relay_pick& aPick,
+              const request_profile& aRequest,
+              duration aWait)
   {
-    mPool.OnFirstByte(aPick, aWork, aWait, mNow);
-    mPool.OnEnded(aPick, aWork, attempt_end::kCompleted, true, aWait, mNow);
+    mPool.OnFirstByte(aPick, aRequest, aWait, mNow);
+    mPool.OnEnded(aPick, aRequest, attempt_end::kCompleted, true, aWait, mNow);
   }
 };
 
@@ -91,7 +93,7 @@
   std::map<endpoint_name, std::pair<int, int>> seen;
   for (std::uint64_t each = 1; each <= 400; ++each) {
     const bool isLong = each % 3 == 0;
-    const relay_work work = Work(each % 60 + 1, isLong);
+    const request_profile work = Work(each % 60 + 1, isLong);
     const relay_pick pick = Send(work);
     ++(isLong ? seen[pick.mEndpoint].first : seen[pick.mEndpoint].second);
     Finish(pick, work, Milliseconds(100));
@@ -110,7 +112,7 @@
   for (int each = 0; each < 20; ++each) {
     const relay_pick next = Send(Work(77, true));
     CHECK(next.mEndpoint == first.mEndpoint);
-    CHECK(next.mHolds);
+    CHECK(next.mPrefixCached);
     Finish(next, Work(77, true), Milliseconds(200));
   }
 }
@@ -142,9 +144,11 @@
 
 TEST_CASE_FIXTURE(pool_of_nine_engines, "relay_pool/others_work/is_avoided")
 {
-  const auto home = mPool.Choose(Work(9, true), {}, mNow);
-  mPool.SetOthers({ .mName = home->mEndpoint, .mToRead = 500'000 }, mNow);
-  CHECK(mPool.Choose(Work(9, true), {}, mNow)->mEndpoint != home->mEndpoint);
+  const auto preferred = mPool.Choose(Work(9, true), {}, mNow);
+  mPool.SetRemoteLoad(
+    { .mName = preferred->mEndpoint, .mPrefillTokens = 500'000 }, mNow);
+  CHECK(mPool.Choose(Work(9, true), {}, mNow)->mEndpoint !=
+        preferred->mEndpoint);
 }
 
 TEST_CASE_FIXTURE(pool_of_nine_engines,
@@ -155,8 +159,9 @@
   const auto before = mPool.Choose(Work(3, false), {}, mNow);
   for (const relay_load& each : mPool.Loads(mNow)) {
     const bool slow = each.mName == before->mEndpoint;
-    mPool.SetOthers(
-      { .mName = each.mName, .mPace = slow ? 19'500.0 : 15'000.0 }, mNow);
+    mPool.SetRemoteLoad({ .mName = each.mName,
+                          .mPrefillNanoseconds = slow ? 19'500.0 : 15'000.0 },
+                        mNow);
   }
   mPool.SetView(View(50'000, 20'000), mNow);
   mNow += Seconds(7);
@@ -173,20 +178,22 @@
 TEST_CASE_FIXTURE(pool_of_nine_engines,
                   "relay_pool/pace_told_once/is_kept_and_told_on")
 {
-  mPool.SetOthers({ .mName = endpoint_name("e1"), .mPace = 15'000 }, mNow);
-  mPool.SetOthers({ .mName = endpoint_name("e1"), .mPace = 19'000 }, mNow);
-  mPool.SetOthers({ .mName = endpoint_name("e1") }, mNow);
+  mPool.SetRemoteLoad(
+    { .mName = endpoint_name("e1"), .mPrefillNanoseconds = 15'000 }, mNow);
+  mPool.SetRemoteLoad(
+    { .mName = endpoint_name("e1"), .mPrefillNanoseconds = 19'000 }, mNow);
+  mPool.SetRemoteLoad({ .mName = endpoint_name("e1") }, mNow);
   const auto loads = mPool.Loads(mNow);
   const auto result =
     std::ranges::find(loads, endpoint_name("e1"), &relay_load::mName);
   REQUIRE(result != loads.end());
-  CHECK(result->mPace == doctest::Approx(15'000));
+  CHECK(result->mPrefillNanoseconds == doctest::Approx(15'000));
 }
 
 TEST_CASE_FIXTURE(pool_of_nine_engines,
                   "relay_pool/engine_that_fails/is_left_and_tried_again")
 {
-  const relay_work work = Work(3, false);
+  const request_profile work = Work(3, false);
   const endpoint_name failing = mPool.Choose(work, {}, mNow)->mEndpoint;
   int sentThere = 0;
   for (int each = 0; each < 40; ++each) {
@@ -230,7 +237,7 @@
 TEST_CASE_FIXTURE(pool_of_nine_engines,
                   "relay_pool/new_lifetime/old_answers_change_nothing")
 {
-  const relay_work work = Work(4, true);
+  const request_profile work = Work(4, true);
   const relay_pick pick = Send(work);
   relay_endpoint again = Endpoint(pick.mEndpoint.Text());
   again.mLifetime = 2;
@@ -238,7 +245,7 @@
   Finish(pick, work, Milliseconds(100));
   for (const relay_load& each : mPool.Loads(mNow)) {
     CHECK(each.mInFlight == 0);
-    CHECK(each.mToRead == 0);
+    CHECK(each.mPrefillTokens == 0);
   }
 }
 
@@ -248,7 +255,7 @@
 TEST_CASE_FIXTURE(pool_of_nine_engines,
                   "relay_pool/session_goes_elsewhere/its_parts_are_copied")
 {
-  const relay_work work = Work(7, true);
+  const request_profile work = Work(7, true);
   const relay_pick first = Send(work);
   CHECK(first.mCopyFrom.empty());
   Finish(first, work, Milliseconds(100));
@@ -266,7 +273,7 @@
 TEST_CASE_FIXTURE(pool_of_nine_engines,
                   "relay_pool/holder_fails/nothing_is_copied_from_it")
 {
-  const relay_work work = Work(7, true);
+  const request_profile work = Work(7, true);
   const relay_pick first = Send(work);
   Finish(first, work, Milliseconds(100));
   for (int each = 0; each < 6; ++each) {
@@ -286,9 +293,10 @@
 TEST_CASE_FIXTURE(pool_of_nine_engines,
                   "relay_pool/border_moved/parts_are_copied_from_earlier_home")
 {
-  std::map<std::uint64_t, endpoint_name> homes;
+  std::map<std::uint64_t, endpoint_name> preferredEngines;
   for (std::uint64_t session = 1; session <= 40; ++session) {
-    homes[session] = mPool.Choose(Work(session, true), {}, mNow)->mEndpoint;
+    preferredEngines[session] =
+      mPool.Choose(Work(session, true), {}, mNow)->mEndpoint;
   }
   const std::size_t before = mPool.BulkEngines();
   for (int tick = 0; tick < 20; ++tick) {
@@ -297,14 +305,14 @@
   }
   REQUIRE(mPool.BulkEngines() < before);
   int moved = 0;
-  for (const auto& [session, home] : homes) {
+  for (const auto& [session, preferred] : preferredEngines) {
     const auto result = mPool.Choose(Work(session, true), {}, mNow);
     REQUIRE(result.has_value());
-    if (result->mEndpoint == home) {
+    if (result->mEndpoint == preferred) {
       CHECK(result->mCopyFrom.empty());
     } else {
       ++moved;
-      CHECK(result->mCopyFrom == AddressOf(home));
+      CHECK(result->mCopyFrom == AddressOf(preferred));
     }
   }
   CHECK(moved > 0);
@@ -316,7 +324,7 @@
                   "relay_pool/clump_on_a_calm_day/nothing_is_refused")
 {
   for (std::uint64_t session = 1; session <= 200; ++session) {
-    const relay_work work = Work(session, true);
+    const request_profile work = Work(session, true);
     CHECK_FALSE(Refused(work));
     const relay_pick pick = Send(work);
     mPool.OnFirstByte(pick, work, Seconds(3), mNow);
@@ -331,11 +339,11 @@
   int refused = 0;
   for (std::uint64_t session = 1; session <= 400; ++session) {
     mPool.SetView(View(400'000, 20'000), mNow);
-    const relay_work work = Work(session, true);
+    const request_profile work = Work(session, true);
     if (const auto result = Refused(work)) {
       ++refused;
-      CHECK(result->mWait > result->mLongest);
-      CHECK(result->mComeBackAfter <= Seconds(5));
+      CHECK(result->mWait > result->mMaxWait);
+      CHECK(result->mRetryAfter <= Seconds(5));
       continue;
     }
     const relay_pick pick = Send(work);
@@ -357,17 +365,17 @@
 {
   mPool.SetInstances(8);
   const relay_pick first = Send(Work(1, true));
-  CHECK(first.mToRead >= 12'000);
+  CHECK(first.mPrefillTokens >= 12'000);
   for (int each = 0; each < 100; ++each) {
-    const relay_work work = Work(each % 4 + 1, true);
+    const request_profile work = Work(each % 4 + 1, true);
     Finish(Send(work), work, Milliseconds(200));
   }
-  CHECK(Send(Work(99, true)).mToRead < 12'000);
+  CHECK(Send(Work(99, true)).mPrefillTokens < 12'000);
 }
 
 TEST_CASE_FIXTURE(pool_of_nine_engines, "relay_pool/short_parts/are_not_copied")
 {
-  const relay_work work = Work(7, false);
+  const request_profile work = Work(7, false);
   const relay_pick first = Send(work);
   CHECK(mPool.Choose(work, { first.mEndpoint }, mNow)->mCopyFrom.empty());
 }
@@ -380,7 +388,7 @@
   pool.Put(far);
   pool.Put(Endpoint("near"));
   const time_point now = time_point() + Seconds(1);
-  const relay_work work;
+  const request_profile work;
   const auto first = pool.Choose(work, {}, now);
   CHECK(first->mEndpoint == endpoint_name("near"));
   pool.OnSent(*first, work, now);
@@ -398,7 +406,7 @@
 
   relay_pool mPool{ relay_pool_settings{}, true, Domain(0), 1 };
   time_point mNow = time_point() + Seconds(100);
-  duration mUnreachedAfter = Milliseconds(300);
+  duration mUnreachableAfter = Milliseconds(300);
   int mServed = 0;
   int mServedAtOnce = 0;
   int mRefused = 0;
@@ -410,7 +418,7 @@
       mPool.Put({ endpoint_name(name), name, Domain(each % kDomains), 1 });
     }
     mPool.SetView(View(50'000, 20'000), mNow);
-    HearAll();
+    ReceiveFromAll();
     mNow += Milliseconds(100);
   }
 
@@ -419,16 +427,16 @@
     return domain_name("domain-" + std::to_string(aNumber));
   }
 
-  void HearAll()
+  void ReceiveFromAll()
   {
     for (int each = 0; each < kDomains; ++each) {
-      mPool.OnPeerHeard(Domain(each), mNow);
+      mPool.OnPeerMessage(Domain(each), mNow);
     }
   }
 
   void Ask(std::uint64_t aSession)
   {
-    const relay_work work = Work(aSession, aSession % 3 == 0);
+    const request_profile work = Work(aSession, aSession % 3 == 0);
     std::vector<endpoint_name> tried;
     while (tried.size() < kTries) {
       const auto pick = mPool.Choose(work, tried, mNow);
@@ -444,10 +452,10 @@
         return;
       }
       tried.push_back(pick->mEndpoint);
-      mNow += mUnreachedAfter;
+      mNow += mUnreachableAfter;
       mPool.OnEnded(
-        *pick, work, attempt_end::kFailed, false, mUnreachedAfter, mNow);
-      mPool.OnUnreached(*pick, mNow);
+        *pick, work, attempt_end::kFailed, false, mUnreachableAfter, mNow);
+      mPool.OnUnreachable(*pick, mNow);
     }
     ++mRefused;
   }
@@ -472,7 +480,7 @@
 
 TEST_CASE_FIXTURE(domain_cut_off, "relay_pool/cut_resets/own_domain_serves")
 {
-  mUnreachedAfter = Milliseconds(2);
+  mUnreachableAfter = Milliseconds(2);
   AskMany();
   CHECK(mRefused == 0);
   CHECK(mServedAtOnce >= 18);
@@ -482,7 +490,7 @@
 TEST_CASE_FIXTURE(domain_cut_off, "relay_pool/cut_over/all_domains_serve")
 {
   AskMany();
-  HearAll();
+  ReceiveFromAll();
   std::set<domain_name> sentTo;
   for (std::uint64_t each = 1; each <= 40; ++each) {
     const auto pick = mPool.Choose(Work(each, false), {}, mNow);
--- a/thornhollow/policy/relay_work.h
+++ b/thornhollow/policy/request_profile.h
@@ -1,9 +1,9 @@
 // What placement and admission know of one relayed request.
 //
-//   const relay_work work = { .mTier = 0, .mPromptTokens = 640, ... };
+//   const request_profile work = { .mTier = 0, .mPromptTokens = 640, ... };
 //
-#ifndef THORNHOLLOW_POLICY_RELAY_WORK_H_
-#define THORNHOLLOW_POLICY_RELAY_WORK_H_
+#ifndef THORNHOLLOW_POLICY_REQUEST_PROFILE_H_
+#define THORNHOLLOW_POLICY_REQUEST_PROFILE_H_
 
 #include <cstdint>
 #include <string>
@@ -15,14 +15,14 @@
 
 namespace thornhollow {
 
-struct relay_work
+struct request_profile
 {
   // Empty for a caller without a team.
   team_name mTeam = {};
   // 0 is served first.
   std::uint32_t mTier = 0;
   // The same for engines, in finer steps: 0 to 9.
-  std::uint32_t mRank = 0;
+  std::uint32_t mEnginePriority = 0;
   // All of the prompt, shared parts included; 0 for a plain service.
   std::uint32_t mPromptTokens = 0;
   // Of these, parts that other requests begin with as well.
@@ -31,8 +31,8 @@
   std::uint64_t mSharedPrefix = 0;
   // The first of the shared parts, where there are several: other sessions may
   // begin with it too. 0 where there is none.
-  std::uint64_t mFirstPart = 0;
-  std::uint32_t mFirstPartTokens = 0;
+  std::uint64_t mFirstBlock = 0;
+  std::uint32_t mFirstBlockTokens = 0;
   // To the first event or the whole answer.
   duration mTarget{};
   // Between two events; zero: none is promised.
@@ -40,13 +40,14 @@
   // When the caller stops waiting.
   time_point mDeadline{};
   // The caller has asked before: it has less time than its route gives.
-  bool mReturns = false;
+  bool mIsRetry = false;
 
-  friend bool operator==(const relay_work&, const relay_work&) = default;
+  friend bool operator==(const request_profile&,
+                         const request_profile&) = default;
 };
 
 inline work_kind
-KindOf(const relay_work& aWork)
+KindOf(const request_profile& aWork)
 {
   return { aWork.mTarget, aWork.mPause };
 }
@@ -60,11 +61,11 @@
   // Tells processes of one name apart.
   std::uint64_t mLifetime = 0;
   // Prompt tokens that the engine is believed to have to read.
-  std::uint32_t mToRead = 0;
+  std::uint32_t mPrefillTokens = 0;
   // It went to the engines for bulk work.
   bool mBulk = false;
   // Of the shared parts it is believed to hold all.
-  bool mHolds = false;
+  bool mPrefixCached = false;
   // It was sent them before by this instance.
   bool mSentBefore = false;
   // This instance sent them to some engine before.
@@ -73,13 +74,13 @@
   // there; empty where none is.
   std::string mCopyFrom = {};
   // What it had to read before, prompts of other instances included.
-  std::uint64_t mBacklog = 0;
+  std::uint64_t mBacklogTokens = 0;
   // Time until the first event, as predicted.
-  duration mExpected{};
+  duration mExpectedWait{};
 
   friend bool operator==(const relay_pick&, const relay_pick&) = default;
 };
 
 } // namespace thornhollow
 
-#endif // THORNHOLLOW_POLICY_RELAY_WORK_H_
+#endif // THORNHOLLOW_POLICY_REQUEST_PROFILE_H_
--- a/thornhollow/policy/tier_waits.cc
+++ b/thornhollow/policy/tier_waits.cc
@@ -39,8 +39,8 @@
   if (its.mOpen == 0) {
     // Both rates fade alike, so their ratio would say forever how long the last
     // answers had waited.
-    its.mAnswers = faded_rate();
-    its.mWaits = faded_rate();
+    its.mAnswers = decaying_rate();
+    its.mWaits = decaying_rate();
   }
 }
 
--- a/thornhollow/policy/tier_waits.h
+++ b/thornhollow/policy/tier_waits.h
@@ -18,7 +18,7 @@
 #include <map>
 
 #include "thornhollow/base/time.h"
-#include "thornhollow/policy/faded_rate.h"
+#include "thornhollow/policy/decaying_rate.h"
 
 namespace thornhollow {
 
@@ -40,10 +40,10 @@
 private:
   struct tier
   {
-    faded_rate mAsked;
+    decaying_rate mAsked;
     // Answers that began, and the seconds that they waited.
-    faded_rate mAnswers;
-    faded_rate mWaits;
+    decaying_rate mAnswers;
+    decaying_rate mWaits;
     std::uint32_t mOpen = 0;
   };
   std::map<std::uint32_t, tier> mTiers;
--- a/thornhollow/policy/work_kind.cc
+++ b/thornhollow/policy/work_kind.cc
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <functional>
 
-#include "thornhollow/policy/read_rate.h"
+#include "thornhollow/policy/prefill_rate.h"
 
 namespace thornhollow {
 namespace {
@@ -43,8 +43,9 @@
   }
   // One instance that tells of engines a million times as fast would make all
   // others send them everything.
-  const double told = std::clamp(
-    aOthers.mReadSum / aOthers.mReadSeen, read_rate::kLeast, read_rate::kMost);
+  const double told = std::clamp(aOthers.mReadSum / aOthers.mReadSeen,
+                                 prefill_rate::kMin,
+                                 prefill_rate::kMax);
   aSums.mReadSum += told * aOthers.mReadSeen;
   aSums.mReadSeen += aOthers.mReadSeen;
 }
@@ -102,7 +103,7 @@
     return 1;
   }
   const double age = std::max(ToSeconds(aNow - *mBegun), kLeastSeconds);
-  return 1 / (1 - std::exp(-age / faded_rate::kMemorySeconds));
+  return 1 / (1 - std::exp(-age / decaying_rate::kTimeConstantSeconds));
 }
 
 demand_sums
--- a/thornhollow/policy/work_kind.h
+++ b/thornhollow/policy/work_kind.h
@@ -20,7 +20,7 @@
 #include <vector>
 
 #include "thornhollow/base/time.h"
-#include "thornhollow/policy/faded_rate.h"
+#include "thornhollow/policy/decaying_rate.h"
 
 namespace thornhollow {
 
@@ -98,12 +98,12 @@
 
   struct counts
   {
-    faded_rate mRequests;
-    faded_rate mTokens;
+    decaying_rate mRequests;
+    decaying_rate mTokens;
     // Sizes change with what callers do, not with how many call: they are taken
     // from many more prompts, as the few longest decide.
-    faded_rate mSizes{ kSizeMemorySeconds };
-    faded_rate mSizeSquares{ kSizeMemorySeconds };
+    decaying_rate mSizes{ kSizeMemorySeconds };
+    decaying_rate mSizeSquares{ kSizeMemorySeconds };
     std::size_t mOpen = 0;
   };
 
