--- a/thornhollow/policy/concurrency_limit.cc
+++ b/thornhollow/policy/concurrency_limit.cc
@@ -8,9 +8,9 @@
 
 // A window whose highest load was below this share of the limit says nothing
 // about a queue.
-constexpr double kBusyShare = 0.5;
+constexpr double kBusyFraction = 0.5;
 // The limit rises only while it is nearly used up.
-constexpr double kUsedShare = 0.8;
+constexpr double kNearLimitFraction = 0.8;
 
 } // namespace
 
@@ -19,25 +19,26 @@
                    time_point aNow,
                    const concurrency_limit_settings& aSettings)
 {
-  if (!mRotated) {
-    mRotated = aNow;
+  if (!mPeriodStart) {
+    mPeriodStart = aNow;
   }
-  if (aNow - *mRotated >= aSettings.mFloorLife) {
-    const double grown = Value() * aSettings.mFloorGrowth;
-    mBefore = mPresent == 0 ? grown : std::min(mPresent, grown);
-    mPresent = 0;
-    mRotated = aNow;
+  if (aNow - *mPeriodStart >= aSettings.mFloorPeriod) {
+    const double grownFloor = Value() * aSettings.mFloorGrowth;
+    mPreviousMin =
+      mCurrentMin == 0 ? grownFloor : std::min(mCurrentMin, grownFloor);
+    mCurrentMin = 0;
+    mPeriodStart = aNow;
   }
-  mPresent = mPresent == 0 ? aMean : std::min(mPresent, aMean);
+  mCurrentMin = mCurrentMin == 0 ? aMean : std::min(mCurrentMin, aMean);
 }
 
 double
 latency_floor::Value() const
 {
-  if (mPresent == 0 || mBefore == 0) {
-    return std::max(mPresent, mBefore);
+  if (mCurrentMin == 0 || mPreviousMin == 0) {
+    return std::max(mCurrentMin, mPreviousMin);
   }
-  return std::min(mPresent, mBefore);
+  return std::min(mCurrentMin, mPreviousMin);
 }
 
 concurrency_limit::concurrency_limit(
@@ -58,27 +59,31 @@
 }
 
 void
-concurrency_limit::OnFirstToken(duration aWait, double aLoad, time_point aNow)
+concurrency_limit::OnFirstToken(duration aTimeToFirstToken,
+                                double aLoad,
+                                time_point aNow)
 {
-  mWindow.mWaits += ToSeconds(aWait);
-  mWindow.mHighestLoad = std::max(mWindow.mHighestLoad, aLoad);
-  if (++mWindow.mAnswers >= mSettings.mWindowAnswers) {
+  mWindow.mFirstTokenSum += ToSeconds(aTimeToFirstToken);
+  mWindow.mMaxLoad = std::max(mWindow.mMaxLoad, aLoad);
+  if (++mWindow.mFirstTokenCount >= mSettings.mWindowResponses) {
     CloseWindow(aNow);
   }
 }
 
 void
-concurrency_limit::OnPace(duration aPerToken)
+concurrency_limit::OnTimePerToken(duration aTimePerToken)
 {
-  mWindow.mPaces += ToSeconds(aPerToken);
-  ++mWindow.mPaced;
+  mWindow.mTimePerTokenSum += ToSeconds(aTimePerToken);
+  ++mWindow.mTimePerTokenCount;
 }
 
 void
 concurrency_limit::OnDeclined(std::uint32_t aInFlight, time_point aNow)
 {
-  const double held = std::max<double>(1, aInFlight);
-  Cut(std::min(mSettings.mLargestCut, held / mLimit), Milliseconds(100), aNow);
+  const double inFlight = std::max<double>(1, aInFlight);
+  Decrease(std::min(mSettings.mMinDecreaseFactor, inFlight / mLimit),
+           Milliseconds(100),
+           aNow);
 }
 
 std::uint32_t
@@ -92,36 +97,42 @@
 {
   const window closed = mWindow;
   mWindow = window{};
-  const double wait = closed.mWaits / closed.mAnswers;
-  mWaitFloor.Add(wait, aNow, mSettings);
-  const double allowedWait =
-    mWaitFloor.Value() * mSettings.mTolerance + ToSeconds(mSettings.mSlack);
-  double kept = allowedWait / std::max(wait, allowedWait);
-  if (closed.mPaced > 0) {
-    const double pace = closed.mPaces / closed.mPaced;
-    mPaceFloor.Add(pace, aNow, mSettings);
-    const double allowedPace = mPaceFloor.Value() * mSettings.mTolerance;
-    kept = std::min(kept, allowedPace / std::max(pace, allowedPace));
+  const double firstToken = closed.mFirstTokenSum / closed.mFirstTokenCount;
+  mFirstTokenFloor.Add(firstToken, aNow, mSettings);
+  const double allowedFirstToken =
+    mFirstTokenFloor.Value() * mSettings.mTolerance +
+    ToSeconds(mSettings.mFirstTokenSlack);
+  double factor = allowedFirstToken / std::max(firstToken, allowedFirstToken);
+  if (closed.mTimePerTokenCount > 0) {
+    const double timePerToken =
+      closed.mTimePerTokenSum / closed.mTimePerTokenCount;
+    mTimePerTokenFloor.Add(timePerToken, aNow, mSettings);
+    const double allowedTimePerToken =
+      mTimePerTokenFloor.Value() * mSettings.mTolerance;
+    factor = std::min(factor,
+                      allowedTimePerToken /
+                        std::max(timePerToken, allowedTimePerToken));
   }
-  if (kept < 1) {
-    if (closed.mHighestLoad >= kBusyShare * mLimit) {
-      Cut(kept, FromSeconds(wait), aNow);
+  if (factor < 1) {
+    if (closed.mMaxLoad >= kBusyFraction * mLimit) {
+      Decrease(factor, FromSeconds(firstToken), aNow);
     }
     return;
   }
-  if (closed.mHighestLoad >= kUsedShare * mLimit) {
+  if (closed.mMaxLoad >= kNearLimitFraction * mLimit) {
     mLimit = std::min<double>(mSlots, mLimit + 1);
   }
 }
 
 void
-concurrency_limit::Cut(double aFactor, duration aHold, time_point aNow)
+concurrency_limit::Decrease(double aFactor, duration aPause, time_point aNow)
 {
-  if (!mSettings.mLearn || aNow < mHoldUntil) {
+  if (!mSettings.mAdaptive || aNow < mNoDecreaseUntil) {
     return;
   }
-  mLimit = std::max(1.0, mLimit * std::max(aFactor, mSettings.mLargestCut));
-  mHoldUntil = aNow + aHold;
+  mLimit =
+    std::max(1.0, mLimit * std::max(aFactor, mSettings.mMinDecreaseFactor));
+  mNoDecreaseUntil = aNow + aPause;
 }
 
 } // namespace thornhollow
--- a/thornhollow/policy/concurrency_limit.h
+++ b/thornhollow/policy/concurrency_limit.h
@@ -43,15 +43,15 @@
 struct concurrency_limit_settings
 {
   // False: the limit stays at the declared slots.
-  bool mLearn = true;
+  bool mAdaptive = true;
   // A window's mean above this multiple of the floor is a queue.
   double mTolerance = 2;
   // Added to the first token's bound: jitter of the network and of one step.
-  duration mSlack = Milliseconds(500);
+  duration mFirstTokenSlack = Milliseconds(500);
   // Smallest factor that one window applies.
-  double mLargestCut = 0.7;
-  std::uint32_t mWindowAnswers = 8;
-  duration mFloorLife = Seconds(30);
+  double mMinDecreaseFactor = 0.7;
+  std::uint32_t mWindowResponses = 8;
+  duration mFloorPeriod = Seconds(30);
   double mFloorGrowth = 1.25;
 
   friend bool operator==(const concurrency_limit_settings&,
@@ -69,9 +69,9 @@
   double Value() const;
 
 private:
-  double mPresent = 0;
-  double mBefore = 0;
-  std::optional<time_point> mRotated;
+  double mCurrentMin = 0;
+  double mPreviousMin = 0;
+  std::optional<time_point> mPeriodStart;
 };
 
 class concurrency_limit
@@ -85,9 +85,9 @@
 
   // A first token came `aWait` after its request was sent; `aLoad` requests
   // were in flight there, over all routers as far as known.
-  void OnFirstToken(duration aWait, double aLoad, time_point aNow);
+  void OnFirstToken(duration aTimeToFirstToken, double aLoad, time_point aNow);
   // An answer took `aPerToken` for each token.
-  void OnPace(duration aPerToken);
+  void OnTimePerToken(duration aTimePerToken);
   // The endpoint said that it was busy, with `aInFlight` of this router there.
   void OnDeclined(std::uint32_t aInFlight, time_point aNow);
 
@@ -97,23 +97,23 @@
 private:
   struct window
   {
-    double mWaits = 0;
-    std::uint32_t mAnswers = 0;
-    double mPaces = 0;
-    std::uint32_t mPaced = 0;
-    double mHighestLoad = 0;
+    double mFirstTokenSum = 0;
+    std::uint32_t mFirstTokenCount = 0;
+    double mTimePerTokenSum = 0;
+    std::uint32_t mTimePerTokenCount = 0;
+    double mMaxLoad = 0;
   };
 
   void CloseWindow(time_point aNow);
-  void Cut(double aFactor, duration aHold, time_point aNow);
+  void Decrease(double aFactor, duration aPause, time_point aNow);
 
   concurrency_limit_settings mSettings;
   std::uint32_t mSlots;
   double mLimit;
   window mWindow;
-  latency_floor mWaitFloor;
-  latency_floor mPaceFloor;
-  time_point mHoldUntil{};
+  latency_floor mFirstTokenFloor;
+  latency_floor mTimePerTokenFloor;
+  time_point mNoDecreaseUntil{};
 };
 
 } // namespace thornhollow
--- a/thornhollow/policy/concurrency_limit_test.cc
+++ b/thornhollow/policy/concurrency_limit_test.cc
@@ -11,7 +11,7 @@
   void Window(duration aWait, double aLoad)
   {
     mNow += Seconds(1);
-    for (std::uint32_t i = 0; i < concurrency_limit_settings{}.mWindowAnswers;
+    for (std::uint32_t i = 0; i < concurrency_limit_settings{}.mWindowResponses;
          ++i) {
       mLimit.OnFirstToken(aWait, aLoad, mNow);
     }
--- a/thornhollow/policy/endpoint_scenario_test.cc
+++ b/thornhollow/policy/endpoint_scenario_test.cc
@@ -42,7 +42,7 @@
 TEST_CASE_FIXTURE(on_and_off,
                   "endpoint_scenario/reports_missing/limit_is_learnt")
 {
-  mOff.mEndpoints.mRecord.mLimit.mLearn = false;
+  mOff.mEndpoints.mRecord.mLimit.mAdaptive = false;
   for (const deployment& each : { GraniteRelay(), FerreiraNetos() }) {
     scenario_spec overload = FindScenario(each, "overload_2");
     overload.mReportLag = Milliseconds(-1);
--- a/thornhollow/policy/internal/endpoint_record.cc
+++ b/thornhollow/policy/internal/endpoint_record.cc
@@ -121,7 +121,7 @@
                         time_point aNow)
 {
   mPerToken.Add(aSeconds, aNow);
-  mLimit.OnPace(FromSeconds(aSeconds));
+  mLimit.OnTimePerToken(FromSeconds(aSeconds));
   if (aTypical > 0) {
     const double own = mPerToken.Value(aTypical, Seconds(1), aNow);
     mHealth.OnPace(own / aTypical, aMayLeave, aNow);
--- a/thornhollow/policy/length_estimate.cc
+++ b/thornhollow/policy/length_estimate.cc
@@ -12,7 +12,7 @@
 constexpr double kLongQuantile = 0.75;
 
 std::size_t
-BucketOf(std::uint32_t aTokens)
+BucketIndex(std::uint32_t aTokens)
 {
   const double octaves = std::log2(std::max<double>(1, aTokens));
   return std::min(length_histogram::kBuckets - 1,
@@ -20,7 +20,7 @@
 }
 
 double
-MiddleOf(std::size_t aBucket)
+BucketMidpoint(std::size_t aBucket)
 {
   const double octaves =
     (static_cast<double>(aBucket) + 0.5) / kBucketsPerOctave;
@@ -32,7 +32,7 @@
 void
 length_histogram::Add(std::uint32_t aTokens)
 {
-  ++mBuckets[BucketOf(aTokens)];
+  ++mBuckets[BucketIndex(aTokens)];
   if (++mCount < kHalveAt) {
     return;
   }
@@ -44,14 +44,14 @@
 }
 
 double
-length_histogram::Quantile(double aShare) const
+length_histogram::Quantile(double aQuantile) const
 {
-  const double wanted = aShare * mCount;
-  double seen = 0;
+  const double target = aQuantile * mCount;
+  double cumulative = 0;
   for (std::size_t i = 0; i < kBuckets; ++i) {
-    seen += mBuckets[i];
-    if (mBuckets[i] > 0 && seen >= wanted) {
-      return MiddleOf(i);
+    cumulative += mBuckets[i];
+    if (mBuckets[i] > 0 && cumulative >= target) {
+      return BucketMidpoint(i);
     }
   }
   return 0;
@@ -62,7 +62,7 @@
 {
   double sum = 0;
   for (std::size_t i = 0; i < kBuckets; ++i) {
-    sum += mBuckets[i] == 0 ? 0 : mBuckets[i] * MiddleOf(i);
+    sum += mBuckets[i] == 0 ? 0 : mBuckets[i] * BucketMidpoint(i);
   }
   return mCount == 0 ? 0 : sum / mCount;
 }
@@ -104,7 +104,7 @@
   pool.mAll.Add(aTokens);
   auto found = pool.mByClass.find(aClass);
   if (found == pool.mByClass.end()) {
-    if (mPairs >= mSettings.mMostPairs) {
+    if (mPairs >= mSettings.mMaxPairs) {
       return;
     }
     found = pool.mByClass.try_emplace(aClass).first;
@@ -118,16 +118,16 @@
 {
   const length_histogram* lengths = Find(aItem);
   return Capped(
-    aItem, lengths == nullptr ? mSettings.mUnknownLength : lengths->Mean());
+    aItem, lengths == nullptr ? mSettings.mDefaultLength : lengths->Mean());
 }
 
 double
-length_estimate::Quantile(const work_item& aItem, double aShare) const
+length_estimate::Quantile(const work_item& aItem, double aQuantile) const
 {
   const length_histogram* lengths = Find(aItem);
   return Capped(aItem,
-                lengths == nullptr ? mSettings.mUnknownLength
-                                   : lengths->Quantile(aShare));
+                lengths == nullptr ? mSettings.mDefaultLength
+                                   : lengths->Quantile(aQuantile));
 }
 
 bool
@@ -135,11 +135,11 @@
 {
   const auto pool = mPools.find(aItem.mPool);
   if (pool == mPools.end() ||
-      pool->second.mAll.Count() < mSettings.mLeastAnswers) {
+      pool->second.mAll.Count() < mSettings.mMinSamples) {
     return false;
   }
-  const double ordinary = pool->second.mAll.Quantile(0.5);
-  return Quantile(aItem, kLongQuantile) >= mSettings.mLongFactor * ordinary;
+  const double poolMedian = pool->second.mAll.Quantile(0.5);
+  return Quantile(aItem, kLongQuantile) >= mSettings.mLongFactor * poolMedian;
 }
 
 const length_histogram*
@@ -152,10 +152,10 @@
   const auto& [all, byClass] = pool->second;
   const auto found = byClass.find(aItem.mClass);
   if (found != byClass.end() &&
-      found->second.Count() >= mSettings.mLeastAnswers) {
+      found->second.Count() >= mSettings.mMinSamples) {
     return &found->second;
   }
-  return all.Count() >= mSettings.mLeastAnswers ? &all : nullptr;
+  return all.Count() >= mSettings.mMinSamples ? &all : nullptr;
 }
 
 double
--- a/thornhollow/policy/length_estimate.h
+++ b/thornhollow/policy/length_estimate.h
@@ -42,7 +42,7 @@
   void Add(std::uint32_t aTokens);
   // The length that a share `aShare` (0 to 1) of answers does not exceed; zero
   // where nothing was learnt.
-  double Quantile(double aShare) const;
+  double Quantile(double aQuantile) const;
   double Mean() const;
   std::uint32_t Count() const { return mCount; }
 
@@ -55,12 +55,12 @@
 {
   // Taken while nothing is learnt; an ordinary answer (letter 1: 740,000
   // tokens over 3,100 requests a second is 239 each).
-  double mUnknownLength = 239;
+  double mDefaultLength = 239;
   // Answers of a class before its own figures are used.
-  std::uint32_t mLeastAnswers = 16;
+  std::uint32_t mMinSamples = 16;
   // A class whose upper quartile is this often the pool's median is long.
   double mLongFactor = 4;
-  std::size_t mMostPairs = 1024;
+  std::size_t mMaxPairs = 1024;
 
   friend bool operator==(const length_estimate_settings&,
                          const length_estimate_settings&) = default;
@@ -83,7 +83,7 @@
   double Expected(const work_item& aItem) const;
 
   // Tokens that a share `aShare` of such answers does not exceed.
-  double Quantile(const work_item& aItem, double aShare) const;
+  double Quantile(const work_item& aItem, double aQuantile) const;
 
   // Whether `aItem` holds a place for much longer than its pool's ordinary
   // work.
--- a/thornhollow/policy/length_estimate_test.cc
+++ b/thornhollow/policy/length_estimate_test.cc
@@ -78,7 +78,7 @@
   for (int i = 0; i < 3000; ++i) {
     mLengths.Learn(class_name(std::to_string(i)), mPool, 1);
   }
-  CHECK(mLengths.size() == length_estimate_settings{}.mMostPairs);
+  CHECK(mLengths.size() == length_estimate_settings{}.mMaxPairs);
   mLengths.Configure(declarations{});
   CHECK(mLengths.size() == 0);
 }
--- a/thornhollow/policy/run_time_estimate.cc
+++ b/thornhollow/policy/run_time_estimate.cc
@@ -19,15 +19,16 @@
 }
 
 void
-run_time_estimate::Learn(const work_item& aItem, duration aLength)
+run_time_estimate::Learn(const work_item& aItem, duration aRunTime)
 {
-  const auto length = std::clamp<std::int64_t>(
-    ToMilliseconds(aLength), 1, std::numeric_limits<std::uint32_t>::max());
-  mRuns[aItem.mClass][aItem.mPool].Add(static_cast<std::uint32_t>(length));
+  const auto milliseconds = std::clamp<std::int64_t>(
+    ToMilliseconds(aRunTime), 1, std::numeric_limits<std::uint32_t>::max());
+  mRuns[aItem.mClass][aItem.mPool].Add(
+    static_cast<std::uint32_t>(milliseconds));
 }
 
 duration
-run_time_estimate::Shortest(const work_item& aItem) const
+run_time_estimate::LowerBound(const work_item& aItem) const
 {
   const auto found = mRuns.find(aItem.mClass);
   if (found == mRuns.end() || mSettings.mQuantile <= 0) {
@@ -35,7 +36,7 @@
   }
   const auto runs = found->second.find(aItem.mPool);
   if (runs == found->second.end() ||
-      runs->second.Count() < mSettings.mLeastRuns) {
+      runs->second.Count() < mSettings.mMinRuns) {
     return duration::zero();
   }
   return FromSeconds(runs->second.Quantile(mSettings.mQuantile) / 1000);
--- a/thornhollow/policy/run_time_estimate.h
+++ b/thornhollow/policy/run_time_estimate.h
@@ -26,7 +26,7 @@
 {
   // Part of the runs that may be shorter than the estimate; 0: none is made.
   double mQuantile = 0.1;
-  std::uint32_t mLeastRuns = 16;
+  std::uint32_t mMinRuns = 16;
 
   friend bool operator==(const run_time_settings&,
                          const run_time_settings&) = default;
@@ -41,10 +41,10 @@
   void Configure(const declarations& aDeclared);
 
   // A request like `aItem` got its whole answer in `aLength`.
-  void Learn(const work_item& aItem, duration aLength);
+  void Learn(const work_item& aItem, duration aRunTime);
 
   // A run of `aItem` is unlikely to be shorter; zero where nothing is known.
-  duration Shortest(const work_item& aItem) const;
+  duration LowerBound(const work_item& aItem) const;
 
 private:
   // Lengths in milliseconds.
--- a/thornhollow/policy/scenario/catalog.cc
+++ b/thornhollow/policy/scenario/catalog.cc
@@ -221,7 +221,7 @@
     aOf.mRecord.mLoad.mUseReports = false;
   });
   without("limit", [](endpoint_table_settings& aOf) {
-    aOf.mRecord.mLimit.mLearn = false;
+    aOf.mRecord.mLimit.mAdaptive = false;
   });
   without("health", [](endpoint_table_settings& aOf) {
     aOf.mRecord.mHealth.mJudge = false;
--- a/thornhollow/policy/scheduler.cc
+++ b/thornhollow/policy/scheduler.cc
@@ -72,7 +72,7 @@
 {
   return { mEndpoints.ExpectedTokens(aItem) +
              kPromptTokenCost * aItem.mPromptTokens,
-           mRunTimes.Shortest(aItem) };
+           mRunTimes.LowerBound(aItem) };
 }
 
 decisions
--- a/thornhollow/policy/service_rate.cc
+++ b/thornhollow/policy/service_rate.cc
@@ -6,53 +6,53 @@
 namespace thornhollow {
 namespace {
 
-constexpr double kMemorySeconds = 3;
-constexpr double kLeastSeconds = 0.25;
-constexpr double kLeastSecondsOfSlow = 1;
-constexpr duration kForgottenAfter = Seconds(15);
+constexpr double kDecaySeconds = 3;
+constexpr double kMinWaitedSeconds = 0.25;
+constexpr double kMinWaitedSecondsWithNext = 1;
+constexpr duration kMaxAge = Seconds(15);
 // A longer step of the clock means that this process stood still; its queue
 // was not served then, and that says nothing about the endpoints.
-constexpr duration kLongestStep = Seconds(1);
+constexpr duration kMaxStep = Seconds(1);
 
 } // namespace
 
 void
 service_rate::Observe(bool aWaited, time_point aNow)
 {
-  if (aWaited && aNow > mObserved) {
+  if (aWaited && aNow > mLastObserved) {
     const double step =
-      ToSeconds(std::min<duration>(aNow - mObserved, kLongestStep));
-    const double kept = std::exp(-step / kMemorySeconds);
-    mServed *= kept;
-    mWaitedSeconds = mWaitedSeconds * kept + step;
+      ToSeconds(std::min<duration>(aNow - mLastObserved, kMaxStep));
+    const double decay = std::exp(-step / kDecaySeconds);
+    mServedCost *= decay;
+    mWaitedSeconds = mWaitedSeconds * decay + step;
     mLastWaited = aNow;
   }
-  mObserved = std::max(mObserved, aNow);
+  mLastObserved = std::max(mLastObserved, aNow);
 }
 
 std::optional<double>
 service_rate::PerSecond(time_point aNow) const
 {
-  return aNow - mLastWaited > kForgottenAfter ? std::nullopt : LastPerSecond();
+  return aNow - mLastWaited > kMaxAge ? std::nullopt : LastPerSecond();
 }
 
 std::optional<double>
 service_rate::PerSecondWithNext(double aCost, time_point aNow) const
 {
-  if (mWaitedSeconds < kLeastSecondsOfSlow ||
-      aNow - mLastWaited > kForgottenAfter) {
+  if (mWaitedSeconds < kMinWaitedSecondsWithNext ||
+      aNow - mLastWaited > kMaxAge) {
     return std::nullopt;
   }
-  return (mServed + aCost) / mWaitedSeconds;
+  return (mServedCost + aCost) / mWaitedSeconds;
 }
 
 std::optional<double>
 service_rate::LastPerSecond() const
 {
-  if (mWaitedSeconds < kLeastSeconds) {
+  if (mWaitedSeconds < kMinWaitedSeconds) {
     return std::nullopt;
   }
-  return mServed / mWaitedSeconds;
+  return mServedCost / mWaitedSeconds;
 }
 
 } // namespace thornhollow
--- a/thornhollow/policy/service_rate.h
+++ b/thornhollow/policy/service_rate.h
@@ -31,7 +31,7 @@
   void Observe(bool aWaited, time_point aNow);
 
   // Work of this cost left a waiting queue for a place.
-  void OnServed(double aCost) { mServed += aCost; }
+  void OnServed(double aCost) { mServedCost += aCost; }
 
   // Cost served a second while something waits; nothing where that was not
   // measured lately.
@@ -46,9 +46,9 @@
   std::optional<double> LastPerSecond() const;
 
 private:
-  double mServed = 0;
+  double mServedCost = 0;
   double mWaitedSeconds = 0;
-  time_point mObserved{};
+  time_point mLastObserved{};
   time_point mLastWaited{};
 };
 
--- a/thornhollow/policy/waiting_modules_test.cc
+++ b/thornhollow/policy/waiting_modules_test.cc
@@ -156,9 +156,9 @@
   for (int i = 0; i < 15; ++i) {
     runs.Learn(item, Seconds(4));
   }
-  CHECK(runs.Shortest(item) == duration::zero());
+  CHECK(runs.LowerBound(item) == duration::zero());
   runs.Learn(item, Seconds(4));
-  CHECK(ToSeconds(runs.Shortest(item)) == doctest::Approx(4).epsilon(0.2));
+  CHECK(ToSeconds(runs.LowerBound(item)) == doctest::Approx(4).epsilon(0.2));
 }
 
 TEST_CASE("peer_pressure/report_ages/holds_back_less_long_for_shorter_waits")
