--- a/thornhollow/policy/scenario/baselines.cc
+++ b/thornhollow/policy/scenario/baselines.cc
@@ -4,9 +4,9 @@
 
 namespace thornhollow::scenario {
 
-baseline_scheduler::baseline_scheduler(endpoint_order aOrder,
+baseline_scheduler::baseline_scheduler(balancing_algorithm aAlgorithm,
                                        std::uint64_t aSeed)
-  : mOrder(aOrder)
+  : mAlgorithm(aAlgorithm)
   , mSeed(aSeed)
 {
 }
@@ -33,15 +33,15 @@
 baseline_scheduler::Submit(const work_item& aItem, time_point /*aNow*/)
 {
   const auto [added, isNew] =
-    mInProgress.emplace(aItem.mTicket, progress{ aItem, {}, {} });
+    mRequests.emplace(aItem.mTicket, baseline_request{ aItem, {}, {} });
   return Send(added->second);
 }
 
 decisions
 baseline_scheduler::Resubmit(ticket aTicket, time_point /*aNow*/)
 {
-  const auto found = mInProgress.find(aTicket);
-  return found == mInProgress.end() ? decisions{} : Send(found->second);
+  const auto found = mRequests.find(aTicket);
+  return found == mRequests.end() ? decisions{} : Send(found->second);
 }
 
 decisions
@@ -50,12 +50,11 @@
                                    std::uint32_t /*aTokens*/,
                                    time_point /*aNow*/)
 {
-  if (const auto found = mInProgress.find(aTicket);
-      found != mInProgress.end()) {
+  if (const auto found = mRequests.find(aTicket); found != mRequests.end()) {
     if (aHow != attempt_end::kCompleted) {
-      found->second.mFailed = found->second.mPlace;
+      found->second.mFailedEndpoint = found->second.mEndpoint;
     }
-    Release(found->second);
+    ReleaseEndpoint(found->second);
   }
   return {};
 }
@@ -63,32 +62,32 @@
 decisions
 baseline_scheduler::Forget(ticket aTicket, time_point /*aNow*/)
 {
-  if (const auto found = mInProgress.find(aTicket);
-      found != mInProgress.end()) {
-    Release(found->second);
-    mInProgress.erase(found);
+  if (const auto found = mRequests.find(aTicket); found != mRequests.end()) {
+    ReleaseEndpoint(found->second);
+    mRequests.erase(found);
   }
   return {};
 }
 
 // Both take another endpoint than the one that just failed, as any proxy does.
 std::size_t
-baseline_scheduler::Pick(pool_state& aPool, const progress& aProgress) const
+baseline_scheduler::PickEndpoint(pool_state& aPool,
+                                 const baseline_request& aRequest) const
 {
   const std::size_t count = aPool.mEndpoints.size();
   std::size_t best = aPool.mNext % count;
-  if (aProgress.mFailed == aPool.mEndpoints[best]) {
+  if (aRequest.mFailedEndpoint == aPool.mEndpoints[best]) {
     best = (best + 1) % count;
   }
-  if (std::holds_alternative<least_outstanding>(mOrder)) {
-    const auto open = [this, &aPool](std::size_t aIndex) {
-      const auto found = mOpen.find(aPool.mEndpoints[aIndex]);
-      return found == mOpen.end() ? 0U : found->second;
+  if (std::holds_alternative<least_outstanding>(mAlgorithm)) {
+    const auto outstanding = [this, &aPool](std::size_t aIndex) {
+      const auto found = mOutstanding.find(aPool.mEndpoints[aIndex]);
+      return found == mOutstanding.end() ? 0U : found->second;
     };
     for (std::size_t step = 1; step < count; ++step) {
       const std::size_t each = (aPool.mNext + step) % count;
-      if (aProgress.mFailed != aPool.mEndpoints[each] &&
-          open(each) < open(best)) {
+      if (aRequest.mFailedEndpoint != aPool.mEndpoints[each] &&
+          outstanding(each) < outstanding(best)) {
         best = each;
       }
     }
@@ -98,19 +97,19 @@
 }
 
 decisions
-baseline_scheduler::Send(progress& aProgress)
+baseline_scheduler::Send(baseline_request& aRequest)
 {
-  pool_state& pool = mPools.at(aProgress.mItem.mPool);
-  aProgress.mPlace = pool.mEndpoints[Pick(pool, aProgress)];
-  ++mOpen[*aProgress.mPlace];
-  return { start{ aProgress.mItem.mTicket, *aProgress.mPlace } };
+  pool_state& pool = mPools.at(aRequest.mItem.mPool);
+  aRequest.mEndpoint = pool.mEndpoints[PickEndpoint(pool, aRequest)];
+  ++mOutstanding[*aRequest.mEndpoint];
+  return { start{ aRequest.mItem.mTicket, *aRequest.mEndpoint } };
 }
 
 void
-baseline_scheduler::Release(progress& aProgress)
+baseline_scheduler::ReleaseEndpoint(baseline_request& aRequest)
 {
-  if (aProgress.mPlace) {
-    --mOpen[*std::exchange(aProgress.mPlace, std::nullopt)];
+  if (aRequest.mEndpoint) {
+    --mOutstanding[*std::exchange(aRequest.mEndpoint, std::nullopt)];
   }
 }
 
--- a/thornhollow/policy/scenario/baselines.h
+++ b/thornhollow/policy/scenario/baselines.h
@@ -29,13 +29,13 @@
                          const least_outstanding&) = default;
 };
 
-using endpoint_order = std::variant<round_robin, least_outstanding>;
+using balancing_algorithm = std::variant<round_robin, least_outstanding>;
 
 // The scheduler's interface, as far as the scenarios use it.
 class baseline_scheduler
 {
 public:
-  baseline_scheduler(endpoint_order aOrder, std::uint64_t aSeed);
+  baseline_scheduler(balancing_algorithm aAlgorithm, std::uint64_t aSeed);
 
   decisions Configure(const declarations& aDeclared,
                       const domain_name& aOwnDomain,
@@ -70,22 +70,23 @@
     std::vector<endpoint_name> mEndpoints;
     std::size_t mNext = 0;
   };
-  struct progress
+  struct baseline_request
   {
     work_item mItem;
-    std::optional<endpoint_name> mPlace;
-    std::optional<endpoint_name> mFailed;
+    std::optional<endpoint_name> mEndpoint;
+    std::optional<endpoint_name> mFailedEndpoint;
   };
 
-  std::size_t Pick(pool_state& aPool, const progress& aProgress) const;
-  decisions Send(progress& aProgress);
-  void Release(progress& aProgress);
+  std::size_t PickEndpoint(pool_state& aPool,
+                           const baseline_request& aRequest) const;
+  decisions Send(baseline_request& aRequest);
+  void ReleaseEndpoint(baseline_request& aRequest);
 
-  endpoint_order mOrder;
+  balancing_algorithm mAlgorithm;
   std::uint64_t mSeed;
   std::unordered_map<pool_name, pool_state> mPools;
-  std::unordered_map<endpoint_name, std::uint32_t> mOpen;
-  std::unordered_map<ticket, progress> mInProgress;
+  std::unordered_map<endpoint_name, std::uint32_t> mOutstanding;
+  std::unordered_map<ticket, baseline_request> mRequests;
 };
 
 } // namespace thornhollow::scenario
--- a/thornhollow/policy/scenario/catalog.cc
+++ b/thornhollow/policy/scenario/catalog.cc
@@ -19,11 +19,11 @@
 }
 
 scenario_spec
-Named(std::string aName, std::string aStory)
+MakeScenario(std::string aName, std::string aDescription)
 {
   scenario_spec made;
   made.mName = std::move(aName);
-  made.mStory = std::move(aStory);
+  made.mDescription = std::move(aDescription);
   return made;
 }
 
@@ -31,19 +31,19 @@
 Burst(const deployment& aDeployment, int aTier)
 {
   scenario_spec made =
-    Named("burst_tier_" + std::to_string(aTier),
-          "For 15 s, one class sends eight times as much as usual.");
+    MakeScenario("burst_tier_" + std::to_string(aTier),
+                 "For 15 s, one class sends eight times as much as usual.");
   made.mSurges = {
     { Seconds(15), Seconds(30), 8, ClassOfTier(aDeployment, aTier), {} }
   };
-  made.mCalmFrom = Seconds(30);
+  made.mRecoveryFrom = Seconds(30);
   return made;
 }
 
 scenario_spec
 HotCaller(const deployment& aDeployment)
 {
-  scenario_spec made = Named(
+  scenario_spec made = MakeScenario(
     "hot_caller", "One team sends twelve times as much as usual, all along.");
   made.mSurges = { { Seconds(0),
                      made.mLength,
@@ -56,8 +56,8 @@
 scenario_spec
 HotPrefix()
 {
-  scenario_spec made =
-    Named("hot_prefix", "Seven in ten requests start with the same prefix.");
+  scenario_spec made = MakeScenario(
+    "hot_prefix", "Seven in ten requests start with the same prefix.");
   made.mLoad = 0.9;
   made.mHotPrefixShare = 0.7;
   return made;
@@ -66,34 +66,34 @@
 scenario_spec
 SlowEndpoint()
 {
-  scenario_spec made = Named(
+  scenario_spec made = MakeScenario(
     "slow_endpoint", "For 30 s, one engine takes eight times as long a step.");
-  made.mTroubles = {
-    { trouble_kind::kSlow, Seconds(15), Seconds(45), 0, 8, {} }
+  made.mFaults = {
+    { injected_fault_kind::kSlow, Seconds(15), Seconds(45), 0, 8, {} }
   };
-  made.mCalmFrom = Seconds(45);
+  made.mRecoveryFrom = Seconds(45);
   return made;
 }
 
 scenario_spec
 EndpointCrash()
 {
-  scenario_spec made = Named(
+  scenario_spec made = MakeScenario(
     "endpoint_crash", "Two engines crash mid-stream and come back after 20 s.");
-  made.mTroubles = {
-    { trouble_kind::kCrash, Seconds(15), Seconds(35), 0, 1, {} },
-    { trouble_kind::kCrash, Seconds(20), Seconds(40), 4, 1, {} },
+  made.mFaults = {
+    { injected_fault_kind::kCrash, Seconds(15), Seconds(35), 0, 1, {} },
+    { injected_fault_kind::kCrash, Seconds(20), Seconds(40), 4, 1, {} },
   };
-  made.mCalmFrom = Seconds(40);
+  made.mRecoveryFrom = Seconds(40);
   return made;
 }
 
 scenario_spec
 LongAmongShort(const deployment& aDeployment)
 {
-  scenario_spec made =
-    Named("long_among_short",
-          "The class with the longest answers sends four times as much.");
+  scenario_spec made = MakeScenario(
+    "long_among_short",
+    "The class with the longest answers sends four times as much.");
   made.mSurges = {
     { Seconds(10), Seconds(50), 4, ClassOfTier(aDeployment, 3), {} }
   };
@@ -103,8 +103,8 @@
 scenario_spec
 Overload(const std::string& aName, double aLoad)
 {
-  scenario_spec made =
-    Named("overload_" + aName, "All classes ask for more than there is.");
+  scenario_spec made = MakeScenario("overload_" + aName,
+                                    "All classes ask for more than there is.");
   made.mLoad = aLoad;
   return made;
 }
@@ -112,55 +112,56 @@
 scenario_spec
 AllRetrying()
 {
-  scenario_spec made =
-    Named("all_retrying",
-          "Twice the capacity is asked for, and every caller comes back.");
+  scenario_spec made = MakeScenario(
+    "all_retrying",
+    "Twice the capacity is asked for, and every caller comes back.");
   made.mLoad = 2;
-  made.mComeBack = 1;
-  made.mMaxComeBacks = 10;
+  made.mRetryProbability = 1;
+  made.mMaxRetries = 10;
   return made;
 }
 
 scenario_spec
-Lag(const std::string& aName, duration aLag)
+ReportLag(const std::string& aName, duration aReportLag)
 {
-  scenario_spec made = Named("reports_" + aName,
-                             "High load; the engines' load reports come late "
-                             "or not at all.");
+  scenario_spec made =
+    MakeScenario("reports_" + aName,
+                 "High load; the engines' load reports come late "
+                 "or not at all.");
   made.mLoad = 0.95;
-  made.mReportLag = aLag;
+  made.mReportLag = aReportLag;
   return made;
 }
 
 scenario_spec
-SameView()
+SameLaggingView()
 {
-  scenario_spec made =
-    Named("same_lagging_view",
-          "Eight instances see the same reports 2 s late while one engine's "
-          "speed changes.");
+  scenario_spec made = MakeScenario(
+    "same_lagging_view",
+    "Eight instances see the same reports 2 s late while one engine's "
+    "speed changes.");
   made.mLoad = 0.85;
   made.mReportLag = Seconds(2);
-  made.mTroubles = {
-    { trouble_kind::kSlow, Seconds(10), Seconds(20), 1, 4, {} },
-    { trouble_kind::kSlow, Seconds(30), Seconds(40), 2, 4, {} },
+  made.mFaults = {
+    { injected_fault_kind::kSlow, Seconds(10), Seconds(20), 1, 4, {} },
+    { injected_fault_kind::kSlow, Seconds(30), Seconds(40), 2, 4, {} },
   };
   return made;
 }
 
 scenario_spec
-CutOff(const deployment& aDeployment)
+DomainPartition(const deployment& aDeployment)
 {
   scenario_spec made =
-    Named("domain_cut_off",
-          "For 25 s, one failure domain reaches only its own engines.");
-  made.mTroubles = { { trouble_kind::kCutOff,
-                       Seconds(15),
-                       Seconds(40),
-                       0,
-                       1,
-                       aDeployment.mInstances.front() } };
-  made.mCalmFrom = Seconds(40);
+    MakeScenario("domain_cut_off",
+                 "For 25 s, one failure domain reaches only its own engines.");
+  made.mFaults = { { injected_fault_kind::kPartition,
+                     Seconds(15),
+                     Seconds(40),
+                     0,
+                     1,
+                     aDeployment.mInstanceDomains.front() } };
+  made.mRecoveryFrom = Seconds(40);
   return made;
 }
 
@@ -169,25 +170,25 @@
 scenario_spec
 Recovery()
 {
-  scenario_spec made =
-    Named("recovery",
-          "Five times the capacity for 10 s, most callers come back, then half "
-          "of the capacity.");
+  scenario_spec made = MakeScenario(
+    "recovery",
+    "Five times the capacity for 10 s, most callers come back, then half "
+    "of the capacity.");
   made.mLength = Seconds(150);
   made.mLoad = 0.5;
   made.mSurges = { { Seconds(10), Seconds(20), 10, {}, {} } };
-  made.mComeBack = 0.8;
-  made.mCalmFrom = Seconds(20);
+  made.mRetryProbability = 0.8;
+  made.mRecoveryFrom = Seconds(20);
   return made;
 }
 
 scenario_spec
 SplitTiers()
 {
-  scenario_spec made =
-    Named("split_tiers",
-          "One instance gets all of the highest tier, the others the rest, at "
-          "twice the capacity.");
+  scenario_spec made = MakeScenario(
+    "split_tiers",
+    "One instance gets all of the highest tier, the others the rest, at "
+    "twice the capacity.");
   made.mLoad = 2;
   made.mHighTierInstance = 0;
   return made;
@@ -196,19 +197,19 @@
 scenario_spec
 PausedInstance()
 {
-  scenario_spec made =
-    Named("paused_instance",
-          "One instance stands still for 10 s and wakes with old beliefs.");
-  made.mTroubles = {
-    { trouble_kind::kPause, Seconds(20), Seconds(30), 1, 1, {} }
+  scenario_spec made = MakeScenario(
+    "paused_instance",
+    "One instance stands still for 10 s and wakes with old beliefs.");
+  made.mFaults = {
+    { injected_fault_kind::kPause, Seconds(20), Seconds(30), 1, 1, {} }
   };
-  made.mCalmFrom = Seconds(30);
+  made.mRecoveryFrom = Seconds(30);
   return made;
 }
 
 // The scheduler without one part of the endpoint side, and without all of them.
 void
-AddEndpointPolicies(std::vector<named_policy>& aAll)
+AddPoliciesWithoutEndpointMechanism(std::vector<named_policy>& aAll)
 {
   scheduler_settings off;
   const auto without = [&aAll, &off](const std::string& aName, auto aSwitch) {
@@ -239,7 +240,7 @@
 AllScenarios(const deployment& aDeployment)
 {
   return {
-    Named("steady", "Seven tenths of the capacity; nothing disturbs."),
+    MakeScenario("steady", "Seven tenths of the capacity; nothing disturbs."),
     Burst(aDeployment, 1),
     Burst(aDeployment, 3),
     HotCaller(aDeployment),
@@ -251,12 +252,12 @@
     Overload("2", 2),
     Overload("5", 5),
     AllRetrying(),
-    Lag("100ms", Milliseconds(100)),
-    Lag("1s", Seconds(1)),
-    Lag("5s", Seconds(5)),
-    Lag("missing", Milliseconds(-1)),
-    SameView(),
-    CutOff(aDeployment),
+    ReportLag("100ms", Milliseconds(100)),
+    ReportLag("1s", Seconds(1)),
+    ReportLag("5s", Seconds(5)),
+    ReportLag("missing", Milliseconds(-1)),
+    SameLaggingView(),
+    DomainPartition(aDeployment),
     Recovery(),
     SplitTiers(),
     PausedInstance(),
@@ -305,7 +306,7 @@
   pressure.mPressureAtEngines = true;
   all.push_back({ "with_pressure", pressure });
   all.push_back({ "waiting_off", off });
-  AddEndpointPolicies(all);
+  AddPoliciesWithoutEndpointMechanism(all);
   all.push_back({ "round_robin", round_robin{} });
   all.push_back({ "least_outstanding", least_outstanding{} });
   return all;
--- a/thornhollow/policy/scenario/comparison_test.cc
+++ b/thornhollow/policy/scenario/comparison_test.cc
@@ -18,7 +18,8 @@
 {
   scheduler_settings off;
   off.mQueue.mPool.mTierOrder = false;
-  CHECK(Attainment(RunAll(GraniteRelay(), "overload_2", off, kSeeds), 1) < 0.2);
+  CHECK(Attainment(RunSeeds(GraniteRelay(), "overload_2", off, kSeeds), 1) <
+        0.2);
 }
 
 // By tier order alone, the two lower tiers get what the upper ones leave: with
@@ -28,8 +29,10 @@
   const deployment site = GraniteRelay();
   scheduler_settings off;
   off.mQueue.mPool.mMinimumShares = false;
-  CHECK(ShareFrom(RunAll(site, "overload_2", off, kSeeds), 3) < 0.10);
-  CHECK(ShareFrom(RunAll(site, "overload_2", scheduler_settings{}, kSeeds), 3) >
+  CHECK(TokenShareFromTier(RunSeeds(site, "overload_2", off, kSeeds), 3) <
+        0.10);
+  CHECK(TokenShareFromTier(
+          RunSeeds(site, "overload_2", scheduler_settings{}, kSeeds), 3) >
         0.17);
 }
 
@@ -41,7 +44,7 @@
   scheduler_settings off;
   off.mQueue.mPool.mFairTeams = false;
   const auto others = [&site](const scheduler_settings& aOf) {
-    return OtherTeams(RunAll(site, "hot_caller", aOf, kSeeds));
+    return OtherTeamsAttainment(RunSeeds(site, "hot_caller", aOf, kSeeds));
   };
   CHECK(others(scheduler_settings{}) > others(off) + 0.01);
 }
@@ -54,9 +57,10 @@
   scheduler_settings off;
   off.mQueue.mPool.mDeadlineCheck = false;
   off.mRunTimes.mQuantile = 0;
-  CHECK(Wasted(RunAll(site, "overload_2", scheduler_settings{}, kSeeds)) +
-          0.01 <
-        Wasted(RunAll(site, "overload_2", off, kSeeds)));
+  CHECK(
+    WastedFraction(RunSeeds(site, "overload_2", scheduler_settings{}, kSeeds)) +
+      0.01 <
+    WastedFraction(RunSeeds(site, "overload_2", off, kSeeds)));
 }
 
 // A burst of the highest tier: without the bound of a standing queue, all of it
@@ -66,9 +70,9 @@
   const deployment site = GraniteRelay();
   scheduler_settings off;
   off.mQueue.mPool.mStanding.mEnabled = false;
-  CHECK(
-    Attainment(RunAll(site, "burst_tier_1", scheduler_settings{}, kSeeds), 1) >
-    Attainment(RunAll(site, "burst_tier_1", off, kSeeds), 1) + 0.04);
+  CHECK(Attainment(RunSeeds(site, "burst_tier_1", scheduler_settings{}, kSeeds),
+                   1) >
+        Attainment(RunSeeds(site, "burst_tier_1", off, kSeeds), 1) + 0.04);
 }
 
 // All callers come back. Told the same second, they are refused many times
@@ -78,9 +82,9 @@
   const deployment site = GraniteRelay();
   scheduler_settings off;
   off.mQueue.mPool.mReturns.mSpread = false;
-  CHECK(2 *
-          Refusals(RunAll(site, "all_retrying", scheduler_settings{}, kSeeds)) <
-        Refusals(RunAll(site, "all_retrying", off, kSeeds)));
+  CHECK(2 * ErrorResponses(
+              RunSeeds(site, "all_retrying", scheduler_settings{}, kSeeds)) <
+        ErrorResponses(RunSeeds(site, "all_retrying", off, kSeeds)));
 }
 
 // One instance has all of the highest tier. Without the endpoints' own queues
@@ -89,7 +93,7 @@
 {
   scheduler_settings off;
   off.mEndpointQueues.mEnabled = false;
-  CHECK(Attainment(RunAll(GraniteRelay(), "split_tiers", off, kSeeds), 1) <
+  CHECK(Attainment(RunSeeds(GraniteRelay(), "split_tiers", off, kSeeds), 1) <
         0.2);
 }
 
@@ -98,15 +102,15 @@
 TEST_CASE("scenarios/paused_instance/recovers_at_once")
 {
   const outcomes runs =
-    RunAll(GraniteRelay(), "paused_instance", scheduler_settings{}, kSeeds);
-  CHECK(Wasted(runs) < 0.02);
+    RunSeeds(GraniteRelay(), "paused_instance", scheduler_settings{}, kSeeds);
+  CHECK(WastedFraction(runs) < 0.02);
   CHECK(RecoverySeconds(runs) <= 5);
 }
 
 TEST_CASE("scenarios/recovery/no_lasting_collapse")
 {
   const outcomes runs =
-    RunAll(GraniteRelay(), "recovery", scheduler_settings{}, kSeeds);
+    RunSeeds(GraniteRelay(), "recovery", scheduler_settings{}, kSeeds);
   CHECK(RecoverySeconds(runs) <= 65);
 }
 
--- a/thornhollow/policy/scenario/deployment.cc
+++ b/thornhollow/policy/scenario/deployment.cc
@@ -29,7 +29,7 @@
 }
 
 service_level
-Level(int aTier, duration aFirstToken, duration aDeadline)
+MakeLevel(int aTier, duration aFirstToken, duration aDeadline)
 {
   return { {}, aTier, aFirstToken, Milliseconds(49), aDeadline };
 }
@@ -69,16 +69,17 @@
 AddInstances(deployment& aTo, const domain_names& aDomains)
 {
   for (int index = 0; index < kInstances; ++index) {
-    aTo.mInstances.emplace_back(std::string(aDomains[index % aDomains.size()]));
+    aTo.mInstanceDomains.emplace_back(
+      std::string(aDomains[index % aDomains.size()]));
   }
 }
 
 class_traffic
-Traffic(std::string aClass,
-        std::string aPool,
-        double aShare,
-        double aPrompt,
-        double aOutput)
+MakeTraffic(std::string aClass,
+            std::string aPool,
+            double aShare,
+            double aPrompt,
+            double aOutput)
 {
   class_traffic traffic;
   traffic.mClass = class_name(std::move(aClass));
@@ -87,7 +88,7 @@
   traffic.mMedianPrompt = aPrompt;
   traffic.mMedianOutput = aOutput;
   traffic.mMaxOutput = static_cast<std::uint32_t>(aOutput * 16);
-  traffic.mPrefixes = 24;
+  traffic.mPrefixCount = 24;
   return traffic;
 }
 
@@ -101,35 +102,38 @@
                                       "bangor-hall" };
   deployment made;
   made.mName = "granite-relay";
-  made.mBetweenDomains = std::chrono::microseconds(1500);
+  made.mInterDomainLatency = std::chrono::microseconds(1500);
   declarations& declared = made.mDeclared;
   AddClass(declared,
            "route-notes",
-           Level(1, Milliseconds(500), Seconds(8)),
+           MakeLevel(1, Milliseconds(500), Seconds(8)),
            0.2,
            true);
   AddClass(
-    declared, "dispatch", Level(2, Seconds(1), Seconds(15)), 0.15, false);
-  AddClass(
-    declared, "pallet-plans", Level(3, Seconds(5), Seconds(90)), 0.15, true);
+    declared, "dispatch", MakeLevel(2, Seconds(1), Seconds(15)), 0.15, false);
+  AddClass(declared,
+           "pallet-plans",
+           MakeLevel(3, Seconds(5), Seconds(90)),
+           0.15,
+           true);
   AddClass(
-    declared, "summaries", Level(4, Seconds(10), Seconds(90)), 0.05, true);
+    declared, "summaries", MakeLevel(4, Seconds(10), Seconds(90)), 0.05, true);
   AddEngines(declared, "dispatch-assistant", 10, made.mEngine.mSlots, kDomains);
   AddEngines(declared, "warehouse-ledger", 3, made.mEngine.mSlots, kDomains);
   AddTeams(declared);
   AddInstances(made, kDomains);
 
   class_traffic plans =
-    Traffic("pallet-plans", "dispatch-assistant", 0.3, 1500, 600);
+    MakeTraffic("pallet-plans", "dispatch-assistant", 0.3, 1500, 600);
   // Pallet plans vary most: one in forty is more than seven times the median.
-  plans.mSpread = 1.0;
+  plans.mLengthLogStdDev = 1.0;
   made.mTraffic = {
-    Traffic("route-notes", "dispatch-assistant", 0.3, 400, 60),
-    Traffic("dispatch", "dispatch-assistant", 0.25, 600, 120),
+    MakeTraffic("route-notes", "dispatch-assistant", 0.3, 400, 60),
+    MakeTraffic("dispatch", "dispatch-assistant", 0.25, 600, 120),
     plans,
-    Traffic("summaries", "dispatch-assistant", 0.15, 1000, 250),
-    Traffic("dispatch", "warehouse-ledger", 0.4, 600, 120),
-    Traffic("pallet-plans", "warehouse-ledger", 0.6, 1500, 400),
+    MakeTraffic("summaries", "dispatch-assistant", 0.15, 1000, 250),
+    MakeTraffic("dispatch", "warehouse-ledger", 0.4, 600, 120),
+    MakeTraffic("pallet-plans", "warehouse-ledger", 0.6, 1500, 400),
   };
   return made;
 }
@@ -142,30 +146,33 @@
                                       "sala-oeiras" };
   deployment made;
   made.mName = "ferreira-netos";
-  made.mBetweenDomains = std::chrono::microseconds(500);
+  made.mInterDomainLatency = std::chrono::microseconds(500);
   declarations& declared = made.mDeclared;
+  AddClass(declared,
+           "inspector",
+           MakeLevel(1, Milliseconds(800), Seconds(15)),
+           0.2,
+           true);
   AddClass(
-    declared, "inspector", Level(1, Milliseconds(800), Seconds(15)), 0.2, true);
-  AddClass(
-    declared, "crew-tags", Level(2, Seconds(1), Seconds(15)), 0.1, false);
+    declared, "crew-tags", MakeLevel(2, Seconds(1), Seconds(15)), 0.1, false);
   AddClass(declared,
            "resident-reports",
-           Level(3, Seconds(3), Seconds(45)),
+           MakeLevel(3, Seconds(3), Seconds(45)),
            0.25,
            true);
   AddClass(
-    declared, "case-files", Level(4, Seconds(10), Seconds(90)), 0.1, true);
+    declared, "case-files", MakeLevel(4, Seconds(10), Seconds(90)), 0.1, true);
   AddEngines(declared, "fleet", 12, made.mEngine.mSlots, kDomains);
   AddEngines(declared, "portal", 3, made.mEngine.mSlots, kDomains);
   AddTeams(declared);
   AddInstances(made, kDomains);
   made.mTraffic = {
-    Traffic("inspector", "fleet", 0.25, 800, 120),
-    Traffic("crew-tags", "fleet", 0.1, 500, 40),
-    Traffic("resident-reports", "fleet", 0.4, 1200, 200),
-    Traffic("case-files", "fleet", 0.25, 1500, 400),
-    Traffic("inspector", "portal", 0.3, 500, 100),
-    Traffic("resident-reports", "portal", 0.7, 700, 150),
+    MakeTraffic("inspector", "fleet", 0.25, 800, 120),
+    MakeTraffic("crew-tags", "fleet", 0.1, 500, 40),
+    MakeTraffic("resident-reports", "fleet", 0.4, 1200, 200),
+    MakeTraffic("case-files", "fleet", 0.25, 1500, 400),
+    MakeTraffic("inspector", "portal", 0.3, 500, 100),
+    MakeTraffic("resident-reports", "portal", 0.7, 700, 150),
   };
   return made;
 }
@@ -179,14 +186,15 @@
       return std::ranges::count(aEach.mPools, aTraffic.mPool) > 0;
     });
   // The mean of a log-normal length lies above its median.
-  const double mean = std::exp(aTraffic.mSpread * aTraffic.mSpread / 2);
+  const double mean =
+    std::exp(aTraffic.mLengthLogStdDev * aTraffic.mLengthLogStdDev / 2);
   const double prefills =
     std::max(1.0, aTraffic.mMedianPrompt * mean / engine.mPrefillChunk);
-  const double step = ToSeconds(engine.mStep) +
-                      ToSeconds(engine.mStepForEachRunning) * engine.mSlots;
+  const double step = ToSeconds(engine.mBaseStep) +
+                      ToSeconds(engine.mStepPerRunning) * engine.mSlots;
   const double slotSeconds =
     (prefills + aTraffic.mMedianOutput * mean) * step +
-    prefills * ToSeconds(engine.mStepForEachPrefill) * engine.mSlots;
+    prefills * ToSeconds(engine.mStepPerPrefill) * engine.mSlots;
   return aTraffic.mShareOfPool * static_cast<double>(engines) * engine.mSlots /
          slotSeconds;
 }
--- a/thornhollow/policy/scenario/deployment.h
+++ b/thornhollow/policy/scenario/deployment.h
@@ -23,11 +23,11 @@
   double mMedianPrompt = 0;
   double mMedianOutput = 0;
   // Standard deviation of the logarithm of both lengths.
-  double mSpread = 0.4;
+  double mLengthLogStdDev = 0.4;
   std::uint32_t mMaxOutput = 0;
   // Distinct prompt prefixes in use; the n-th is used 1/n as often as the
   // first.
-  std::uint32_t mPrefixes = 1;
+  std::uint32_t mPrefixCount = 1;
 };
 
 struct deployment
@@ -37,8 +37,8 @@
   engine_settings mEngine;
   std::vector<class_traffic> mTraffic;
   // The domain of each entry instance.
-  std::vector<domain_name> mInstances;
-  duration mBetweenDomains{};
+  std::vector<domain_name> mInstanceDomains;
+  duration mInterDomainLatency{};
 };
 
 // Relief dispatch: 10 + 3 engines, long pallet plans beside short route notes.
--- a/thornhollow/policy/scenario/engine_model.cc
+++ b/thornhollow/policy/scenario/engine_model.cc
@@ -19,62 +19,62 @@
   : mLoop(aLoop)
   , mSettings(aSettings)
   , mCallbacks(std::move(aCallbacks))
-  , mProgressed(aLoop.Now())
+  , mLastAdvanced(aLoop.Now())
 {
 }
 
 void
 engine_model::Add(const engine_job& aJob)
 {
-  Progress();
-  mWaiting.emplace(order{ aJob.mTier, mSequence++ }, aJob);
-  Admit();
-  Plan();
+  AdvanceJobs();
+  mWaiting.emplace(queue_position{ aJob.mTier, mSequence++ }, aJob);
+  AdmitWaiting();
+  ScheduleWake();
 }
 
 engine_work
 engine_model::Cancel(ticket aTicket)
 {
-  Progress();
+  AdvanceJobs();
   engine_work cost;
   if (const auto found = std::ranges::find(
         mRunning,
         aTicket,
-        [](const running& aEach) { return aEach.mJob.mTicket; });
+        [](const running_job& aEach) { return aEach.mJob.mTicket; });
       found != mRunning.end()) {
-    cost = Cost(*found);
+    cost = WorkDone(*found);
     mRunning.erase(found);
   }
   std::erase_if(mWaiting, [aTicket](const auto& aEach) {
     return aEach.second.mTicket == aTicket;
   });
-  Admit();
-  Plan();
+  AdmitWaiting();
+  ScheduleWake();
   return cost;
 }
 
 void
 engine_model::Crash()
 {
-  Progress();
+  AdvanceJobs();
   mUp = false;
-  std::vector<running> lost = std::exchange(mRunning, {});
+  std::vector<running_job> lost = std::exchange(mRunning, {});
   for (const auto& [rank, job] : std::exchange(mWaiting, {})) {
     lost.push_back({ job, 0, 0, static_cast<double>(job.mOutputTokens) });
   }
-  mCached.clear();
-  Plan();
-  for (const running& each : lost) {
-    mCallbacks.mLost(each.mJob.mTicket, Cost(each));
+  mPrefixCache.clear();
+  ScheduleWake();
+  for (const running_job& each : lost) {
+    mCallbacks.mLost(each.mJob.mTicket, WorkDone(each));
   }
 }
 
 void
-engine_model::SetSlowness(double aFactor)
+engine_model::SetSlowdown(double aFactor)
 {
-  Progress();
-  mSlowness = aFactor;
-  Plan();
+  AdvanceJobs();
+  mSlowdown = aFactor;
+  ScheduleWake();
 }
 
 load_report
@@ -85,30 +85,31 @@
   report.mWaiting = static_cast<std::uint32_t>(mWaiting.size());
   report.mSlots = mSettings.mSlots;
   report.mCacheUsed = static_cast<double>(mRunning.size()) / mSettings.mSlots;
-  report.mStep = Step();
+  report.mStep = StepTime();
   report.mTakenAt = mLoop.Now();
   return report;
 }
 
 duration
-engine_model::Step() const
+engine_model::StepTime() const
 {
   const auto prefilling = std::ranges::count_if(
-    mRunning, [](const running& aEach) { return aEach.mPrefillSteps > 0; });
+    mRunning, [](const running_job& aEach) { return aEach.mPrefillSteps > 0; });
   const duration step =
-    mSettings.mStep +
-    mSettings.mStepForEachRunning * static_cast<int>(mRunning.size()) +
-    mSettings.mStepForEachPrefill * static_cast<int>(prefilling);
-  return FromSeconds(ToSeconds(step) * mSlowness);
+    mSettings.mBaseStep +
+    mSettings.mStepPerRunning * static_cast<int>(mRunning.size()) +
+    mSettings.mStepPerPrefill * static_cast<int>(prefilling);
+  return FromSeconds(ToSeconds(step) * mSlowdown);
 }
 
 // Advances every running job by the steps since the last change.
 void
-engine_model::Progress()
+engine_model::AdvanceJobs()
 {
-  const double steps = ToSeconds(mLoop.Now() - mProgressed) / ToSeconds(Step());
-  mProgressed = mLoop.Now();
-  for (running& each : mRunning) {
+  const double steps =
+    ToSeconds(mLoop.Now() - mLastAdvanced) / ToSeconds(StepTime());
+  mLastAdvanced = mLoop.Now();
+  for (running_job& each : mRunning) {
     const double prefill = std::min(steps, each.mPrefillSteps);
     each.mPrefillSteps -= prefill;
     if (each.mPrefillSteps < kStepEpsilon) {
@@ -119,12 +120,13 @@
 }
 
 void
-engine_model::Admit()
+engine_model::AdmitWaiting()
 {
   while (mRunning.size() < mSettings.mSlots && !mWaiting.empty()) {
     const engine_job job = mWaiting.begin()->second;
     mWaiting.erase(mWaiting.begin());
-    const double saved = IsCached(job.mPrefix) ? mSettings.mPrefixShare : 0;
+    const double saved =
+      IsCached(job.mPrefix) ? mSettings.mPrefixSavedFraction : 0;
     const double prompt = job.mPromptTokens * (1 - saved);
     // The step that ends the prefill puts out the first token.
     const double steps =
@@ -136,11 +138,11 @@
 
 // Wakes at the next change of the batch: a prefill or an answer that ends.
 void
-engine_model::Plan()
+engine_model::ScheduleWake()
 {
-  const std::uint64_t planned = ++mPlanned;
+  const std::uint64_t planned = ++mWakeGeneration;
   double steps = std::numeric_limits<double>::infinity();
-  for (const running& each : mRunning) {
+  for (const running_job& each : mRunning) {
     steps = std::min(steps,
                      each.mPrefillSteps > 0 ? each.mPrefillSteps
                                             : std::max(0.0, each.mOutputLeft));
@@ -150,40 +152,40 @@
   }
   // One nanosecond more than the quotient, so that rounding can't plan a wake
   // before the change.
-  mLoop.After(FromSeconds(ToSeconds(Step()) * steps) + duration(1),
+  mLoop.After(FromSeconds(ToSeconds(StepTime()) * steps) + duration(1),
               [this, planned] {
-                if (planned == mPlanned) {
-                  OnDue();
+                if (planned == mWakeGeneration) {
+                  OnWake();
                 }
               });
 }
 
 void
-engine_model::OnDue()
+engine_model::OnWake()
 {
-  Progress();
+  AdvanceJobs();
   std::vector<ticket> started;
-  std::vector<running> ended;
-  for (running& each : mRunning) {
+  std::vector<running_job> ended;
+  for (running_job& each : mRunning) {
     if (!each.mStarted && each.mPrefillSteps == 0) {
       each.mStarted = true;
       started.push_back(each.mJob.mTicket);
     }
   }
-  std::erase_if(mRunning, [&ended](const running& aEach) {
+  std::erase_if(mRunning, [&ended](const running_job& aEach) {
     const bool isDone = aEach.mStarted && aEach.mOutputLeft < kStepEpsilon;
     if (isDone) {
       ended.push_back(aEach);
     }
     return isDone;
   });
-  Admit();
-  Plan();
+  AdmitWaiting();
+  ScheduleWake();
   for (const ticket each : started) {
     mCallbacks.mFirstToken(each);
   }
-  for (const running& each : ended) {
-    mCallbacks.mCompleted(each.mJob.mTicket, Cost(each));
+  for (const running_job& each : ended) {
+    mCallbacks.mCompleted(each.mJob.mTicket, WorkDone(each));
   }
 }
 
@@ -193,20 +195,20 @@
   if (aPrefix == 0) {
     return false;
   }
-  const auto found = std::ranges::find(mCached, aPrefix);
-  const bool isCached = found != mCached.end();
+  const auto found = std::ranges::find(mPrefixCache, aPrefix);
+  const bool isCached = found != mPrefixCache.end();
   if (isCached) {
-    mCached.erase(found);
+    mPrefixCache.erase(found);
   }
-  mCached.push_front(aPrefix);
-  if (mCached.size() > mSettings.mCachedPrefixes) {
-    mCached.pop_back();
+  mPrefixCache.push_front(aPrefix);
+  if (mPrefixCache.size() > mSettings.mCachedPrefixes) {
+    mPrefixCache.pop_back();
   }
   return isCached;
 }
 
 engine_work
-engine_model::Cost(const running& aRunning) const
+engine_model::WorkDone(const running_job& aRunning) const
 {
   const double output =
     aRunning.mStarted
--- a/thornhollow/policy/scenario/engine_model.h
+++ b/thornhollow/policy/scenario/engine_model.h
@@ -24,14 +24,14 @@
 {
   std::uint32_t mSlots = 8;
   // The brief: a step takes about four milliseconds or more.
-  duration mStep = Milliseconds(4);
+  duration mBaseStep = Milliseconds(4);
   // A full batch of eight doubles the step.
-  duration mStepForEachRunning = std::chrono::microseconds(500);
+  duration mStepPerRunning = std::chrono::microseconds(500);
   // A prefill chunk shares the step with the tokens of the others.
-  duration mStepForEachPrefill = Milliseconds(2);
+  duration mStepPerPrefill = Milliseconds(2);
   std::uint32_t mPrefillChunk = 256;
   // Part of a prompt that its cached prefix saves.
-  double mPrefixShare = 0.8;
+  double mPrefixSavedFraction = 0.8;
   // Prefixes that fit the engine's cache memory.
   std::size_t mCachedPrefixes = 8;
 };
@@ -74,15 +74,15 @@
   // All jobs are lost, and no new ones may come, until `Restart`.
   void Crash();
   void Restart() { mUp = true; }
-  bool Up() const { return mUp; }
+  bool IsUp() const { return mUp; }
 
   // Each step takes `aFactor` times as long.
-  void SetSlowness(double aFactor);
+  void SetSlowdown(double aFactor);
 
   load_report Report() const;
 
 private:
-  struct running
+  struct running_job
   {
     engine_job mJob;
     double mPrefillSteps = 0;
@@ -90,33 +90,34 @@
     double mOutputLeft = 0;
     bool mStarted = false;
   };
-  struct order
+  struct queue_position
   {
     int mTier;
     std::uint64_t mSequence;
     // clang-tidy 14 takes the 0 in the generated code for a null pointer.
     // NOLINTNEXTLINE(modernize-use-nullptr)
-    friend auto operator<=>(const order&, const order&) = default;
+    friend auto operator<=>(const queue_position&,
+                            const queue_position&) = default;
   };
 
-  duration Step() const;
-  void Progress();
-  void Admit();
-  void Plan();
-  void OnDue();
+  duration StepTime() const;
+  void AdvanceJobs();
+  void AdmitWaiting();
+  void ScheduleWake();
+  void OnWake();
   bool IsCached(std::uint64_t aPrefix);
-  engine_work Cost(const running& aRunning) const;
+  engine_work WorkDone(const running_job& aRunning) const;
 
   event_loop& mLoop;
   engine_settings mSettings;
   callbacks mCallbacks;
-  std::vector<running> mRunning;
-  std::map<order, engine_job> mWaiting;
-  std::list<std::uint64_t> mCached;
+  std::vector<running_job> mRunning;
+  std::map<queue_position, engine_job> mWaiting;
+  std::list<std::uint64_t> mPrefixCache;
   std::uint64_t mSequence = 0;
-  std::uint64_t mPlanned = 0;
-  time_point mProgressed{};
-  double mSlowness = 1;
+  std::uint64_t mWakeGeneration = 0;
+  time_point mLastAdvanced{};
+  double mSlowdown = 1;
   bool mUp = true;
 };
 
--- a/thornhollow/policy/scenario/figures.cc
+++ b/thornhollow/policy/scenario/figures.cc
@@ -20,10 +20,10 @@
 } // namespace
 
 outcomes
-RunAll(const deployment& aSite,
-       const std::string& aScenario,
-       const policy_choice& aPolicy,
-       std::uint64_t aSeeds)
+RunSeeds(const deployment& aSite,
+         const std::string& aScenario,
+         const policy_choice& aPolicy,
+         std::uint64_t aSeeds)
 {
   const scenario_spec spec = FindScenario(aSite, aScenario);
   outcomes runs;
@@ -44,7 +44,7 @@
 
 // The part of the useful tokens that the tiers from `aTier` down get.
 double
-ShareFrom(const outcomes& aRuns, int aTier)
+TokenShareFromTier(const outcomes& aRuns, int aTier)
 {
   return Median(aRuns, [aTier](const outcome& aOf) {
     double tokens = 0;
@@ -56,13 +56,13 @@
 }
 
 double
-Wasted(const outcomes& aRuns)
+WastedFraction(const outcomes& aRuns)
 {
-  return Median(aRuns, [](const outcome& aOf) { return aOf.mWasted; });
+  return Median(aRuns, [](const outcome& aOf) { return aOf.mWastedFraction; });
 }
 
 double
-Refusals(const outcomes& aRuns)
+ErrorResponses(const outcomes& aRuns)
 {
   return Median(aRuns, [](const outcome& aOf) {
     double sum = 0;
@@ -74,7 +74,7 @@
 }
 
 double
-OtherTeams(const outcomes& aRuns)
+OtherTeamsAttainment(const outcomes& aRuns)
 {
   return Median(aRuns,
                 [](const outcome& aOf) { return aOf.mOtherTeamsAttainment; });
--- a/thornhollow/policy/scenario/figures.h
+++ b/thornhollow/policy/scenario/figures.h
@@ -18,10 +18,10 @@
 
 // The scenario with the seeds 1 to `aSeeds`.
 outcomes
-RunAll(const deployment& aSite,
-       const std::string& aScenario,
-       const policy_choice& aPolicy,
-       std::uint64_t aSeeds);
+RunSeeds(const deployment& aSite,
+         const std::string& aScenario,
+         const policy_choice& aPolicy,
+         std::uint64_t aSeeds);
 
 // Of the first class of this tier; there must be one.
 double
@@ -29,21 +29,21 @@
 
 // Attainment of all teams but the first, over all classes.
 double
-OtherTeams(const outcomes& aRuns);
+OtherTeamsAttainment(const outcomes& aRuns);
 
 // The part of the useful tokens that the tiers from `aTier` down get.
 double
-ShareFrom(const outcomes& aRuns, int aTier);
+TokenShareFromTier(const outcomes& aRuns, int aTier);
 
 double
 TokensPerSecond(const outcomes& aRuns);
 
 double
-Wasted(const outcomes& aRuns);
+WastedFraction(const outcomes& aRuns);
 
 // Answers with an error, of any kind.
 double
-Refusals(const outcomes& aRuns);
+ErrorResponses(const outcomes& aRuns);
 
 double
 RecoverySeconds(const outcomes& aRuns);
--- a/thornhollow/policy/scenario/regression_test.cc
+++ b/thornhollow/policy/scenario/regression_test.cc
@@ -36,12 +36,12 @@
   const std::string name(aBound.mScenario);
   CAPTURE(name);
   const outcomes runs =
-    RunAll(aSite, name, scheduler_settings{}, aBound.mSeeds);
+    RunSeeds(aSite, name, scheduler_settings{}, aBound.mSeeds);
   CHECK(Attainment(runs, 1) >= aBound.mHighest);
   CHECK(Attainment(runs, 2) >= aBound.mSecond);
-  CHECK(ShareFrom(runs, kLowestTier) >= aBound.mLowestShare);
+  CHECK(TokenShareFromTier(runs, kLowestTier) >= aBound.mLowestShare);
   CHECK(TokensPerSecond(runs) >= aBound.mTokens);
-  CHECK(Wasted(runs) <= aBound.mWasted);
+  CHECK(WastedFraction(runs) <= aBound.mWasted);
 }
 
 TEST_CASE("scenarios/granite_relay/within_bounds")
--- a/thornhollow/policy/scenario/report.cc
+++ b/thornhollow/policy/scenario/report.cc
@@ -12,16 +12,16 @@
 namespace {
 
 template<class figure>
-spread
-Over(const std::vector<outcome>& aOutcomes, figure aFigure)
+median_range
+Summarize(const std::vector<outcome>& aOutcomes, figure aFigure)
 {
   std::vector<double> values;
   std::ranges::transform(aOutcomes, std::back_inserter(values), aFigure);
-  return SpreadOf(std::move(values));
+  return MedianRangeOf(std::move(values));
 }
 
 class_row
-ClassRow(const std::vector<outcome>& aOutcomes, std::size_t aClass)
+MakeClassRow(const std::vector<outcome>& aOutcomes, std::size_t aClass)
 {
   const auto of = [aClass](const outcome& aEach) -> const class_outcome& {
     return aEach.mClasses[aClass];
@@ -29,30 +29,33 @@
   return {
     of(aOutcomes.front()).mClass,
     of(aOutcomes.front()).mTier,
-    Over(aOutcomes, [&](const auto& aEach) { return of(aEach).Attainment(); }),
-    Over(aOutcomes, [&](const auto& aEach) { return of(aEach).Completion(); }),
-    Over(aOutcomes,
-         [&](const auto& aEach) { return of(aEach).FirstTokenQuantile(0.95); }),
-    Over(aOutcomes,
-         [&](const auto& aEach) { return of(aEach).mTokensPerSecond; }),
+    Summarize(aOutcomes,
+              [&](const auto& aEach) { return of(aEach).Attainment(); }),
+    Summarize(aOutcomes,
+              [&](const auto& aEach) { return of(aEach).Completion(); }),
+    Summarize(
+      aOutcomes,
+      [&](const auto& aEach) { return of(aEach).FirstTokenQuantile(0.95); }),
+    Summarize(aOutcomes,
+              [&](const auto& aEach) { return of(aEach).mTokensPerSecond; }),
   };
 }
 
 std::string
-Percent(const spread& aFigure)
+Percent(const median_range& aFigure)
 {
   return fmt::format("{:5.1f} ({:.1f}..{:.1f})",
                      100 * aFigure.mMedian,
-                     100 * aFigure.mLeast,
-                     100 * aFigure.mMost);
+                     100 * aFigure.mMin,
+                     100 * aFigure.mMax);
 }
 
 boost::json::object
-Json(const spread& aFigure)
+Json(const median_range& aFigure)
 {
   return { { "median", aFigure.mMedian },
-           { "min", aFigure.mLeast },
-           { "max", aFigure.mMost } };
+           { "min", aFigure.mMin },
+           { "max", aFigure.mMax } };
 }
 
 boost::json::object
@@ -78,16 +81,16 @@
            { "other_teams_attainment", Json(aRow.mOtherTeams) },
            { "tokens_per_s", Json(aRow.mTokensPerSecond) },
            { "requests_per_s", Json(aRow.mRequestsPerSecond) },
-           { "wasted", Json(aRow.mWasted) },
+           { "wasted", Json(aRow.mWastedFraction) },
            { "recovery_s", Json(aRow.mRecoverySeconds) },
-           { "come_back_peak", Json(aRow.mComeBackPeak) },
+           { "come_back_peak", Json(aRow.mRetryPeak) },
            { "refusals", std::move(errors) } };
 }
 
 } // namespace
 
-spread
-SpreadOf(std::vector<double> aValues)
+median_range
+MedianRangeOf(std::vector<double> aValues)
 {
   std::ranges::sort(aValues);
   return { aValues[aValues.size() / 2], aValues.front(), aValues.back() };
@@ -108,19 +111,20 @@
   row.mScenario = aScenario.mName;
   row.mPolicy = aPolicy.mName;
   for (std::size_t index = 0; index < outcomes[0].mClasses.size(); ++index) {
-    row.mClasses.push_back(ClassRow(outcomes, index));
+    row.mClasses.push_back(MakeClassRow(outcomes, index));
   }
-  row.mOtherTeams = Over(outcomes, &outcome::mOtherTeamsAttainment);
-  row.mTokensPerSecond = Over(outcomes, &outcome::mTokensPerSecond);
-  row.mRequestsPerSecond = Over(outcomes, &outcome::mRequestsPerSecond);
-  row.mWasted = Over(outcomes, &outcome::mWasted);
-  row.mRecoverySeconds = Over(outcomes, &outcome::mRecoverySeconds);
-  row.mComeBackPeak = Over(outcomes, &outcome::mComeBackPeak);
+  row.mOtherTeams = Summarize(outcomes, &outcome::mOtherTeamsAttainment);
+  row.mTokensPerSecond = Summarize(outcomes, &outcome::mTokensPerSecond);
+  row.mRequestsPerSecond = Summarize(outcomes, &outcome::mRequestsPerSecond);
+  row.mWastedFraction = Summarize(outcomes, &outcome::mWastedFraction);
+  row.mRecoverySeconds = Summarize(outcomes, &outcome::mRecoverySeconds);
+  row.mRetryPeak = Summarize(outcomes, &outcome::mRetryPeak);
   for (const error_kind kind : AllErrorKinds()) {
-    const spread count = Over(outcomes, [kind](const outcome& aEach) {
-      return aEach.mErrors[static_cast<std::size_t>(kind)];
-    });
-    if (count.mMost > 0) {
+    const median_range count =
+      Summarize(outcomes, [kind](const outcome& aEach) {
+        return aEach.mErrors[static_cast<std::size_t>(kind)];
+      });
+    if (count.mMax > 0) {
       row.mErrors.emplace_back(kind, count.mMedian);
     }
   }
@@ -131,8 +135,9 @@
 RunTable(const table_options& aOptions)
 {
   std::vector<report_row> rows;
-  const auto contains = [](const std::string& aText, const std::string& aPart) {
-    return aText.find(aPart) != std::string::npos;
+  const auto contains = [](const std::string& aText,
+                           const std::string& aSubstring) {
+    return aText.find(aSubstring) != std::string::npos;
   };
   for (const deployment& site : { GraniteRelay(), FerreiraNetos() }) {
     for (const scenario_spec& each : AllScenarios(site)) {
@@ -177,20 +182,20 @@
                    "wasted {} | others {}",
                    "",
                    row.mTokensPerSecond.mMedian,
-                   row.mTokensPerSecond.mLeast,
-                   row.mTokensPerSecond.mMost,
+                   row.mTokensPerSecond.mMin,
+                   row.mTokensPerSecond.mMax,
                    row.mRequestsPerSecond.mMedian,
-                   Percent(row.mWasted),
+                   Percent(row.mWastedFraction),
                    Percent(row.mOtherTeams));
-    if (row.mRecoverySeconds.mMost > 0) {
+    if (row.mRecoverySeconds.mMax > 0) {
       fmt::format_to(out,
                      " | recovery {:.0f} s ({:.0f}..{:.0f})",
                      row.mRecoverySeconds.mMedian,
-                     row.mRecoverySeconds.mLeast,
-                     row.mRecoverySeconds.mMost);
+                     row.mRecoverySeconds.mMin,
+                     row.mRecoverySeconds.mMax);
     }
-    if (row.mComeBackPeak.mMost > 0) {
-      fmt::format_to(out, " | peak {}", Percent(row.mComeBackPeak));
+    if (row.mRetryPeak.mMax > 0) {
+      fmt::format_to(out, " | peak {}", Percent(row.mRetryPeak));
     }
     fmt::format_to(out, "\n  {:<20} |", "");
     for (const auto& [kind, count] : row.mErrors) {
--- a/thornhollow/policy/scenario/report.h
+++ b/thornhollow/policy/scenario/report.h
@@ -15,25 +15,25 @@
 namespace thornhollow::scenario {
 
 // A figure over the seeds.
-struct spread
+struct median_range
 {
   double mMedian = 0;
-  double mLeast = 0;
-  double mMost = 0;
+  double mMin = 0;
+  double mMax = 0;
 };
 
 // The median and the ends of `aValues`, which must not be empty.
-spread
-SpreadOf(std::vector<double> aValues);
+median_range
+MedianRangeOf(std::vector<double> aValues);
 
 struct class_row
 {
   class_name mClass;
   int mTier = kLowestTier;
-  spread mAttainment;
-  spread mCompletion;
-  spread mFirstToken95;
-  spread mTokensPerSecond;
+  median_range mAttainment;
+  median_range mCompletion;
+  median_range mFirstToken95;
+  median_range mTokensPerSecond;
 };
 
 // One scenario of one deployment under one policy.
@@ -43,12 +43,12 @@
   std::string mScenario;
   std::string mPolicy;
   std::vector<class_row> mClasses;
-  spread mOtherTeams;
-  spread mTokensPerSecond;
-  spread mRequestsPerSecond;
-  spread mWasted;
-  spread mRecoverySeconds;
-  spread mComeBackPeak;
+  median_range mOtherTeams;
+  median_range mTokensPerSecond;
+  median_range mRequestsPerSecond;
+  median_range mWastedFraction;
+  median_range mRecoverySeconds;
+  median_range mRetryPeak;
   // Medians over the seeds, of kinds that came up.
   std::vector<std::pair<error_kind, double>> mErrors;
 };
--- a/thornhollow/policy/scenario/simulation.cc
+++ b/thornhollow/policy/scenario/simulation.cc
@@ -19,46 +19,46 @@
 
 // Engines and queues fill up before figures count.
 constexpr duration kWarmUp = Seconds(5);
-constexpr duration kToEngine = Milliseconds(1);
+constexpr duration kEngineLatency = Milliseconds(1);
 constexpr duration kConnectTimeout = Seconds(1);
-constexpr duration kReportEvery = Milliseconds(250);
+constexpr duration kReportInterval = Milliseconds(250);
 // Four rounds of gossip a second, each with a datagram's way.
-constexpr duration kPressureEvery = Milliseconds(250);
+constexpr duration kPressureInterval = Milliseconds(250);
 constexpr duration kPressureDelay = Milliseconds(5);
 // What a caller waits after a failure that names no time.
-constexpr duration kOwnBackoff = Seconds(1);
+constexpr duration kDefaultBackoff = Seconds(1);
 constexpr int kMaxAttempts = 3;
 constexpr double kPromptTokenCost = 1.0 / 32;
-constexpr double kRecovered = 0.9;
+constexpr double kRecoveredAttainment = 0.9;
 constexpr duration kRecoveryBin = Seconds(1);
 
 // What a caller wants, over all its submissions.
-struct intent
+struct logical_request
 {
   std::size_t mTraffic = 0;
   std::size_t mClass = 0;
   std::size_t mTeam = 0;
   std::uint64_t mPrefix = 0;
-  std::uint32_t mPrompt = 0;
-  std::uint32_t mOutput = 1;
-  time_point mAsked{};
-  int mComeBacks = 0;
-  bool mCounts = false;
+  std::uint32_t mPromptTokens = 0;
+  std::uint32_t mOutputTokens = 1;
+  time_point mFirstSubmitted{};
+  int mRetries = 0;
+  bool mIsMeasured = false;
   bool mAttained = false;
 };
 
 // One request at one instance.
 struct submission
 {
-  std::size_t mIntent = 0;
+  std::size_t mRequest = 0;
   std::size_t mInstance = 0;
   work_item mItem;
   std::optional<std::size_t> mEngine;
   int mAttempts = 0;
-  std::uint32_t mReceived = 0;
+  std::uint32_t mReceivedTokens = 0;
   std::optional<time_point> mFirstToken;
   double mCost = 0;
-  double mLastPrefill = 0;
+  double mLastPrefillCost = 0;
 };
 
 struct entry_instance
@@ -72,19 +72,20 @@
 
   static policy Make(const policy_choice& aPolicy, std::uint64_t aSeed)
   {
-    if (const auto* own = std::get_if<scheduler_settings>(&aPolicy)) {
-      return policy(std::in_place_type<scheduler>, *own, aSeed);
+    if (const auto* settings = std::get_if<scheduler_settings>(&aPolicy)) {
+      return policy(std::in_place_type<scheduler>, *settings, aSeed);
     }
-    const endpoint_order order = std::holds_alternative<round_robin>(aPolicy)
-                                   ? endpoint_order(round_robin{})
-                                   : endpoint_order(least_outstanding{});
-    return policy(std::in_place_type<baseline_scheduler>, order, aSeed);
+    const balancing_algorithm algorithm =
+      std::holds_alternative<round_robin>(aPolicy)
+        ? balancing_algorithm(round_robin{})
+        : balancing_algorithm(least_outstanding{});
+    return policy(std::in_place_type<baseline_scheduler>, algorithm, aSeed);
   }
 
   policy mPolicy;
   domain_name mDomain;
   time_point mPausedUntil{};
-  std::optional<time_point> mWakes;
+  std::optional<time_point> mNextWake;
 };
 
 class simulation
@@ -100,45 +101,45 @@
 private:
   void MakeEngines();
   void MakeInstances(const policy_choice& aPolicy, std::uint64_t aSeed);
-  void PlanTroubles();
-  void Begin(const trouble& aTrouble);
-  void End(const trouble& aTrouble);
-  void CutConnections();
+  void ScheduleFaults();
+  void BeginFault(const injected_fault& aFault);
+  void EndFault(const injected_fault& aFault);
+  void BreakPartitionedStreams();
 
-  void PlanArrival(std::size_t aTraffic);
-  double Factor(const class_name& aClass, std::size_t aTeam) const;
+  void ScheduleArrival(std::size_t aTraffic);
+  double SurgeFactor(const class_name& aClass, std::size_t aTeam) const;
   double TeamShare(std::size_t aTeam) const;
-  double TotalFactor(const class_name& aClass) const;
+  double ClassSurgeFactor(const class_name& aClass) const;
   void Arrive(std::size_t aTraffic);
-  std::uint32_t Length(double aMedian, double aSpread);
-  std::uint64_t Prefix(const class_traffic& aTraffic);
+  std::uint32_t DrawLength(double aMedian, double aSpread);
+  std::uint64_t DrawPrefix(const class_traffic& aTraffic);
   std::size_t PickInstance(std::size_t aClass);
-  void SubmitIntent(std::size_t aIntent);
+  void SubmitRequest(std::size_t aRequest);
 
   // Runs `aCall` on an instance's policy, unless its process stands still; then
   // once it goes on.
   template<class call>
   void OnInstance(std::size_t aInstance, call aCall);
   void Apply(std::size_t aInstance, const decisions& aDecisions);
-  void PlanWake(std::size_t aInstance);
+  void ScheduleWake(std::size_t aInstance);
 
   void StartAttempt(std::size_t aInstance, const start& aStart);
   void OnFirstToken(ticket aTicket);
   void OnCompleted(ticket aTicket, const engine_work& aWork);
-  void OnLost(ticket aTicket, const engine_work& aWork, bool aMayHaveRun);
+  void OnLost(ticket aTicket, const engine_work& aWork, bool aMayHaveStarted);
   void OnDeadline(ticket aTicket);
   void Account(submission& aSubmission, const engine_work& aWork);
-  void Fail(ticket aTicket, error_kind aKind, duration aRetryAfter);
-  void ComeBack(std::size_t aIntent, error_kind aKind, duration aAfter);
-  bool Reachable(const domain_name& aLeft, const domain_name& aRight) const;
-
-  void PlanReports();
-  void PlanTicks();
-  void PlanPressure();
-  void TellPressure(std::size_t aInstance);
+  void EndWithError(ticket aTicket, error_kind aKind, duration aRetryAfter);
+  void MaybeRetry(std::size_t aRequest, error_kind aKind, duration aAfter);
+  bool IsReachable(const domain_name& aLeft, const domain_name& aRight) const;
+
+  void ScheduleReports();
+  void ScheduleTicks();
+  void SchedulePressure();
+  void SendPressure(std::size_t aInstance);
   bool IsOver() const;
-  outcome Judge() const;
-  double Recovery() const;
+  outcome ComputeOutcome() const;
+  double ComputeRecovery() const;
 
   const deployment& mDeployment;
   const scenario_spec& mScenario;
@@ -148,16 +149,16 @@
   std::vector<std::unique_ptr<engine_model>> mEngines;
   std::unordered_map<endpoint_name, std::size_t> mEngineIndex;
   std::deque<entry_instance> mInstances;
-  domain_name mCutOff;
-  std::vector<intent> mIntents;
-  std::unordered_map<ticket, submission> mOpen;
+  domain_name mPartitionedDomain;
+  std::vector<logical_request> mRequests;
+  std::unordered_map<ticket, submission> mOpenSubmissions;
   ticket mNextTicket = 1;
   outcome mOutcome;
-  double mComputed = 0;
-  double mUseful = 0;
-  double mGoodTokens = 0;
-  double mGoodRequests = 0;
-  std::map<std::int64_t, std::uint32_t> mComeBackBins;
+  double mComputedTokens = 0;
+  double mUsefulTokens = 0;
+  double mGoodputTokens = 0;
+  double mGoodputRequests = 0;
+  std::map<std::int64_t, std::uint32_t> mRetryBins;
 };
 
 simulation::simulation(const deployment& aDeployment,
@@ -185,14 +186,14 @@
     mEngineIndex.emplace(each.mName, mEngines.size());
     engine_model::callbacks calls;
     calls.mFirstToken = [this](ticket aTicket) {
-      mLoop.After(kToEngine, [this, aTicket] { OnFirstToken(aTicket); });
+      mLoop.After(kEngineLatency, [this, aTicket] { OnFirstToken(aTicket); });
     };
     calls.mCompleted = [this](ticket aTicket, const engine_work& aWork) {
-      mLoop.After(kToEngine,
+      mLoop.After(kEngineLatency,
                   [this, aTicket, aWork] { OnCompleted(aTicket, aWork); });
     };
     calls.mLost = [this](ticket aTicket, const engine_work& aWork) {
-      mLoop.After(kToEngine,
+      mLoop.After(kEngineLatency,
                   [this, aTicket, aWork] { OnLost(aTicket, aWork, true); });
     };
     mEngines.push_back(std::make_unique<engine_model>(
@@ -203,7 +204,7 @@
 void
 simulation::MakeInstances(const policy_choice& aPolicy, std::uint64_t aSeed)
 {
-  for (const domain_name& domain : mDeployment.mInstances) {
+  for (const domain_name& domain : mDeployment.mInstanceDomains) {
     const std::uint64_t seed = aSeed * 1000 + mInstances.size();
     mInstances.emplace_back(aPolicy, seed).mDomain = domain;
   }
@@ -218,83 +219,82 @@
 outcome
 simulation::Run()
 {
-  PlanTroubles();
+  ScheduleFaults();
   for (std::size_t traffic = 0; traffic < mDeployment.mTraffic.size();
        ++traffic) {
-    PlanArrival(traffic);
+    ScheduleArrival(traffic);
   }
-  PlanReports();
-  PlanTicks();
-  PlanPressure();
+  ScheduleReports();
+  ScheduleTicks();
+  SchedulePressure();
   duration longest{};
   for (const service_level& each : mDeployment.mDeclared.mLevels) {
     longest = std::max(longest, each.mDeadline);
   }
   mLoop.RunUntil(mStart + kWarmUp + mScenario.mLength + 2 * longest);
-  return Judge();
+  return ComputeOutcome();
 }
 
 void
-simulation::PlanTroubles()
+simulation::ScheduleFaults()
 {
-  for (const trouble& each : mScenario.mTroubles) {
-    mLoop.At(mStart + kWarmUp + each.mFrom, [this, each] { Begin(each); });
-    mLoop.At(mStart + kWarmUp + each.mUntil, [this, each] { End(each); });
+  for (const injected_fault& each : mScenario.mFaults) {
+    mLoop.At(mStart + kWarmUp + each.mFrom, [this, each] { BeginFault(each); });
+    mLoop.At(mStart + kWarmUp + each.mUntil, [this, each] { EndFault(each); });
   }
 }
 
 void
-simulation::Begin(const trouble& aTrouble)
+simulation::BeginFault(const injected_fault& aFault)
 {
-  switch (aTrouble.mKind) {
-    case trouble_kind::kSlow:
-      mEngines[aTrouble.mIndex]->SetSlowness(aTrouble.mFactor);
+  switch (aFault.mKind) {
+    case injected_fault_kind::kSlow:
+      mEngines[aFault.mIndex]->SetSlowdown(aFault.mFactor);
       break;
-    case trouble_kind::kCrash:
-      mEngines[aTrouble.mIndex]->Crash();
+    case injected_fault_kind::kCrash:
+      mEngines[aFault.mIndex]->Crash();
       break;
-    case trouble_kind::kCutOff:
-      mCutOff = aTrouble.mDomain;
-      CutConnections();
+    case injected_fault_kind::kPartition:
+      mPartitionedDomain = aFault.mDomain;
+      BreakPartitionedStreams();
       break;
-    case trouble_kind::kPause:
-      mInstances[aTrouble.mIndex].mPausedUntil =
-        mStart + kWarmUp + aTrouble.mUntil;
+    case injected_fault_kind::kPause:
+      mInstances[aFault.mIndex].mPausedUntil = mStart + kWarmUp + aFault.mUntil;
       break;
   }
 }
 
 void
-simulation::End(const trouble& aTrouble)
+simulation::EndFault(const injected_fault& aFault)
 {
-  switch (aTrouble.mKind) {
-    case trouble_kind::kSlow:
-      mEngines[aTrouble.mIndex]->SetSlowness(1);
+  switch (aFault.mKind) {
+    case injected_fault_kind::kSlow:
+      mEngines[aFault.mIndex]->SetSlowdown(1);
       break;
-    case trouble_kind::kCrash:
-      mEngines[aTrouble.mIndex]->Restart();
+    case injected_fault_kind::kCrash:
+      mEngines[aFault.mIndex]->Restart();
       break;
-    case trouble_kind::kCutOff:
-      mCutOff = domain_name();
+    case injected_fault_kind::kPartition:
+      mPartitionedDomain = domain_name();
       break;
-    case trouble_kind::kPause:
+    case injected_fault_kind::kPause:
       break;
   }
 }
 
 // Streams over the cut fall silent; both ends notice after the time limit.
 void
-simulation::CutConnections()
+simulation::BreakPartitionedStreams()
 {
-  for (const auto& [id, each] : mOpen) {
+  for (const auto& [id, each] : mOpenSubmissions) {
     if (!each.mEngine ||
-        Reachable(mInstances[each.mInstance].mDomain,
-                  mDeployment.mDeclared.mEndpoints[*each.mEngine].mDomain)) {
+        IsReachable(mInstances[each.mInstance].mDomain,
+                    mDeployment.mDeclared.mEndpoints[*each.mEngine].mDomain)) {
       continue;
     }
     mLoop.After(kConnectTimeout, [this, id = id, engine = *each.mEngine] {
-      const auto found = mOpen.find(id);
-      if (found != mOpen.end() && found->second.mEngine == engine) {
+      const auto found = mOpenSubmissions.find(id);
+      if (found != mOpenSubmissions.end() && found->second.mEngine == engine) {
         OnLost(id, mEngines[engine]->Cancel(id), true);
       }
     });
@@ -302,9 +302,11 @@
 }
 
 bool
-simulation::Reachable(const domain_name& aLeft, const domain_name& aRight) const
+simulation::IsReachable(const domain_name& aLeft,
+                        const domain_name& aRight) const
 {
-  return mCutOff.empty() || (aLeft == mCutOff) == (aRight == mCutOff);
+  return mPartitionedDomain.empty() ||
+         (aLeft == mPartitionedDomain) == (aRight == mPartitionedDomain);
 }
 
 double
@@ -317,7 +319,7 @@
 }
 
 double
-simulation::Factor(const class_name& aClass, std::size_t aTeam) const
+simulation::SurgeFactor(const class_name& aClass, std::size_t aTeam) const
 {
   const duration since = mLoop.Now() - mStart - kWarmUp;
   const team_name& team = mDeployment.mDeclared.mTeams[aTeam].mName;
@@ -332,12 +334,12 @@
 }
 
 double
-simulation::TotalFactor(const class_name& aClass) const
+simulation::ClassSurgeFactor(const class_name& aClass) const
 {
   double total = 0;
   for (std::size_t team = 0; team < mDeployment.mDeclared.mTeams.size();
        ++team) {
-    total += TeamShare(team) * Factor(aClass, team);
+    total += TeamShare(team) * SurgeFactor(aClass, team);
   }
   return total;
 }
@@ -345,31 +347,31 @@
 // A Poisson process: its rate at the time drawn decides whether the arrival is
 // one, so that a surge needs no event of its own.
 void
-simulation::PlanArrival(std::size_t aTraffic)
+simulation::ScheduleArrival(std::size_t aTraffic)
 {
   const class_traffic& traffic = mDeployment.mTraffic[aTraffic];
-  double most = 1;
+  double max = 1;
   for (const surge& each : mScenario.mSurges) {
-    most *= std::max(1.0, each.mFactor);
+    max *= std::max(1.0, each.mFactor);
   }
   const double rate = RequestRate(mDeployment, traffic) * mScenario.mLoad;
   const double wait =
-    std::exponential_distribution<double>(rate * most)(mRandom);
-  mLoop.After(FromSeconds(wait), [this, aTraffic, most] {
+    std::exponential_distribution<double>(rate * max)(mRandom);
+  mLoop.After(FromSeconds(wait), [this, aTraffic, max] {
     if (mLoop.Now() >= mStart + kWarmUp + mScenario.mLength) {
       return;
     }
-    const double keep =
-      TotalFactor(mDeployment.mTraffic[aTraffic].mClass) / most;
-    if (std::bernoulli_distribution(std::min(1.0, keep))(mRandom)) {
+    const double acceptance =
+      ClassSurgeFactor(mDeployment.mTraffic[aTraffic].mClass) / max;
+    if (std::bernoulli_distribution(std::min(1.0, acceptance))(mRandom)) {
       Arrive(aTraffic);
     }
-    PlanArrival(aTraffic);
+    ScheduleArrival(aTraffic);
   });
 }
 
 std::uint32_t
-simulation::Length(double aMedian, double aSpread)
+simulation::DrawLength(double aMedian, double aSpread)
 {
   const double drawn =
     std::lognormal_distribution<double>(std::log(aMedian), aSpread)(mRandom);
@@ -377,13 +379,13 @@
 }
 
 std::uint64_t
-simulation::Prefix(const class_traffic& aTraffic)
+simulation::DrawPrefix(const class_traffic& aTraffic)
 {
   std::uint32_t which = 0;
   if (!std::bernoulli_distribution(mScenario.mHotPrefixShare)(mRandom)) {
     // The n-th prefix is used 1/n as often as the first.
     std::vector<double> weights;
-    for (std::uint32_t rank = 1; rank <= aTraffic.mPrefixes; ++rank) {
+    for (std::uint32_t rank = 1; rank <= aTraffic.mPrefixCount; ++rank) {
       weights.push_back(1.0 / rank);
     }
     which = std::discrete_distribution<std::uint32_t>(weights.begin(),
@@ -396,7 +398,7 @@
 simulation::Arrive(std::size_t aTraffic)
 {
   const class_traffic& traffic = mDeployment.mTraffic[aTraffic];
-  intent next;
+  logical_request next;
   next.mTraffic = aTraffic;
   while (mOutcome.mClasses[next.mClass].mClass != traffic.mClass) {
     ++next.mClass;
@@ -404,19 +406,21 @@
   std::vector<double> teams;
   for (std::size_t team = 0; team < mDeployment.mDeclared.mTeams.size();
        ++team) {
-    teams.push_back(TeamShare(team) * Factor(traffic.mClass, team));
+    teams.push_back(TeamShare(team) * SurgeFactor(traffic.mClass, team));
   }
   next.mTeam = std::discrete_distribution<std::size_t>(teams.begin(),
                                                        teams.end())(mRandom);
-  next.mPrefix = Prefix(traffic);
-  next.mPrompt = Length(traffic.mMedianPrompt, traffic.mSpread);
-  next.mOutput = std::min(Length(traffic.mMedianOutput, traffic.mSpread),
-                          traffic.mMaxOutput);
-  next.mAsked = mLoop.Now();
-  next.mCounts = mLoop.Now() >= mStart + kWarmUp;
-  mOutcome.mClasses[next.mClass].mAsked += next.mCounts ? 1 : 0;
-  mIntents.push_back(next);
-  SubmitIntent(mIntents.size() - 1);
+  next.mPrefix = DrawPrefix(traffic);
+  next.mPromptTokens =
+    DrawLength(traffic.mMedianPrompt, traffic.mLengthLogStdDev);
+  next.mOutputTokens =
+    std::min(DrawLength(traffic.mMedianOutput, traffic.mLengthLogStdDev),
+             traffic.mMaxOutput);
+  next.mFirstSubmitted = mLoop.Now();
+  next.mIsMeasured = mLoop.Now() >= mStart + kWarmUp;
+  mOutcome.mClasses[next.mClass].mRequests += next.mIsMeasured ? 1 : 0;
+  mRequests.push_back(next);
+  SubmitRequest(mRequests.size() - 1);
 }
 
 std::size_t
@@ -436,29 +440,29 @@
 }
 
 void
-simulation::SubmitIntent(std::size_t aIntent)
+simulation::SubmitRequest(std::size_t aRequest)
 {
-  const intent& wanted = mIntents[aIntent];
-  const class_traffic& traffic = mDeployment.mTraffic[wanted.mTraffic];
-  const request_class& named = mDeployment.mDeclared.mClasses[wanted.mClass];
+  const logical_request& request = mRequests[aRequest];
+  const class_traffic& traffic = mDeployment.mTraffic[request.mTraffic];
+  const request_class& named = mDeployment.mDeclared.mClasses[request.mClass];
   const service_level& level = *FindLevel(mDeployment.mDeclared, named.mLevel);
   submission next;
-  next.mIntent = aIntent;
-  next.mInstance = PickInstance(wanted.mClass);
+  next.mRequest = aRequest;
+  next.mInstance = PickInstance(request.mClass);
   work_item& item = next.mItem;
   item.mTicket = mNextTicket++;
-  item.mTeam = mDeployment.mDeclared.mTeams[wanted.mTeam].mName;
+  item.mTeam = mDeployment.mDeclared.mTeams[request.mTeam].mName;
   item.mClass = named.mName;
   item.mPool = traffic.mPool;
   item.mTier = level.mTier;
-  item.mPrefix = wanted.mPrefix;
-  item.mPromptTokens = wanted.mPrompt;
+  item.mPrefix = request.mPrefix;
+  item.mPromptTokens = request.mPromptTokens;
   item.mMaxOutputTokens = traffic.mMaxOutput;
   item.mArrival = mLoop.Now();
   item.mDeadline = mLoop.Now() + level.mDeadline;
   item.mIdempotent = named.mIdempotent;
   mLoop.At(item.mDeadline, [this, id = item.mTicket] { OnDeadline(id); });
-  mOpen.emplace(item.mTicket, next);
+  mOpenSubmissions.emplace(item.mTicket, next);
   OnInstance(next.mInstance, [item](auto& aPolicy, time_point aNow) {
     return aPolicy.Submit(item, aNow);
   });
@@ -478,7 +482,7 @@
     [this, &aCall](auto& aPolicy) { return aCall(aPolicy, mLoop.Now()); },
     instance.mPolicy);
   Apply(aInstance, next);
-  PlanWake(aInstance);
+  ScheduleWake(aInstance);
 }
 
 void
@@ -489,26 +493,26 @@
       StartAttempt(aInstance, *started);
     } else {
       const refuse& refused = std::get<refuse>(each);
-      Fail(refused.mTicket, refused.mKind, refused.mRetryAfter);
+      EndWithError(refused.mTicket, refused.mKind, refused.mRetryAfter);
     }
   }
 }
 
 void
-simulation::PlanWake(std::size_t aInstance)
+simulation::ScheduleWake(std::size_t aInstance)
 {
   entry_instance& instance = mInstances[aInstance];
   const auto due = std::visit(
     [](const auto& aPolicy) { return aPolicy.NextDue(); }, instance.mPolicy);
-  if (!due || (instance.mWakes && *instance.mWakes <= *due)) {
+  if (!due || (instance.mNextWake && *instance.mNextWake <= *due)) {
     return;
   }
-  instance.mWakes = std::max(*due, mLoop.Now());
-  mLoop.At(*due, [this, aInstance, planned = *instance.mWakes] {
-    if (mInstances[aInstance].mWakes != planned) {
+  instance.mNextWake = std::max(*due, mLoop.Now());
+  mLoop.At(*due, [this, aInstance, planned = *instance.mNextWake] {
+    if (mInstances[aInstance].mNextWake != planned) {
       return;
     }
-    mInstances[aInstance].mWakes.reset();
+    mInstances[aInstance].mNextWake.reset();
     OnInstance(aInstance, [](auto& aPolicy, time_point aNow) {
       return aPolicy.Advance(aNow);
     });
@@ -518,45 +522,47 @@
 void
 simulation::StartAttempt(std::size_t aInstance, const start& aStart)
 {
-  const auto found = mOpen.find(aStart.mTicket);
-  if (found == mOpen.end()) {
+  const auto found = mOpenSubmissions.find(aStart.mTicket);
+  if (found == mOpenSubmissions.end()) {
     return;
   }
   submission& sent = found->second;
   const std::size_t engine = mEngineIndex.at(aStart.mEndpoint);
   sent.mEngine = engine;
   ++sent.mAttempts;
-  const domain_name& own = mInstances[aInstance].mDomain;
-  const domain_name& there = mDeployment.mDeclared.mEndpoints[engine].mDomain;
-  const bool reaches = Reachable(own, there);
-  const duration way =
-    own == there ? kToEngine : kToEngine + mDeployment.mBetweenDomains;
+  const domain_name& local = mInstances[aInstance].mDomain;
+  const domain_name& remote = mDeployment.mDeclared.mEndpoints[engine].mDomain;
+  const bool isReachable = IsReachable(local, remote);
+  const duration latency = local == remote
+                             ? kEngineLatency
+                             : kEngineLatency + mDeployment.mInterDomainLatency;
   mLoop.After(
-    reaches ? way : kConnectTimeout,
-    [this, id = aStart.mTicket, owed = aStart.mOwed, engine, reaches] {
-      const auto open = mOpen.find(id);
-      if (open == mOpen.end() || open->second.mEngine != engine) {
+    isReachable ? latency : kConnectTimeout,
+    [this, id = aStart.mTicket, owed = aStart.mOwed, engine, isReachable] {
+      const auto open = mOpenSubmissions.find(id);
+      if (open == mOpenSubmissions.end() || open->second.mEngine != engine) {
         return;
       }
-      if (!reaches || !mEngines[engine]->Up()) {
+      if (!isReachable || !mEngines[engine]->IsUp()) {
         OnLost(id, {}, false);
         return;
       }
       const submission& now = open->second;
-      const intent& wanted = mIntents[now.mIntent];
-      mEngines[engine]->Add({ id,
-                              owed ? kHighestTier : now.mItem.mTier,
-                              wanted.mPrefix,
-                              wanted.mPrompt,
-                              std::max(1U, wanted.mOutput - now.mReceived) });
+      const logical_request& request = mRequests[now.mRequest];
+      mEngines[engine]->Add(
+        { id,
+          owed ? kHighestTier : now.mItem.mTier,
+          request.mPrefix,
+          request.mPromptTokens,
+          std::max(1U, request.mOutputTokens - now.mReceivedTokens) });
     });
 }
 
 void
 simulation::OnFirstToken(ticket aTicket)
 {
-  const auto found = mOpen.find(aTicket);
-  if (found == mOpen.end()) {
+  const auto found = mOpenSubmissions.find(aTicket);
+  if (found == mOpenSubmissions.end()) {
     return;
   }
   if (!found->second.mFirstToken) {
@@ -572,50 +578,50 @@
 void
 simulation::Account(submission& aSubmission, const engine_work& aWork)
 {
-  aSubmission.mLastPrefill = aWork.mPrefillTokens * kPromptTokenCost;
-  const double cost = aWork.mOutputTokens + aSubmission.mLastPrefill;
+  aSubmission.mLastPrefillCost = aWork.mPrefillTokens * kPromptTokenCost;
+  const double cost = aWork.mOutputTokens + aSubmission.mLastPrefillCost;
   aSubmission.mCost += cost;
-  mComputed += cost;
+  mComputedTokens += cost;
 }
 
 void
 simulation::OnCompleted(ticket aTicket, const engine_work& aWork)
 {
-  const auto found = mOpen.find(aTicket);
-  if (found == mOpen.end()) {
+  const auto found = mOpenSubmissions.find(aTicket);
+  if (found == mOpenSubmissions.end()) {
     return;
   }
   submission done = found->second;
-  mOpen.erase(found);
+  mOpenSubmissions.erase(found);
   Account(done, aWork);
-  intent& wanted = mIntents[done.mIntent];
-  mUseful += wanted.mOutput + done.mLastPrefill;
+  logical_request& request = mRequests[done.mRequest];
+  mUsefulTokens += request.mOutputTokens + done.mLastPrefillCost;
   const service_level& level =
     *FindLevel(mDeployment.mDeclared,
-               mDeployment.mDeclared.mClasses[wanted.mClass].mLevel);
-  const double first = ToSeconds(*done.mFirstToken - wanted.mAsked);
+               mDeployment.mDeclared.mClasses[request.mClass].mLevel);
+  const double first = ToSeconds(*done.mFirstToken - request.mFirstSubmitted);
   const double gap =
-    wanted.mOutput > 1
-      ? ToSeconds(mLoop.Now() - *done.mFirstToken) / (wanted.mOutput - 1)
+    request.mOutputTokens > 1
+      ? ToSeconds(mLoop.Now() - *done.mFirstToken) / (request.mOutputTokens - 1)
       : 0;
-  wanted.mAttained = first <= ToSeconds(level.mFirstTokenTarget) &&
-                     gap <= ToSeconds(level.mBetweenTokensTarget);
-  if (wanted.mCounts) {
-    class_outcome& row = mOutcome.mClasses[wanted.mClass];
+  request.mAttained = first <= ToSeconds(level.mFirstTokenTarget) &&
+                      gap <= ToSeconds(level.mBetweenTokensTarget);
+  if (request.mIsMeasured) {
+    class_outcome& row = mOutcome.mClasses[request.mClass];
     ++row.mCompleted;
-    row.mAttained += wanted.mAttained ? 1 : 0;
+    row.mAttained += request.mAttained ? 1 : 0;
     row.mFirstTokenSeconds.push_back(first);
   }
   const duration since = mLoop.Now() - mStart;
   if (since >= kWarmUp && since < kWarmUp + mScenario.mLength) {
-    mGoodTokens += wanted.mOutput;
-    mOutcome.mClasses[wanted.mClass].mTokensPerSecond +=
-      wanted.mOutput / ToSeconds(mScenario.mLength);
-    mGoodRequests += 1;
+    mGoodputTokens += request.mOutputTokens;
+    mOutcome.mClasses[request.mClass].mTokensPerSecond +=
+      request.mOutputTokens / ToSeconds(mScenario.mLength);
+    mGoodputRequests += 1;
   }
   OnInstance(
     done.mInstance,
-    [aTicket, tokens = wanted.mOutput](auto& aPolicy, time_point aNow) {
+    [aTicket, tokens = request.mOutputTokens](auto& aPolicy, time_point aNow) {
       decisions out =
         aPolicy.OnAttemptEnded(aTicket, attempt_end::kCompleted, tokens, aNow);
       std::ranges::copy(aPolicy.Forget(aTicket, aNow), std::back_inserter(out));
@@ -624,35 +630,37 @@
 }
 
 void
-simulation::OnLost(ticket aTicket, const engine_work& aWork, bool aMayHaveRun)
+simulation::OnLost(ticket aTicket,
+                   const engine_work& aWork,
+                   bool aMayHaveStarted)
 {
-  const auto found = mOpen.find(aTicket);
-  if (found == mOpen.end()) {
+  const auto found = mOpenSubmissions.find(aTicket);
+  if (found == mOpenSubmissions.end()) {
     return;
   }
   submission& lost = found->second;
   lost.mEngine.reset();
   Account(lost, aWork);
   // The stream goes on elsewhere at the token after the last one received.
-  lost.mReceived += static_cast<std::uint32_t>(aWork.mOutputTokens);
-  const bool again =
-    lost.mAttempts < kMaxAttempts && (!aMayHaveRun || lost.mItem.mIdempotent);
+  lost.mReceivedTokens += static_cast<std::uint32_t>(aWork.mOutputTokens);
+  const bool canRetry = lost.mAttempts < kMaxAttempts &&
+                        (!aMayHaveStarted || lost.mItem.mIdempotent);
   const std::size_t instance = lost.mInstance;
   const auto tokens = static_cast<std::uint32_t>(aWork.mOutputTokens);
   OnInstance(
-    instance, [aTicket, tokens, again](auto& aPolicy, time_point aNow) {
+    instance, [aTicket, tokens, canRetry](auto& aPolicy, time_point aNow) {
       decisions out =
         aPolicy.OnAttemptEnded(aTicket, attempt_end::kFailed, tokens, aNow);
-      std::ranges::copy(again ? aPolicy.Resubmit(aTicket, aNow)
-                              : aPolicy.Forget(aTicket, aNow),
+      std::ranges::copy(canRetry ? aPolicy.Resubmit(aTicket, aNow)
+                                 : aPolicy.Forget(aTicket, aNow),
                         std::back_inserter(out));
       return out;
     });
-  if (!again) {
-    Fail(aTicket,
-         aMayHaveRun ? error_kind::kEndpointConnectionLost
-                     : error_kind::kConnectFailed,
-         kOwnBackoff);
+  if (!canRetry) {
+    EndWithError(aTicket,
+                 aMayHaveStarted ? error_kind::kEndpointConnectionLost
+                                 : error_kind::kConnectFailed,
+                 kDefaultBackoff);
   }
 }
 
@@ -661,8 +669,8 @@
 void
 simulation::OnDeadline(ticket aTicket)
 {
-  const auto found = mOpen.find(aTicket);
-  if (found == mOpen.end()) {
+  const auto found = mOpenSubmissions.find(aTicket);
+  if (found == mOpenSubmissions.end()) {
     return;
   }
   submission& late = found->second;
@@ -678,64 +686,64 @@
     std::ranges::copy(aPolicy.Forget(aTicket, aNow), std::back_inserter(out));
     return out;
   });
-  Fail(aTicket, kind, kOwnBackoff);
+  EndWithError(aTicket, kind, kDefaultBackoff);
 }
 
 void
-simulation::Fail(ticket aTicket, error_kind aKind, duration aRetryAfter)
+simulation::EndWithError(ticket aTicket, error_kind aKind, duration aRetryAfter)
 {
-  const auto found = mOpen.find(aTicket);
-  if (found == mOpen.end()) {
+  const auto found = mOpenSubmissions.find(aTicket);
+  if (found == mOpenSubmissions.end()) {
     return;
   }
-  const std::size_t wanted = found->second.mIntent;
-  mOpen.erase(found);
-  if (mIntents[wanted].mCounts) {
+  const std::size_t request = found->second.mRequest;
+  mOpenSubmissions.erase(found);
+  if (mRequests[request].mIsMeasured) {
     ++mOutcome.mErrors[static_cast<std::size_t>(aKind)];
   }
-  ComeBack(wanted, aKind, aRetryAfter);
+  MaybeRetry(request, aKind, aRetryAfter);
 }
 
 void
-simulation::ComeBack(std::size_t aIntent, error_kind aKind, duration aAfter)
+simulation::MaybeRetry(std::size_t aRequest, error_kind aKind, duration aAfter)
 {
-  intent& wanted = mIntents[aIntent];
+  logical_request& request = mRequests[aRequest];
   if (AnswerFor(aKind).mComeBack == come_back::kNever ||
-      wanted.mComeBacks >= mScenario.mMaxComeBacks ||
-      !std::bernoulli_distribution(mScenario.mComeBack)(mRandom)) {
+      request.mRetries >= mScenario.mMaxRetries ||
+      !std::bernoulli_distribution(mScenario.mRetryProbability)(mRandom)) {
     return;
   }
-  ++wanted.mComeBacks;
+  ++request.mRetries;
   // The header carries whole seconds, rounded up; half of the callers read the
   // milliseconds in the answer's body.
   const bool readsHeader = std::bernoulli_distribution(0.5)(mRandom);
   const duration after =
     readsHeader ? std::chrono::ceil<std::chrono::seconds>(aAfter) : aAfter;
-  mLoop.After(after, [this, aIntent] {
-    ++mComeBackBins[ToMilliseconds(mLoop.Now() - mStart) / 100];
-    SubmitIntent(aIntent);
+  mLoop.After(after, [this, aRequest] {
+    ++mRetryBins[ToMilliseconds(mLoop.Now() - mStart) / 100];
+    SubmitRequest(aRequest);
   });
 }
 
 void
-simulation::PlanReports()
+simulation::ScheduleReports()
 {
   if (mScenario.mReportLag < duration::zero()) {
     return;
   }
-  mLoop.After(kReportEvery, [this] {
+  mLoop.After(kReportInterval, [this] {
     if (IsOver()) {
       return;
     }
     for (std::size_t engine = 0; engine < mEngines.size(); ++engine) {
-      if (!mEngines[engine]->Up()) {
+      if (!mEngines[engine]->IsUp()) {
         continue;
       }
       const load_report report = mEngines[engine]->Report();
       const endpoint& declared = mDeployment.mDeclared.mEndpoints[engine];
       mLoop.After(mScenario.mReportLag, [this, report, &declared] {
         for (std::size_t index = 0; index < mInstances.size(); ++index) {
-          if (!Reachable(mInstances[index].mDomain, declared.mDomain)) {
+          if (!IsReachable(mInstances[index].mDomain, declared.mDomain)) {
             continue;
           }
           // By value: a paused instance takes it later.
@@ -747,18 +755,19 @@
         }
       });
     }
-    PlanReports();
+    ScheduleReports();
   });
 }
 
 bool
 simulation::IsOver() const
 {
-  return mLoop.Now() > mStart + kWarmUp + mScenario.mLength && mOpen.empty();
+  return mLoop.Now() > mStart + kWarmUp + mScenario.mLength &&
+         mOpenSubmissions.empty();
 }
 
 void
-simulation::PlanTicks()
+simulation::ScheduleTicks()
 {
   mLoop.After(clock_gap::kTickEvery, [this] {
     if (IsOver()) {
@@ -769,38 +778,38 @@
         return aPolicy.Tick(aNow);
       });
     }
-    PlanTicks();
+    ScheduleTicks();
   });
 }
 
 void
-simulation::PlanPressure()
+simulation::SchedulePressure()
 {
-  mLoop.After(kPressureEvery, [this] {
+  mLoop.After(kPressureInterval, [this] {
     if (IsOver()) {
       return;
     }
     for (std::size_t index = 0; index < mInstances.size(); ++index) {
       if (mInstances[index].mPausedUntil <= mLoop.Now()) {
-        TellPressure(index);
+        SendPressure(index);
       }
     }
-    PlanPressure();
+    SchedulePressure();
   });
 }
 
 void
-simulation::TellPressure(std::size_t aInstance)
+simulation::SendPressure(std::size_t aInstance)
 {
-  const auto* own = std::get_if<scheduler>(&mInstances[aInstance].mPolicy);
-  if (own == nullptr) {
+  const auto* sender = std::get_if<scheduler>(&mInstances[aInstance].mPolicy);
+  if (sender == nullptr) {
     return;
   }
   const instance_name name("instance-" + std::to_string(aInstance));
-  for (const pool_pressure& each : own->Pressure(mLoop.Now())) {
+  for (const pool_pressure& each : sender->Pressure(mLoop.Now())) {
     for (std::size_t other = 0; other < mInstances.size(); ++other) {
-      if (other == aInstance || !Reachable(mInstances[other].mDomain,
-                                           mInstances[aInstance].mDomain)) {
+      if (other == aInstance || !IsReachable(mInstances[other].mDomain,
+                                             mInstances[aInstance].mDomain)) {
         continue;
       }
       mLoop.After(kPressureDelay, [this, other, name, each] {
@@ -813,26 +822,26 @@
 }
 
 double
-simulation::Recovery() const
+simulation::ComputeRecovery() const
 {
   const auto bins =
     static_cast<std::size_t>(mScenario.mLength / kRecoveryBin) + 1;
   std::vector<double> asked(bins);
   std::vector<double> attained(bins);
-  for (const intent& each : mIntents) {
-    if (!each.mCounts) {
+  for (const logical_request& each : mRequests) {
+    if (!each.mIsMeasured) {
       continue;
     }
-    const auto bin =
-      static_cast<std::size_t>((each.mAsked - mStart - kWarmUp) / kRecoveryBin);
+    const auto bin = static_cast<std::size_t>(
+      (each.mFirstSubmitted - mStart - kWarmUp) / kRecoveryBin);
     asked[bin] += 1;
     attained[bin] += each.mAttained ? 1 : 0;
   }
   const auto calm =
-    static_cast<std::size_t>(mScenario.mCalmFrom / kRecoveryBin);
+    static_cast<std::size_t>(mScenario.mRecoveryFrom / kRecoveryBin);
   std::size_t last = calm;
   for (std::size_t bin = calm; bin < bins; ++bin) {
-    if (asked[bin] > 0 && attained[bin] < kRecovered * asked[bin]) {
+    if (asked[bin] > 0 && attained[bin] < kRecoveredAttainment * asked[bin]) {
       last = bin + 1;
     }
   }
@@ -840,33 +849,34 @@
 }
 
 outcome
-simulation::Judge() const
+simulation::ComputeOutcome() const
 {
-  outcome judged = mOutcome;
+  outcome result = mOutcome;
   const double length = ToSeconds(mScenario.mLength);
-  judged.mTokensPerSecond = mGoodTokens / length;
-  judged.mRequestsPerSecond = mGoodRequests / length;
-  judged.mWasted = mComputed > 0 ? 1 - mUseful / mComputed : 0;
+  result.mTokensPerSecond = mGoodputTokens / length;
+  result.mRequestsPerSecond = mGoodputRequests / length;
+  result.mWastedFraction =
+    mComputedTokens > 0 ? 1 - mUsefulTokens / mComputedTokens : 0;
   double asked = 0;
   double attained = 0;
-  for (const intent& each : mIntents) {
-    if (each.mCounts && each.mTeam != 0) {
+  for (const logical_request& each : mRequests) {
+    if (each.mIsMeasured && each.mTeam != 0) {
       asked += 1;
       attained += each.mAttained ? 1 : 0;
     }
   }
-  judged.mOtherTeamsAttainment = asked > 0 ? attained / asked : 1;
-  if (mScenario.mCalmFrom > duration::zero()) {
-    judged.mRecoverySeconds = Recovery();
+  result.mOtherTeamsAttainment = asked > 0 ? attained / asked : 1;
+  if (mScenario.mRecoveryFrom > duration::zero()) {
+    result.mRecoverySeconds = ComputeRecovery();
   }
-  double backs = 0;
-  double most = 0;
-  for (const auto& [bin, count] : mComeBackBins) {
-    backs += count;
-    most = std::max(most, static_cast<double>(count));
+  double retries = 0;
+  double max = 0;
+  for (const auto& [bin, count] : mRetryBins) {
+    retries += count;
+    max = std::max(max, static_cast<double>(count));
   }
-  judged.mComeBackPeak = backs > 0 ? most / backs : 0;
-  return judged;
+  result.mRetryPeak = retries > 0 ? max / retries : 0;
+  return result;
 }
 
 } // namespace
@@ -874,13 +884,13 @@
 double
 class_outcome::Attainment() const
 {
-  return mAsked == 0 ? 1 : static_cast<double>(mAttained) / mAsked;
+  return mRequests == 0 ? 1 : static_cast<double>(mAttained) / mRequests;
 }
 
 double
 class_outcome::Completion() const
 {
-  return mAsked == 0 ? 1 : static_cast<double>(mCompleted) / mAsked;
+  return mRequests == 0 ? 1 : static_cast<double>(mCompleted) / mRequests;
 }
 
 double
--- a/thornhollow/policy/scenario/simulation.h
+++ b/thornhollow/policy/scenario/simulation.h
@@ -35,21 +35,21 @@
   team_name mTeam;
 };
 
-enum class trouble_kind : std::uint8_t
+enum class injected_fault_kind : std::uint8_t
 {
   // The engine takes `mFactor` times as long for each step.
   kSlow,
   // The engine loses all work and refuses connections.
   kCrash,
   // Instances and engines of `mDomain` reach each other only.
-  kCutOff,
+  kPartition,
   // The instance's process stands still.
   kPause,
 };
 
-struct trouble
+struct injected_fault
 {
-  trouble_kind mKind = trouble_kind::kSlow;
+  injected_fault_kind mKind = injected_fault_kind::kSlow;
   duration mFrom{};
   duration mUntil{};
   // Index of the endpoint in the declarations, or of the instance.
@@ -61,18 +61,18 @@
 struct scenario_spec
 {
   std::string mName;
-  std::string mStory;
+  std::string mDescription;
   duration mLength = Seconds(60);
   // Work asked for, as a part of what the engines can do.
   double mLoad = 0.7;
   std::vector<surge> mSurges;
-  std::vector<trouble> mTroubles;
+  std::vector<injected_fault> mFaults;
   // The first team's part of each class's requests; the others share the rest
   // evenly.
   double mFirstTeamShare = 0.1;
   // Chance that a caller that was refused comes back, and how often it does.
-  double mComeBack = 0.5;
-  int mMaxComeBacks = 3;
+  double mRetryProbability = 0.5;
+  int mMaxRetries = 3;
   // Age of a load report when it arrives; none arrive where it is negative.
   duration mReportLag = Milliseconds(500);
   // The part of requests that use the first prefix, where above 0.
@@ -81,7 +81,7 @@
   // negative.
   int mHighTierInstance = -1;
   // From when on all should be as before; zero where nothing disturbs.
-  duration mCalmFrom{};
+  duration mRecoveryFrom{};
 };
 
 inline constexpr std::size_t kRefusalKinds = kErrorKindCount;
@@ -90,7 +90,7 @@
 {
   class_name mClass;
   int mTier = kLowestTier;
-  std::uint32_t mAsked = 0;
+  std::uint32_t mRequests = 0;
   // First token within the level's target, mean gap between tokens too, and
   // the whole answer received.
   std::uint32_t mAttained = 0;
@@ -115,14 +115,15 @@
   double mRequestsPerSecond = 0;
   // Tokens computed for answers that nobody received, of all computed; a
   // prompt token counts as `kPromptTokenCost` of one put out.
-  double mWasted = 0;
+  double mWastedFraction = 0;
   // Answers with an error, by kind.
   std::array<std::uint32_t, kRefusalKinds> mErrors{};
-  // Seconds from `mCalmFrom` until attainment stays at or above nine in ten.
+  // Seconds from `mRecoveryFrom` until attainment stays at or above nine in
+  // ten.
   double mRecoverySeconds = 0;
   // Largest part of the requests told to come back that came within one and
   // the same 100 ms.
-  double mComeBackPeak = 0;
+  double mRetryPeak = 0;
 };
 
 outcome
--- a/thornhollow/policy/scenario/simulation_test.cc
+++ b/thornhollow/policy/scenario/simulation_test.cc
@@ -56,7 +56,7 @@
   REQUIRE(mLost.size() == 2);
   CHECK(mLost[0].second == doctest::Approx(221.8).epsilon(0.01));
   CHECK(mLost[1].second == 0);
-  CHECK(!mEngine->Up());
+  CHECK(!mEngine->IsUp());
 }
 
 TEST_CASE("simulation/same_seed/same_outcome")
@@ -76,10 +76,10 @@
   const scenario_spec spec = FindScenario(site, "steady");
   const outcome got = Run(site, spec, least_outstanding{}, 1);
   for (const class_outcome& each : got.mClasses) {
-    CHECK(each.mAsked > 100);
+    CHECK(each.mRequests > 100);
     CHECK(each.Attainment() > 0.97);
   }
-  CHECK(got.mWasted < 0.01);
+  CHECK(got.mWastedFraction < 0.01);
 }
 
 } // namespace
