--- a/thornhollow/policy/internal/endpoint_record.cc
+++ b/thornhollow/policy/internal/endpoint_record.cc
@@ -127,7 +127,7 @@
                                 time_point aNow)
 {
   mTimePerToken.Add(aSeconds, aNow);
-  mLimit.OnPace(FromSeconds(aSeconds));
+  mLimit.OnTimePerToken(FromSeconds(aSeconds));
   if (aPoolMedian > 0) {
     const double own = mTimePerToken.Value(aPoolMedian, Seconds(1), aNow);
     mHealth.OnRelativeTimePerToken(own / aPoolMedian, aMayEject, aNow);
