--- a/thornhollow/policy/endpoint_choice.cc
+++ b/thornhollow/policy/endpoint_choice.cc
@@ -3,7 +3,8 @@
 namespace thornhollow {
 namespace {
 
-// Seconds, while nothing was learnt: any positive figure makes load count.
+// Seconds, used before any latency was measured. Any positive value makes load
+// count.
 constexpr double kDefaultTimeToFirstToken = 0.1;
 
 } // namespace
@@ -14,10 +15,10 @@
              const endpoint_choice_settings& aSettings)
 {
   const double loadFactor = 1 + aEndpoint.mUtilization;
-  // Where answers have tokens, the time for each tells the endpoint's speed.
-  // The time to the first one doesn't: under load it is the wait of whatever
-  // tiers went there lately, thirty seconds for the lowest and none for the
-  // highest.
+  // Where answers have tokens, the time per token measures the endpoint's
+  // speed. The time to the first token doesn't: under load it is the queueing
+  // time of whichever tiers were sent there recently, 30 s for the lowest and
+  // none for the highest.
   const double timeToFirstToken = aEndpoint.mTimeToFirstToken > 0
                                     ? aEndpoint.mTimeToFirstToken
                                     : kDefaultTimeToFirstToken;
--- a/thornhollow/policy/endpoint_choice.h
+++ b/thornhollow/policy/endpoint_choice.h
@@ -1,33 +1,40 @@
-// What it costs a request to go to one endpoint rather than another, in seconds
-// until its answer is whole.
+// Estimates the cost of sending a request to an endpoint, as the expected
+// number of seconds until its answer is complete.
 //
-//   const double cost = EstimateCost(figures, work,
-//   endpoint_choice_settings{});
+//   const endpoint_cost_inputs inputs{ .mUtilization = 0.5 };
+//   const request_size size{ .mPromptTokens = 2000, .mOutputTokens = 100 };
+//   const double cost = EstimateCost(inputs, size, endpoint_choice_settings{});
 //
-// Load pattern: engines differ in load, speed and cached prefixes at any
-// moment. Without one common measure a choice by load alone computes a prefix
-// again that another endpoint holds, a choice by prefix alone piles a hot
-// prefix onto one endpoint, and both send work to a straggler that looks idle
-// because it is slow to show its load.
+// Load, speed and cached prefixes differ between engines at any moment, so a
+// choice needs one measure for all of them. Choosing by load alone recomputes
+// prefixes that another endpoint has cached. Choosing by prefix alone overloads
+// the endpoint that has a hot prefix cached. Both send work to a straggler that
+// looks idle because its load shows late.
 //
 // The endpoint table compares the cost over a small random sample of endpoints
-// with a free place, so that a decision costs the same however many there are.
+// with a free slot, so the time of a decision doesn't depend on the number of
+// endpoints.
 //
-// The load that counts here is this router's own work at each endpoint. Load
-// reports are left out: they lag, and they tell all routers the same, so that
-// each of them would turn to the same endpoint (docs/design/endpoint_choice.md
-// has the figures). They bound what an endpoint gets, see endpoint_load.h.
+// Load here means this router's own requests at each endpoint. Load reports are
+// left out: they lag, and all routers receive the same ones, so all would turn
+// to the same endpoint at once (docs/design/endpoint_choice.md has the
+// measurements). Reports limit how much an endpoint is sent instead; see
+// endpoint_load.h.
 //
-// Grounds for the figures: eight random ones of each domain, of which the best
-// is taken, are nearly all of a subset of 16; own work differs from router to
-// router, so that a look at more of it makes no herd. A prompt token costs
-// about 0.03 ms: a step of 8 ms computes 256 of them. A cached prompt of 2,000
-// tokens is then worth 60 ms, as much as a place of eight on an answer of 100
-// tokens at 5 ms: so a hot prefix stays while its endpoint has room and spreads
-// as it fills. Another domain is 1.5 ms away at most; it costs 20 ms here, so
-// that it is taken when its endpoints are clearly freer, and a partition
-// between domains touches little. A failed attempt costs about the attempt
-// again and its wait, hence the weight of the failure share.
+// Choice of the defaults:
+// - Taking the best of eight random endpoints in each domain covers nearly all
+//   of a subset of 16. Because each router's own load differs, a large sample
+//   doesn't cause herding.
+// - Prefill takes about 0.03 ms per prompt token: an engine step of 8 ms
+//   computes 256 of them. A cached prompt of 2,000 tokens therefore saves 60
+//   ms, as much as one of eight slots costs for an answer of 100 tokens at 5 ms
+//   each. A hot prefix thus stays at its endpoint while that has room, and
+//   spreads as it fills.
+// - Another domain is at most 1.5 ms away but costs 20 ms here, so that it is
+//   chosen only when its endpoints are clearly less loaded. A partition between
+//   domains then affects little traffic.
+// - A failed attempt costs about as much as the attempt itself plus the wait
+//   before the retry, hence the weight of the failure rate.
 #ifndef THORNHOLLOW_POLICY_ENDPOINT_CHOICE_H_
 #define THORNHOLLOW_POLICY_ENDPOINT_CHOICE_H_
 
@@ -39,30 +46,32 @@
 
 struct endpoint_choice_settings
 {
-  // Endpoints compared for one request, of the own domain and of the others
-  // each, besides those that hold its prefix.
+  // Endpoints sampled per request from the router's own domain, and again from
+  // the other domains, in addition to those with the prefix cached.
   std::size_t mSampleSize = 8;
-  // Engine time for a prompt token that isn't cached; zero: prefixes ignored.
+  // Engine time to prefill one uncached prompt token. Zero ignores cached
+  // prefixes.
   duration mPrefillTimePerToken = std::chrono::microseconds(30);
   double mFailureWeight = 4;
-  // Added for an endpoint of another failure domain.
+  // Added to the cost of an endpoint in another failure domain.
   duration mCrossDomainCost = Milliseconds(20);
-  // A learnt latency loses half of its difference to the pool's in this time,
-  // so that an endpoint that got no work is tried again.
+  // An endpoint's measured latency decays towards the pool's with this
+  // half-life, so that an endpoint that got no work is tried again.
   duration mLatencyHalfLife = Seconds(10);
 
   friend bool operator==(const endpoint_choice_settings&,
                          const endpoint_choice_settings&) = default;
 };
 
-// An endpoint as one decision sees it.
+// Properties of an endpoint that determine the cost of sending a request there.
 struct endpoint_cost_inputs
 {
-  // Requests in flight there as a share of what it may hold.
+  // This router's requests in flight there as a fraction of its concurrency
+  // limit.
   double mUtilization = 0;
-  // Seconds to the first token, which counts only where answers have no more.
+  // Seconds. Only used when `mTimePerToken` is zero.
   double mTimeToFirstToken = 0;
-  // Seconds for each token; zero where answers have none.
+  // Seconds per output token; zero if answers have no tokens.
   double mTimePerToken = 0;
   double mFailureRate = 0;
   bool mHasCachedPrefix = false;
@@ -72,7 +81,7 @@
                          const endpoint_cost_inputs&) = default;
 };
 
-// What matters of a request for the cost.
+// Properties of a request that determine its cost.
 struct request_size
 {
   double mPromptTokens = 0;
@@ -81,7 +90,7 @@
   friend bool operator==(const request_size&, const request_size&) = default;
 };
 
-// Seconds that the request may be expected to take there.
+// Returns the seconds that `aRequest` is expected to take at `aEndpoint`.
 double
 EstimateCost(const endpoint_cost_inputs& aEndpoint,
              const request_size& aRequest,
--- a/thornhollow/policy/endpoint_health.cc
+++ b/thornhollow/policy/endpoint_health.cc
@@ -6,7 +6,8 @@
 namespace thornhollow {
 namespace {
 
-// Weight of the newest attempt in the averages: about the last twenty count.
+// Weight of the newest attempt in the moving averages; they cover about the
+// last twenty attempts.
 constexpr double kSmoothingFactor = 0.1;
 
 } // namespace
@@ -25,7 +26,7 @@
     mUnansweredSince = aNow;
   }
   if (mCapacityFraction == 0) {
-    // A probe. The next one waits twice as long unless this one is answered.
+    // This is a probe. Unless it is answered, the next one waits twice as long.
     mProbeDelay = std::min(2 * mProbeDelay, mSettings.mMaxProbeDelay);
     mProbeAt = aNow + mProbeDelay;
   }
@@ -71,7 +72,8 @@
       break;
   }
   if (mOutstanding == 0) {
-    // Callers that leave take their requests along: nobody waits any more.
+    // No request is outstanding, for example because its caller left, so no
+    // answer is expected any more.
     mUnansweredSince.reset();
   }
 }
@@ -143,9 +145,9 @@
   if (mCapacityFraction > 0) {
     return std::nullopt;
   }
-  // What still waits there is a probe as well: any answer to it is a sign of
-  // life, and one request more would only wait beside it. Should its connection
-  // be dead, a probe goes in the end.
+  // Requests still waiting there act as probes: any answer shows that the
+  // endpoint is alive, and another request would only wait beside them. In case
+  // their connection is dead, a probe is sent after the maximum probe delay.
   const bool isWaitingThere =
     mState == health_state::kUnresponsive && aInFlight > 0;
   return isWaitingThere ? mProbeAt + mSettings.mMaxProbeDelay : mProbeAt;
--- a/thornhollow/policy/endpoint_health.h
+++ b/thornhollow/policy/endpoint_health.h
@@ -1,39 +1,46 @@
-// Whether an endpoint gets its full share of work, part of it, or only probes.
+// Tracks the health of one endpoint and decides which fraction of its capacity
+// may be used: all of it, a part, or only probes.
 //
 //   endpoint_health health(endpoint_health_settings{});
-//   health.OnEnded(attempt_end::kFailed, length, mayEject, now);
+//   health.OnEnded(attempt_end::kFailed, elapsed, mayEject, now);
 //   if (inFlight < health.Allowance(limit, inFlight, now)) { ... }
 //
-// Load pattern: an endpoint crashes, answers errors faster than others answer
-// anything (and so looks idle), hangs without a word, or runs at a fraction of
-// its speed. Without this the failing one attracts all work, the silent one
-// takes a place for every request until its timeout, and the slow one decides
-// the latency of whatever is sent to it.
+// An endpoint may crash, answer with errors faster than others answer at all
+// (and so look idle), hang, or run at a fraction of its speed. Without this
+// module a failing endpoint attracts all work, an unresponsive one occupies a
+// slot per request until the request's timeout, and a slow one dominates the
+// latency of all that is sent to it.
 //
-// Four things are told apart:
-// - failing: three failures in a row, or half of the recent ones. It gets
-//   nothing but a probe now and then;
-// - silent: no sign of life since something was sent there for longer than
-//   `SilenceTimeout`, or a silent attempt without a sign of life since it was
-//   sent. The same, but at once. A silent attempt beside others that were
-//   answered is a dead connection, not a dead endpoint, and changes nothing;
-// - slow: its time per token is three times the pool's. Its share is halved
-//   once a second, never below a tenth: it still completes what it gets;
-// - returning: after a probe was answered it gets a tenth of its places, and
-//   15% more with each answer. A failure then sends it back for twice as long.
+// Four conditions are distinguished:
+// - Failing: three consecutive failures, or half of the recent attempts failed.
+//   The endpoint gets nothing but occasional probes.
+// - Unresponsive: no activity since something was sent there, for 3 s or four
+//   times the average time to first token, whichever is longer. Or an attempt
+//   ended with `attempt_end::kSilent` and there was no activity since it was
+//   sent. The endpoint gets only probes. A silent attempt while others are
+//   answered means a dead connection, not a dead endpoint, and has no effect.
+// - Slow: its time per token is three times the pool's. Its capacity fraction
+//   is halved once a second, down to a tenth. It still completes what it gets.
+// - Recovering: after an answered probe it gets a tenth of its slots, and 15%
+//   more with each answer. A failure ejects it again, for twice as long.
 //
-// How many may be out at a time is the caller's to bound (`aMayEject`): when
-// most of a pool fails, the cause is elsewhere, and leaving would crush the
-// rest. Silence isn't bounded: work sent there is answered by nobody.
+// The caller limits how many endpoints of a pool may be ejected at a time
+// (`aMayEject`): when most of a pool fails, the cause is elsewhere, and
+// ejecting them would overload the rest. Ejection of unresponsive endpoints
+// isn't limited, because work sent there is never answered.
 //
-// Grounds for the figures: two failures in a row happen by chance at an error
-// rate of a per cent, three hardly. Silence: a first token comes within 1 s in
-// 95 of 100 (letter 1: 0.97 s); 3 s, or four times the usual wait where that is
-// more, is no ordinary wait, unless the endpoint reports a queue. Batching
-// alone doubles the time per token at most, so three times is another cause.
-// Growing by 15%, an endpoint needs 17 answers from a tenth to its full share:
-// enough to fail again with little in flight. Probes start after 1 s, the time
-// in which a process restarts at best, and double up to 30 s.
+// Choice of the defaults:
+// - At an error rate of one per cent, two consecutive failures happen by
+//   chance, three hardly ever.
+// - The 95th percentile of the time to first token is 0.97 s. A wait of 3 s, or
+//   of four times the average where that is longer, is therefore abnormal
+//   unless the endpoint reports a queue.
+// - Batching alone at most doubles the time per token, so a factor of three has
+//   another cause.
+// - Growing by 15% per answer, an endpoint needs 17 answers from a tenth to its
+//   full capacity. If it fails again meanwhile, few requests are in flight.
+// - Probes start after 1 s, the shortest time in which a process restarts, and
+//   their interval doubles up to 30 s.
 #ifndef THORNHOLLOW_POLICY_ENDPOINT_HEALTH_H_
 #define THORNHOLLOW_POLICY_ENDPOINT_HEALTH_H_
 
@@ -47,17 +54,17 @@
 
 struct endpoint_health_settings
 {
-  // False: every endpoint always has its full share.
+  // False: every endpoint always has its full capacity.
   bool mEnabled = true;
   std::uint32_t mEjectAfterFailures = 3;
-  // Share of failures among recent attempts above which it is failing,
+  // Failure rate of the recent attempts from which the endpoint is failing.
   double mMaxFailureRate = 0.5;
-  // and the attempts to see before that counts.
+  // Attempts needed before the failure rate is considered.
   std::uint32_t mMinAttempts = 8;
   duration mSilenceTimeout = Seconds(3);
   double mSilenceLatencyFactor = 4;
   double mSlowFactor = 3;
-  // Below this multiple of the pool's pace it is slow no longer.
+  // Below this multiple of the pool's time per token it is no longer slow.
   double mSlowRecoveryFactor = 1.5;
   duration mSlowReductionInterval = Seconds(1);
   double mMinCapacityFraction = 0.1;
@@ -84,35 +91,37 @@
   explicit endpoint_health(const endpoint_health_settings& aSettings);
 
   void OnSent(time_point aNow);
-  // A first token came: a sign of life.
+  // The first token arrived `aWait` after the attempt was sent.
   void OnFirstToken(duration aWait, time_point aNow);
-  // An attempt ended `aElapsed` after it was sent. `aMayEject`: whether the
-  // pool can spare the endpoint.
+  // An attempt ended `aElapsed` after it was sent. `aMayEject` tells whether
+  // the pool can spare the endpoint.
   void OnEnded(attempt_end aHow,
                duration aElapsed,
                bool aMayEject,
                time_point aNow);
-  // A load report taken at `aTaken` says that requests wait inside it: no first
-  // token is to be expected before a place there is free.
+  // A load report taken at `aTaken` shows requests queued at the endpoint, so
+  // no first token is expected before one of its slots is free.
   void OnQueueReported(time_point aTaken);
-  // Its time per token, as a multiple of its pool's.
+  // `aRatio` is the endpoint's time per token as a multiple of its pool's.
   void OnRelativeTimePerToken(double aRatio, bool aMayEject, time_point aNow);
-  // Notices silence. Call before reading.
+  // Detects an unresponsive endpoint. Call it before reading the state.
   void Update(time_point aNow);
-  // The process stood still: silence meanwhile says nothing.
+  // This process was paused until `aNow`; the endpoint's silence during the
+  // pause is disregarded.
   void OnClockGap(time_point aNow);
 
   health_state State() const { return mState; }
-  // Part of its places that it gets: 0 (probes only) to 1.
+  // Fraction of its slots that may be used, from 0 (probes only) to 1.
   double CapacityFraction() const { return mCapacityFraction; }
-  // Failures among recent attempts, 0 to 1.
+  // Moving average of failures among recent attempts, 0 to 1.
   double FailureRate() const { return mFailureRate; }
-  // Requests that may be in flight there, given its limit and what is.
+  // Requests that may be in flight there, given its concurrency limit and those
+  // now in flight.
   std::uint32_t Allowance(std::uint32_t aLimit,
                           std::uint32_t aInFlight,
                           time_point aNow) const;
-  // When the next probe may go, given what is in flight there; nothing unless
-  // it gets only probes.
+  // When the next probe may be sent, given the requests in flight there. Empty
+  // unless the endpoint gets only probes.
   std::optional<time_point> NextProbe(std::uint32_t aInFlight) const;
 
 private:
@@ -132,7 +141,7 @@
   std::uint32_t mAttempts = 0;
   double mAverageTimeToFirstToken = 0;
   time_point mLastActivity{};
-  // When the first request was sent since the last sign of life.
+  // When the first request since the last activity was sent.
   std::optional<time_point> mUnansweredSince;
   duration mProbeDelay;
   time_point mProbeAt{};
--- a/thornhollow/policy/endpoint_health_test.cc
+++ b/thornhollow/policy/endpoint_health_test.cc
@@ -21,7 +21,7 @@
 };
 
 // A crashed endpoint refuses connections within a millisecond. It always looks
-// idle, so every new request goes there and fails.
+// idle, so without ejection every new request would go there and fail.
 TEST_CASE_FIXTURE(one_endpoint,
                   "endpoint_health/three_failures_in_row/only_probes")
 {
@@ -64,8 +64,8 @@
   CHECK(mHealth.State() == health_state::kFailing);
 }
 
-// An endpoint hangs: connections stay open, nothing comes. Each request sent
-// there holds its caller until the request's own time limit.
+// An endpoint hangs: connections stay open, but nothing is received. Each
+// request sent there blocks its caller until the request's own timeout.
 TEST_CASE_FIXTURE(one_endpoint,
                   "endpoint_health/no_sign_of_life/no_new_work_after_bound")
 {
@@ -93,8 +93,9 @@
   CHECK(mHealth.CapacityFraction() == 1);
 }
 
-// A device between router and endpoint lost track of one connection. The
-// request on it is never answered while others to the same endpoint are.
+// A network device between router and endpoint drops the state of one
+// connection. The request on it is never answered, while others to the same
+// endpoint are.
 TEST_CASE_FIXTURE(one_endpoint,
                   "endpoint_health/one_dead_connection/stays_in_service")
 {
--- a/thornhollow/policy/endpoint_load.cc
+++ b/thornhollow/policy/endpoint_load.cc
@@ -78,8 +78,8 @@
 std::uint32_t
 endpoint_load::InFlightAt(time_point aThen) const
 {
-  // Newest first. A slot never written has the clock's origin and a count of
-  // zero, which is what was in flight before the first request.
+  // Newest first. An entry that was never written has the clock's epoch and a
+  // count of zero, which is correct before the first request.
   std::uint32_t oldest = mInFlight;
   for (std::size_t back = 1; back <= kHistorySize; ++back) {
     const in_flight_sample& each =
--- a/thornhollow/policy/endpoint_load.h
+++ b/thornhollow/policy/endpoint_load.h
@@ -1,33 +1,39 @@
-// What an endpoint holds: this router's own requests, exactly, and those of the
-// other routers, from its load reports.
+// Tracks the requests at one endpoint: this router's own, counted exactly, and
+// those of other routers, estimated from the endpoint's load reports.
 //
+//   endpoint_load load(endpoint_load_settings{});
 //   load.OnSent(now);
 //   load.OnReport(report, now);
 //   const double total = load.InFlight() + load.OthersInFlight(now);
 //
-// Load pattern: six to eight routers (at large scale a subset of 38) send to
-// the same endpoints, and see them only through reports that are up to seconds
-// old, or not at all. Without this each router either fills every slot itself,
-// so that an endpoint holds slots times routers, or takes its own requests in
-// the report for someone else's and sends too little.
+// Six to eight routers (in large deployments a subset of 38) send to the same
+// endpoints and see each other's load only through reports that are up to
+// seconds old, or missing. Without this module each router either fills every
+// slot by itself, so that an endpoint gets its slots times the number of
+// routers, or it mistakes its own requests in the report for those of others
+// and sends too little.
 //
-// A report counts everything that ran or waited when it was taken. This
-// router's own count at that moment is subtracted: the rest is of the others.
-// What this router sent since is in its own present count, so nothing is
-// counted twice, however late the report.
+// A report counts everything that was running or waiting when it was taken.
+// This router's own count at that moment is subtracted; the remainder belongs
+// to the others. What this router sent since is in its current count, so
+// nothing is counted twice, however late the report.
 //
-// What is left is smoothed. All routers see the same report at the same moment:
-// were each to fill at once the places that it shows free, all would fill the
-// same ones. The smoothed figure moves slowly enough that each sees the others'
-// new work before it has taken the whole room.
+// The remainder is smoothed. All routers receive the same report at the same
+// time: if each at once filled the slots that it shows as free, all would fill
+// the same ones. The smoothed value changes slowly enough for each router to
+// see the others' new requests before it has used all of the free capacity.
 //
-// Grounds for the figures: the smoothing takes 2 s, a few reports at their
-// usual lag. Reports lag by 0.1 to 5 s. A report up to 1 s old counts in full:
-// a request runs for about as long, so most of what it saw is still there. From
-// there it fades to nothing at 8 s, which covers the longest lag and an
-// interval; then the endpoint's latency alone decides. 32 changes of the own
-// count cover the lag at the rate of one endpoint (a few a second); beyond them
-// the oldest known count stands in.
+// Choice of the defaults:
+// - Smoothing takes 2 s, which spans a few reports at their usual lag of 0.1 to
+//   5 s.
+// - A report counts in full up to an age of 1 s. A request runs for about as
+//   long, so most of what the report counted is still there.
+// - From then on its weight falls linearly to zero at 8 s, which covers the
+//   longest lag plus a report interval. After that only the endpoint's latency
+//   is used.
+// - A history of 32 changes of the own count covers the lag at the request rate
+//   of one endpoint (a few per second). For times before that, the oldest
+//   recorded count is used.
 #ifndef THORNHOLLOW_POLICY_ENDPOINT_LOAD_H_
 #define THORNHOLLOW_POLICY_ENDPOINT_LOAD_H_
 
@@ -43,13 +49,14 @@
 
 struct endpoint_load_settings
 {
-  // False: reports are ignored, only own requests count.
+  // False: load reports are ignored and only this router's requests count.
   bool mUseReports = true;
-  // Time in which a change of the others' requests counts by two thirds.
+  // Time constant: a change in the others' requests takes effect by about two
+  // thirds in this time.
   duration mSmoothingTime = Seconds(2);
-  // A report counts in full up to this age,
+  // Up to this age a report counts in full.
   duration mFullWeightAge = Seconds(1);
-  // and for nothing from this age.
+  // From this age on a report is ignored.
   duration mZeroWeightAge = Seconds(8);
 
   friend bool operator==(const endpoint_load_settings&,
@@ -63,14 +70,15 @@
 
   void OnSent(time_point aNow);
   void OnEnded(time_point aNow);
-  // A report older than the one held is ignored.
+  // Reports older than the latest one are ignored.
   void OnReport(const load_report& aReport, time_point aNow);
-  // After a pause: what reports said is no longer believed.
+  // Drops the estimate of the others' requests, for example after this process
+  // was paused.
   void DiscardReport();
 
-  // Own requests there.
+  // This router's requests in flight there.
   std::uint32_t InFlight() const { return mInFlight; }
-  // Requests of other routers there, as far as a report still tells.
+  // Estimated requests of other routers there; zero without a recent report.
   double OthersInFlight(time_point aNow) const;
 
 private:
--- a/thornhollow/policy/endpoint_queue_window.h
+++ b/thornhollow/policy/endpoint_queue_window.h
@@ -1,31 +1,32 @@
-// Bounds how many urgent requests this instance lets wait in the endpoints' own
-// queues, beyond its places there, by how long they wait there.
+// Limits how many urgent requests this instance may queue at the endpoints
+// beyond its slots there, based on how long they wait.
 //
-//   endpoint_queue_window window(settings);
+//   endpoint_queue_window window(endpoint_queue_window_settings{});
 //   if (window.HasRoom()) { ... window.OnSent(); }
-//   window.OnFirstToken(wait, bound, now);
+//   window.OnFirstToken(wait, target, now);
 //
-// Load pattern: entry instances share the endpoints, and each has a part of
-// their places. When one instance has more of the highest tier than its part
-// holds, its requests wait for one of its own places, while other instances
-// fill theirs with lower tiers. The endpoints' queues are the only ones that
-// all instances share, and they honour priority: an urgent request that waits
-// there gets the next place that any instance's request frees. But what waits
-// there can't be refused in time or sent elsewhere any more, and without a
-// bound the endpoints' queues of the highest tier grow as under no policy at
-// all.
+// Entry instances share the endpoints, and each has a fraction of their slots.
+// When one instance has more requests of the highest tier than fit in its
+// slots, they wait for one of those, while other instances fill theirs with
+// lower tiers. Only the endpoints' own queues are shared by all instances, and
+// they are ordered by priority: an urgent request queued there gets the next
+// slot that any instance's request frees. On the other hand, a request queued
+// there can no longer be refused in time or sent elsewhere, and without a limit
+// the queues of the highest tier grow as if there were no policy at all.
 //
-// So the bound follows the wait: it rises while the first tokens come within
-// nine tenths of the class's target, and falls when they don't.
+// The limit therefore follows the wait: it rises while first tokens arrive
+// within nine tenths of the class's target, and falls otherwise.
 //
-// Grounds for the figures: a quarter of a request more for each answer in time
-// doubles a window of four in sixteen answers, a second or two of an instance's
-// urgent work. Three tenths less for an answer that is late, at most once for
-// each bound's time, so that the answers of one queue count once. A lower part
-// of the target than nine tenths closes the window for waits that come from the
-// length of the others' runs and not from the queue: with 0.3 one instance that
-// had all of the highest tier attained 3% instead of 99% (scenario
-// split_tiers).
+// Choice of the defaults:
+// - The window grows by a quarter of a request per timely answer, so a window
+//   of four doubles in sixteen answers, which is a second or two of an
+//   instance's urgent requests.
+// - A late answer cuts it by three tenths, at most once per the time that a
+//   request may wait, so that the answers from one queue count once.
+// - A target fraction below nine tenths closes the window for waits caused by
+//   the run time of other requests rather than by the queue. With 0.3, one
+//   instance that had all requests of the highest tier attained 3% instead of
+//   99% (scenario split_tiers).
 #ifndef THORNHOLLOW_POLICY_ENDPOINT_QUEUE_WINDOW_H_
 #define THORNHOLLOW_POLICY_ENDPOINT_QUEUE_WINDOW_H_
 
@@ -43,7 +44,7 @@
   double mMaxWindow = 256;
   double mIncrease = 0.25;
   double mDecreaseFactor = 0.7;
-  // The part of the first token's target that a request may wait there.
+  // Fraction of the target for the first token that a request may wait there.
   double mTargetFraction = 0.9;
 
   friend bool operator==(const endpoint_queue_window_settings&,
@@ -56,14 +57,15 @@
   explicit endpoint_queue_window(
     const endpoint_queue_window_settings& aSettings);
 
-  // Whether one more request may wait at an endpoint.
+  // Whether one more request may be queued at an endpoint.
   bool HasRoom() const;
 
-  // A request was sent to wait there.
+  // A request was sent to be queued at an endpoint.
   void OnSent() { ++mWaiting; }
-  // Its first token came after `aWait`; the class's target is `aTarget`.
+  // A queued request's first token arrived after `aWait`; its class's target is
+  // `aTarget`. Don't call `OnDequeued` for it as well.
   void OnFirstToken(duration aWait, duration aTarget, time_point aNow);
-  // It ended without a first token.
+  // A queued request ended without a first token.
   void OnDequeued();
 
   std::uint32_t Waiting() const { return mWaiting; }
--- a/thornhollow/policy/endpoint_scenario_test.cc
+++ b/thornhollow/policy/endpoint_scenario_test.cc
@@ -1,7 +1,7 @@
-// What callers get with and without a part of the endpoint side, in virtual
-// time, with bounds that CI checks. The runs are the same to the last step each
-// time, so a bound needs no room for chance, only for changes elsewhere: it is
-// half of the difference that was measured when it was set.
+// Checks the effect on callers of single endpoint policies, switched on and
+// off, in virtual time. The runs are deterministic, so the bounds need no
+// tolerance for chance, only for changes elsewhere: each is half of the
+// difference that was measured when it was set.
 
 #include <cstdint>
 #include <string>
@@ -35,10 +35,10 @@
   scheduler_settings mOff;
 };
 
-// Twice the capacity is asked for, and no load report comes. Each of eight
-// instances fills every slot by itself; the engines hold eight times what they
-// batch, and drivers wait behind it. Measured: 0.91 against 0.72 and 0.95
-// against 0.78.
+// Demand is twice the capacity and no load reports arrive. Without learnt
+// limits each of eight instances fills every slot by itself, so the engines get
+// eight times the requests that they can batch, and drivers wait behind them.
+// Measured: 0.91 against 0.72 and 0.95 against 0.78.
 TEST_CASE_FIXTURE(on_and_off,
                   "endpoint_scenario/reports_missing/limit_is_learnt")
 {
@@ -53,8 +53,8 @@
   }
 }
 
-// A prefix that seven in ten requests share. Bound to the endpoint that holds
-// it, they queue there while other endpoints have room.
+// Seven in ten requests share a prefix. If they always went to the endpoint
+// that has it cached, they would queue there while other endpoints have room.
 TEST_CASE_FIXTURE(on_and_off, "endpoint_scenario/hot_prefix/spreads_under_load")
 {
   mOff.mEndpoints.mChoice.mPrefillTimePerToken = Milliseconds(10);
@@ -62,7 +62,7 @@
   const scenario_spec hot = FindScenario(granite, "hot_prefix");
   const double on = HighestTier(granite, hot, mOn);
   const double off = HighestTier(granite, hot, mOff);
-  MESSAGE("on " << on << ", bound to the holder " << off);
+  MESSAGE("on " << on << ", always sent to the caching endpoint " << off);
   CHECK(on >= 0.99);
   CHECK(on > off);
 }
--- a/thornhollow/policy/endpoint_states.h
+++ b/thornhollow/policy/endpoint_states.h
@@ -1,16 +1,17 @@
-// Which endpoints are leaving, from three sources that disagree: the platform's
-// list, which lags; the endpoint's own word; and peers that heard that word.
+// Tracks which endpoints are leaving, from three sources that may disagree: the
+// platform's list, which lags; the endpoint's own report; and peers that relay
+// such a report.
 //
-//   for (const auto& [name, state] : states.OnLeavingReported(endpoint, until,
-//   now)) {
+//   const auto changes = states.OnLeavingReported(endpoint, until);
+//   for (const auto& [name, state] : changes) {
 //     Apply(scheduler.OnEndpointState(name, state, now));
 //   }
 //
-// Failure: an endpoint says that it leaves and the list still has it as live.
-// Were the latest source believed, the next copy of the list would send new
-// work there, which is cut when it stops. So an endpoint counts as leaving
-// while any source says so; what was told ends by itself, since nothing takes
-// it back.
+// An endpoint may report that it is leaving while the list still shows it as
+// live. If the latest source won, the next copy of the list would send new work
+// there, which is cut off when the endpoint stops. So an endpoint counts as
+// leaving while any source says so. Reports expire by themselves, since they
+// are never withdrawn.
 #ifndef THORNHOLLOW_POLICY_ENDPOINT_STATES_H_
 #define THORNHOLLOW_POLICY_ENDPOINT_STATES_H_
 
@@ -38,17 +39,18 @@
 class endpoint_states
 {
 public:
-  // The platform's list has these as leaving, and no others.
+  // The platform's list was received; it shows exactly `aLeaving` as leaving.
+  // Returns the endpoints whose state changes.
   endpoint_state_changes OnPlatformList(std::set<endpoint_name> aLeaving);
 
-  // The endpoint, or a peer for it, said that it leaves; holds until `aUntil`
-  // at least.
+  // The endpoint, or a peer on its behalf, reported that it is leaving. Valid
+  // until `aUntil` at least. Returns the endpoints whose state changes.
   endpoint_state_changes OnLeavingReported(const endpoint_name& aEndpoint,
                                            time_point aUntil);
 
-  // Ends what was told and not told again.
+  // Drops expired reports. Returns the endpoints whose state changes.
   endpoint_state_changes Advance(time_point aNow);
-  // When `Advance` has something to do next.
+  // When the next report expires; empty if there are none.
   std::optional<time_point> NextDue() const;
 
 private:
--- a/thornhollow/policy/endpoint_subset.cc
+++ b/thornhollow/policy/endpoint_subset.cc
@@ -32,7 +32,8 @@
   return hashes;
 }
 
-// How many routers weigh more for `aEndpoint` than the own one.
+// Returns the number of routers with a higher weight for `aEndpoint` than the
+// own one.
 std::size_t
 CountRoutersWithHigherWeight(const std::vector<std::uint64_t>& aRouters,
                              std::uint64_t aOwn,
@@ -45,7 +46,8 @@
     }));
 }
 
-// Moves the heaviest of `aFrom` to `aChosen` until that holds `aMaxSize`.
+// Appends the indices with the highest weights in `aFrom` to `aChosen` until
+// that has `aMaxSize` elements.
 void
 AppendHeaviest(std::vector<weighted_index> aFrom,
                std::size_t aMaxSize,
@@ -60,7 +62,8 @@
   }
 }
 
-// The own domain's part of a pool that is larger than the bound.
+// Chooses among the endpoints of the own domain when there are more than
+// `mMaxPerPool`.
 std::vector<std::size_t>
 ChooseFromOwnDomain(std::span<const subset_candidate> aPool,
                     const std::vector<std::size_t>& aOwnDomain,
--- a/thornhollow/policy/endpoint_subset.h
+++ b/thornhollow/policy/endpoint_subset.h
@@ -1,26 +1,28 @@
-// Which endpoints of a pool an entry instance works with.
+// Chooses the endpoints of a pool that an entry instance works with.
 //
-//   const subset_context view{ own, routersOfOwnDomain, ownDomain };
-//   const auto mine = ChooseSubset(candidates, view,
-//   endpoint_subset_settings{});
+//   const subset_context context{ own, routersOfOwnDomain, ownDomain };
+//   const auto chosen =
+//     ChooseSubset(candidates, context, endpoint_subset_settings{});
 //
-// Load pattern: 420 daemons before 850 endpoints. Were each daemon to work with
-// each endpoint, connections, probes and learnt state would grow with their
-// product, every endpoint would be seen by all 420, and each daemon, with 86
-// streams in flight, would learn the latency of an endpoint from one answer in
-// minutes.
+// In a deployment of 420 daemons and 850 endpoints, if every daemon worked with
+// every endpoint, connections, probes and measured state would grow with their
+// product, every endpoint would be used by all 420 daemons, and each daemon,
+// with 86 streams in flight, would measure an endpoint's latency from one
+// answer every few minutes.
 //
-// A pool of at most `mMaxPerPool` endpoints is taken whole: today's 13 and 15
-// endpoints always are. Of more, the own domain's come first. There each
-// endpoint picks the same number of routers by rendezvous hash, so that every
-// endpoint is covered equally, whatever the routers' names; a router that
-// comes or goes changes only the endpoints that it is, or was, picked by.
-// Others fill what is left, picked by the router's own rendezvous hash.
+// A pool of at most `mMaxPerPool` endpoints is used whole, as in today's
+// deployments with 13 and 15 endpoints. In larger pools, endpoints of the own
+// domain come first. If there are too many of them, each endpoint picks the
+// same number of routers by rendezvous hashing, so that every endpoint is
+// covered equally, whatever the routers' names. A router that joins or leaves
+// then only affects the endpoints that pick, or picked, it. Otherwise endpoints
+// of other domains fill the remainder, picked by the router's own rendezvous
+// hash.
 //
-// Grounds for the figures: 16 endpoints let a random sample of a few choose
-// among real alternatives, and at 86 streams a daemon each endpoint answers the
-// daemon several times a second. Below 8, the loss of one would push a large
-// part of the daemon's work onto few others.
+// Choice of the defaults: with 16 endpoints a random sample of a few has real
+// alternatives, and at 86 streams per daemon each endpoint answers the daemon
+// several times a second. With fewer than 8, the loss of one would move a large
+// fraction of the daemon's work to few others.
 #ifndef THORNHOLLOW_POLICY_ENDPOINT_SUBSET_H_
 #define THORNHOLLOW_POLICY_ENDPOINT_SUBSET_H_
 
@@ -35,8 +37,8 @@
 struct endpoint_subset_settings
 {
   std::size_t mMaxPerPool = 16;
-  // Of a large pool in the own domain: what the mean router gets, and the least
-  // that each gets.
+  // For a large pool in the own domain: the mean number of endpoints per
+  // router, and the minimum for each router.
   std::size_t mMeanPerPool = 12;
   std::size_t mMinPerPool = 8;
 
@@ -54,11 +56,11 @@
                          const subset_candidate&) = default;
 };
 
-// From where the subset is chosen.
+// The router that the subset is chosen for.
 struct subset_context
 {
   instance_name mOwn;
-  // Entry instances of the own domain; `mOwn` counts whether listed or not.
+  // Entry instances of the own domain. `mOwn` is counted whether listed or not.
   std::vector<instance_name> mRouters;
   domain_name mDomain;
 
@@ -66,8 +68,9 @@
                          const subset_context&) = default;
 };
 
-// Indices in `aPool` of the endpoints to work with, ascending. The same for the
-// same arguments in every process, in whatever order names are given.
+// Returns the indices in `aPool` of the endpoints to work with, in ascending
+// order. The same endpoints are chosen for the same arguments in every process,
+// in whatever order the names are given.
 std::vector<std::size_t>
 ChooseSubset(std::span<const subset_candidate> aPool,
              const subset_context& aContext,
--- a/thornhollow/policy/endpoint_subset_test.cc
+++ b/thornhollow/policy/endpoint_subset_test.cc
@@ -72,8 +72,9 @@
         }) == 4);
 }
 
-// An endpoint is replaced or a router goes. Were the subsets cut anew, every
-// router would drop most of its connections and what it learnt on them.
+// When a router leaves, only few subsets may change. If they were all chosen
+// anew, every router would drop most of its connections and the latencies
+// measured on them.
 TEST_CASE_FIXTURE(large_domain,
                   "endpoint_subset/one_comes_or_goes/few_subsets_change")
 {
@@ -88,7 +89,7 @@
     std::ranges::set_intersection(before, after, std::back_inserter(both));
     moved += static_cast<int>(before.size() - both.size());
   }
-  // 37 routers hold about 12 each; the one that went held about 12.
+  // Each router has about 12 endpoints, so the one that left had about 12.
   CHECK(moved <= 24);
 }
 
--- a/thornhollow/policy/endpoint_table.cc
+++ b/thornhollow/policy/endpoint_table.cc
@@ -14,12 +14,12 @@
 using internal::member_state;
 using internal::pool_index;
 
-// How often a place that other routers' work keeps taken is looked at again
-// while their report fades.
+// How often an endpoint without a free slot is re-evaluated while the weight of
+// its load report fades.
 constexpr duration kRecheckInterval = Milliseconds(250);
 
-// States of endpoints that are not declared are forgotten above this many, far
-// more than the 850 endpoints of the largest size.
+// With more states than this, those of undeclared endpoints are dropped. Far
+// above the 850 endpoints of the largest deployment.
 constexpr std::size_t kMaxRetainedStates = 4096;
 
 constexpr std::array<pool_index::domain_rank, 2> kRanks{
@@ -36,7 +36,7 @@
   , mAffinity(aSettings.mPrefix)
   , mLengths(aSettings.mLength)
 {
-  // Until it is told who it is, an instance has a subset of its own.
+  // Until `SetRouters` gives the instance's name, it has a subset of its own.
   mSubsetContext.mOwn = instance_name(std::to_string(aSeed));
 }
 
@@ -81,8 +81,8 @@
       serving[pool].push_back(&each);
     }
   }
-  // The list goes on naming an endpoint that is not declared for a while; were
-  // its state forgotten, it would be taken for live when it is declared again.
+  // The platform's list may include an endpoint that is undeclared for a while.
+  // If its state were dropped, it would count as live when declared again.
   if (mNonLiveStates.size() > kMaxRetainedStates) {
     std::erase_if(mNonLiveStates, [&names](const auto& aEach) {
       return !names.contains(aEach.first);
@@ -157,9 +157,9 @@
     if (!each || each->mRecord.IsDeclared()) {
       continue;
     }
-    // One with requests in flight stays until they ended and counts them; one
-    // that said it leaves stays as long as its word counts, lest it get work
-    // when it is declared again.
+    // An endpoint with requests in flight is kept until they end, so that they
+    // are counted. One that reported that it is leaving is kept until the
+    // report expires, or it would get work when declared again.
     if (each->mRecord.InFlight() == 0 &&
         !each->mRecord.LeavingReportExpiry(aNow)) {
       mNumbers.erase(each->mRecord.Declared().mName);
@@ -234,7 +234,7 @@
   return tried >= aPool.mIndex.Serving();
 }
 
-// The endpoints that hold the request's prefix.
+// Considers the endpoints that are likely to have the request's prefix cached.
 void
 endpoint_table::ConsiderPrefixHits(search& aSearch)
 {
@@ -258,7 +258,7 @@
   }
 }
 
-// From a random one on, the first that fits.
+// Finds the first eligible endpoint, starting from a random one.
 void
 endpoint_table::Scan(pool_index::domain_rank aRank, search& aSearch)
 {
@@ -273,8 +273,8 @@
     if (aSearch.mBest || withFreeSlot.empty() || i >= listed) {
       return;
     }
-    // One that turned out to be full left the list, and another took its place
-    // there: look at the same position again.
+    // An endpoint that turned out to be full was removed from the list and
+    // another one moved to its position: look at the same position again.
     at += withFreeSlot.size() == listed ? 1 : 0;
   }
 }
@@ -311,8 +311,9 @@
   return !aSearch.mLimitLong || record.HasFreeSlotForLong(aSearch.mNow);
 }
 
-// A probe may get no answer. So it is a request that may be repeated, and not
-// of the highest tier, unless none came for long or nothing else serves.
+// A probe may get no answer. So only idempotent requests below the highest tier
+// are used, unless the probe has been due for long or no endpoint serves the
+// pool.
 bool
 endpoint_table::IsEligibleForProbe(const entry& aEntry,
                                    const search& aSearch) const
@@ -332,7 +333,8 @@
   const endpoint_record& record = mEntries[aNumber]->mRecord;
   const pool_index& pool = aSearch.mPool.mIndex;
   if (record.Health().CapacityFraction() == 0) {
-    // A probe that is due goes first: it is the only way back.
+    // A probe that is due takes precedence: without it an endpoint can't
+    // recover.
     return 0;
   }
   const duration halfLife = mSettings.mChoice.mLatencyHalfLife;
@@ -383,8 +385,8 @@
         !IsEligible(candidate, query)) {
       continue;
     }
-    // The shortest queue first: a cached prefix doesn't make up for a queue,
-    // and everybody's would grow at its holder.
+    // The shortest queue comes first: a cached prefix doesn't make up for
+    // queueing, and all routers would queue at the endpoint that has it.
     const std::uint32_t inFlight = record.InFlight();
     const std::uint32_t capacity = record.Capacity(aNow);
     const std::uint32_t queued = inFlight > capacity ? inFlight - capacity : 0;
--- a/thornhollow/policy/endpoint_table.h
+++ b/thornhollow/policy/endpoint_table.h
@@ -1,18 +1,18 @@
-// The endpoints of one entry instance: which may take new work, how much they
-// hold, and which one a request goes to.
+// Holds the endpoints of one entry instance: which of them accept new work, how
+// many requests they have, and which one a request is sent to.
 //
 //   endpoint_table table(endpoint_table_settings{}, 1);
 //   table.Configure(declared, ownDomain, now);
 //   if (const auto chosen = table.Choose(item, tried, now)) { ... }
 //
-// It joins the modules of the endpoint side; each states its own load pattern:
-// concurrency_limit.h, endpoint_load.h, endpoint_health.h, endpoint_choice.h,
-// prefix_affinity.h, length_estimate.h, endpoint_subset.h.
+// It combines these modules, each of which documents the load pattern that it
+// handles: concurrency_limit.h, endpoint_load.h, endpoint_health.h,
+// endpoint_choice.h, prefix_affinity.h, length_estimate.h, endpoint_subset.h.
 //
-// The cost of a decision doesn't grow with the endpoints: each pool keeps the
-// list of those with a free place, a decision looks at a few random ones of it.
-// What changes by time alone (a report that fades, a probe that falls due) is
-// looked at again when it falls due, see `NextDue`.
+// The cost of a decision doesn't grow with the number of endpoints: each pool
+// keeps a list of those with a free slot, and a decision considers a few random
+// ones from it. State that changes with time alone (a report that fades, a
+// probe that falls due) is re-evaluated when it is due, see `NextDue`.
 #ifndef THORNHOLLOW_POLICY_ENDPOINT_TABLE_H_
 #define THORNHOLLOW_POLICY_ENDPOINT_TABLE_H_
 
@@ -43,22 +43,23 @@
   prefix_affinity_settings mPrefix;
   length_estimate_settings mLength;
   endpoint_subset_settings mSubset;
-  // False: long work may take every place.
+  // False: long requests may take every slot.
   bool mLimitLongWork = true;
-  // Long work is bounded only while short work came to the pool within this
-  // time: places kept for nobody are lost.
+  // Long requests are limited only if the pool received a short one within this
+  // time, because slots that are reserved without need are wasted.
   duration mShortWorkWindow = Seconds(10);
-  // Endpoints looked at in turn where the sample holds no fit one; as many as a
-  // pool has in a subset, so that a free place there is always found.
+  // Maximum number of endpoints scanned in turn if the sample has no eligible
+  // one. At least as many as the subset of a pool has, so that a free slot in
+  // it is always found.
   std::size_t mMaxScan = 32;
-  // A probe that found no fit request for this long takes any.
+  // A probe that found no suitable request for this long uses any request.
   duration mProbeFallbackDelay = Seconds(10);
 
   friend bool operator==(const endpoint_table_settings&,
                          const endpoint_table_settings&) = default;
 };
 
-// One endpoint as operators see it.
+// The state of one endpoint as shown to operators.
 struct endpoint_status
 {
   endpoint_name mName;
@@ -78,45 +79,47 @@
 public:
   endpoint_table(const endpoint_table_settings& aSettings, std::uint64_t aSeed);
 
-  // Who this instance is and which entry instances its domain has, for the
-  // subset. Takes effect with the next `Configure`.
+  // Sets this instance's name and the entry instances of its domain, from which
+  // its subset of endpoints is chosen. Takes effect with the next `Configure`.
   void SetRouters(const instance_name& aOwn,
                   const std::vector<instance_name>& aRouters);
 
-  // Takes the declared endpoints. What was learnt about one that stays is kept.
+  // Replaces the declared endpoints. State measured for those that remain is
+  // kept.
   void Configure(const declarations& aDeclared,
                  const domain_name& aOwnDomain,
                  time_point aNow);
 
-  // The endpoint for `aItem`, or nothing where none has a free place. Endpoints
-  // in `aTried` are taken only when no other one serves the pool. Takes no
-  // place yet.
+  // Returns the endpoint for `aItem`, or nothing if none has a free slot.
+  // Endpoints in `aTried` are chosen only if no other one serves the pool.
+  // Doesn't take the slot; see `OnSent`.
   std::optional<endpoint_name> Choose(const work_item& aItem,
                                       std::span<const endpoint_name> aTried,
                                       time_point aNow);
 
-  // The endpoint at whose own queue `aItem` should wait, where none has a free
-  // place: the one with the shortest, where this instance has fewer than
-  // `aMaxQueued` requests more than it has places. Only where other routers
-  // have requests, too: else nobody but this instance can free the next place,
-  // and its own queue is the better one. Never at a plain service, which
-  // honours no tiers. Nothing where there is none.
+  // Returns the endpoint in whose own queue `aItem` should wait if none has a
+  // free slot: the one with the shortest queue, among those where this instance
+  // has fewer than `aMaxQueued` requests beyond its slots. Only endpoints that
+  // other routers use too are considered. At any other one only this instance's
+  // requests can free the next slot, so waiting in this instance's queue is
+  // better. Plain services are never considered, as they don't honour tiers.
+  // Returns nothing if no endpoint qualifies.
   std::optional<endpoint_name> ChooseForQueueing(
     const work_item& aItem,
     std::span<const endpoint_name> aTried,
     std::uint32_t aMaxQueued,
     time_point aNow);
 
-  // An attempt goes to `aEndpoint`: takes one place there.
+  // An attempt is sent to `aEndpoint`: takes one slot there.
   void OnSent(const endpoint_name& aEndpoint,
               const work_item& aItem,
               time_point aNow);
-  // The first token came `aWait` after the attempt was sent.
+  // The first token arrived `aWait` after the attempt was sent.
   void OnFirstToken(const endpoint_name& aEndpoint,
                     const work_item& aItem,
                     duration aWait,
                     time_point aNow);
-  // The attempt ended: frees its place.
+  // The attempt ended `aElapsed` after it was sent: frees its slot.
   void OnEnded(const endpoint_name& aEndpoint,
                const work_item& aItem,
                attempt_end aHow,
@@ -131,33 +134,33 @@
                 endpoint_state aState,
                 time_point aNow);
 
-  // This process stood still (clock_gap.h). Until something new is heard of an
-  // endpoint it gets one request more at most; old reports count for nothing,
-  // and answers that span the pause teach nothing.
+  // This process was paused (clock_gap.h). Until something new is received from
+  // an endpoint it gets at most one more request. Older reports are ignored,
+  // and answers that span the pause don't count in the measurements.
   void OnClockGap(time_point aNow);
 
-  // Looks again at what changes by time alone.
+  // Re-evaluates state that changes with time alone.
   void Advance(time_point aNow);
-  // When `Advance` may free a place next; nothing where no time is set.
+  // When `Advance` may next free a slot; empty if no time is set.
   std::optional<time_point> NextDue() const;
 
-  // Whether any endpoint that may take new work serves `aPool`.
+  // Whether any endpoint that accepts new work serves `aPool`.
   bool Serves(const pool_name& aPool) const;
 
-  // Places of `aPool` over all endpoints in service, taken or free.
+  // Slots of `aPool` over all endpoints in service, taken or free.
   std::uint32_t Slots(const pool_name& aPool) const;
 
   // Whether the pool's endpoints order their own queues by tier: model engines
   // do, plain services don't.
   bool HonoursTiers(const pool_name& aPool) const;
 
-  // Tokens to expect of the answer to `aItem`.
+  // Returns the expected number of tokens of the answer to `aItem`.
   double ExpectedTokens(const work_item& aItem) const;
-  // Whether `aItem` counts as long work: it may find no place where a request
-  // behind it does.
+  // Whether `aItem` counts as long work, which may find no free slot where a
+  // shorter request behind it does.
   bool IsLong(const work_item& aItem) const;
 
-  // Every endpoint that this instance works with, by name.
+  // Returns every endpoint that this instance works with, sorted by name.
   std::vector<endpoint_status> Status(time_point aNow) const;
 
 private:
@@ -165,7 +168,7 @@
 
   struct membership
   {
-    // Nodes of the map of pools stay where they are.
+    // Points into `mPools`; nodes of an unordered_map have stable addresses.
     internal::pool_index* mPool = nullptr;
     std::uint32_t mMember = 0;
   };
@@ -189,7 +192,7 @@
     internal::pool_index mIndex;
     std::optional<time_point> mLastShortWork;
   };
-  // One decision while it is made.
+  // The state of one decision.
   struct search
   {
     const work_item& mItem;
@@ -211,11 +214,11 @@
                  const std::vector<const endpoint*>& aServing,
                  bool aHonoursTiers);
   void DropUnused(time_point aNow);
-  // Brings the pools up to date with what changed about an endpoint.
+  // Updates the pool indexes after a change of an endpoint.
   void Refresh(entry& aEntry, time_point aNow);
   void ScheduleRecheck(entry& aEntry, time_point aNow);
   static bool CanEject(const entry& aEntry);
-  // The member number of `aEntry` in `aPool`, where it is one.
+  // The member number of `aEntry` in `aPool`; empty if it isn't a member.
   static std::optional<std::uint32_t> MemberOf(const entry& aEntry,
                                                const pool_state& aPool);
 
@@ -240,11 +243,11 @@
   prefix_affinity mAffinity;
   length_estimate mLengths;
   std::unordered_map<endpoint_name, endpoint_number> mNumbers;
-  // Numbers of endpoints that are gone are used again.
+  // Indexed by endpoint number. Numbers of removed endpoints are reused.
   std::vector<std::optional<entry>> mEntries;
   std::vector<endpoint_number> mFreeNumbers;
   std::unordered_map<pool_name, pool_state> mPools;
-  // States other than live, also of endpoints outside the subset.
+  // States other than live, including those of endpoints outside the subset.
   std::unordered_map<endpoint_name, endpoint_state> mNonLiveStates;
   std::priority_queue<recheck, std::vector<recheck>, std::greater<>> mRechecks;
 };
--- a/thornhollow/policy/endpoint_table_allocations_test.cc
+++ b/thornhollow/policy/endpoint_table_allocations_test.cc
@@ -1,5 +1,5 @@
-// Counts what one decision allocates. The program's operator new is replaced
-// here, for the whole test program, by one that counts while it is told to.
+// Counts the allocations of one decision. Replaces operator new of the whole
+// test program by one that counts while `gCounting` is set.
 
 #include <cstddef>
 #include <cstdint>
@@ -16,10 +16,10 @@
 
 bool gCounting = false;
 std::size_t gAllocations = 0;
-// Held, by what the allocator set aside.
+// Bytes held, by the usable size of the allocations.
 std::size_t gBytes = 0;
 
-// Null where there is no memory.
+// Returns null if out of memory.
 void*
 Allocate(std::size_t aSize) noexcept
 {
@@ -51,7 +51,7 @@
   throw std::bad_alloc();
 }
 
-// The standard library's temporary buffers come from this one.
+// The standard library allocates temporary buffers with this overload.
 void*
 operator new(std::size_t aSize, const std::nothrow_t& /*aTag*/) noexcept
 {
@@ -73,12 +73,12 @@
 namespace thornhollow {
 namespace {
 
-// Names longer than what a string holds without an allocation.
+// Longer than the small-string buffer, so that each copy of a name allocates.
 constexpr const char* kNamePrefix = "an-endpoint-with-a-rather-long-name-";
-// Bounds that CI checks. A decision returns the endpoint's name, which is one
-// allocation where the name is long; nothing else may be allocated per request.
+// Checked by CI. A decision returns the endpoint's name, which is one
+// allocation if the name is long. Nothing else may be allocated per request.
 constexpr double kMaxAllocationsPerDecision = 1.01;
-// What one endpoint takes: its record, name, places in lists, and its part of
+// Memory of one endpoint: its record, name, list entries, and its fraction of
 // the hash tables.
 constexpr std::size_t kMaxBytesPerEndpoint = 2200;
 
@@ -110,7 +110,7 @@
     return declared;
   }
 
-  // A request from its decision to its answer.
+  // Processes a request from the decision to the answer.
   void Serve(work_item& aItem)
   {
     ++aItem.mTicket;
@@ -155,7 +155,7 @@
   Start();
   mTable.Configure(declared, domain_name("d0"), mNow);
   gCounting = false;
-  MESSAGE("bytes held for each endpoint: " << gBytes / 1000);
+  MESSAGE("bytes per endpoint: " << gBytes / 1000);
   CHECK(gBytes / 1000 <= kMaxBytesPerEndpoint);
 }
 
--- a/thornhollow/policy/endpoint_table_benchmark.cc
+++ b/thornhollow/policy/endpoint_table_benchmark.cc
@@ -1,5 +1,5 @@
-// Cost of one decision over endpoints. docs/design/endpoint_choice.md has the
-// figures and the commands.
+// Measures the time of one decision by the number of endpoints.
+// docs/design/endpoint_choice.md has the results and the commands.
 
 #include <cstdint>
 #include <optional>
@@ -19,7 +19,8 @@
 
 struct benchmark_table
 {
-  // `aWhole`: every endpoint, to see the slope; else the usual subset.
+  // With `aWhole` the table has every endpoint, which shows how the time grows
+  // with their number. Otherwise it has the default subset.
   benchmark_table(std::int64_t aEndpoints, bool aWhole)
     : mTable(Settings(aWhole), 1)
   {
@@ -69,7 +70,7 @@
   endpoint_table mTable;
 };
 
-// From the decision to the end of the answer, all else idle.
+// From the decision to the end of the answer, with no other requests.
 void
 ServeOne(benchmark::State& aState)
 {
@@ -79,7 +80,7 @@
   }
 }
 
-// A decision while every place is taken: what each event costs in an overload.
+// A decision while every slot is taken: the time per event under overload.
 void
 ChooseWhileFull(benchmark::State& aState)
 {
@@ -91,7 +92,7 @@
   }
 }
 
-// One place free among all.
+// A decision while only one slot is free.
 void
 ChooseLastPlace(benchmark::State& aState)
 {
@@ -119,7 +120,7 @@
   }
 }
 
-// A change of configuration.
+// A configuration change.
 void
 Configure(benchmark::State& aState)
 {
@@ -145,7 +146,8 @@
 BENCHMARK(TakeReport)->Apply(Sizes);
 BENCHMARK(Configure)->Apply(Sizes);
 
-// One pool of 850 endpoints in 11 domains as one of 38 routers sees it.
+// Chooses the subset of one of 38 routers from a pool of 850 endpoints in 11
+// domains.
 void
 ChooseSubsetAt850(benchmark::State& aState)
 {
--- a/thornhollow/policy/endpoint_table_test.cc
+++ b/thornhollow/policy/endpoint_table_test.cc
@@ -44,7 +44,7 @@
     return item;
   }
 
-  // Chooses and sends; nothing where no place is free.
+  // Chooses an endpoint and sends; returns nothing if no slot is free.
   std::optional<endpoint_name> Send(const work_item& aItem)
   {
     auto chosen = mTable.Choose(aItem, {}, mNow);
@@ -89,9 +89,9 @@
   CHECK(mTable.Slots(pool_name("m")) == 20);
 }
 
-// Eight routers get the same report, which says that one endpoint is idle and
-// nine are half full. Were each to take the least loaded one, the next eight
-// requests would all go there.
+// Eight routers get the same reports, by which one endpoint is idle and nine
+// are half full. If each chose the least loaded one, the next eight requests
+// would all go there.
 TEST_CASE_FIXTURE(table_fixture,
                   "endpoint_table/one_reported_idle/eight_routers_spread")
 {
@@ -117,7 +117,7 @@
   }
   const endpoint_name chosen = *Send(Item());
   CHECK((chosen == Name(1) || chosen == Name(3)));
-  // All places of all domains are found.
+  // The remaining slots of both domains are found.
   for (int i = 5; i < 32; ++i) {
     CHECK(Send(Item()));
   }
@@ -127,7 +127,7 @@
 TEST_CASE_FIXTURE(table_fixture, "endpoint_table/hot_prefix/stays_then_spreads")
 {
   Declare(8, 16);
-  // The pool's pace is learnt first: 10 ms a token.
+  // Establishes the pool's time per token: 10 ms.
   const work_item first = Item(2, 7);
   const endpoint_name holder = *Send(first);
   mTable.OnFirstToken(holder, first, Milliseconds(10), mNow);
@@ -142,8 +142,9 @@
   CHECK(sent.size() >= 5);
 }
 
-// Eight routers share an endpoint that the others keep full. One that comes
-// late would never get in: each place that falls free is filled again at once.
+// Eight routers share an endpoint that the others keep full. Without a
+// guaranteed fair share, a router that starts later would never get a slot, as
+// each free one is filled again at once.
 TEST_CASE_FIXTURE(table_fixture,
                   "endpoint_table/others_hold_every_place/even_part_still_goes")
 {
@@ -154,8 +155,8 @@
   CHECK_FALSE(Send(Item()));
 }
 
-// The platform's list lags: it says that an endpoint is live which has told
-// this router, by declining a request, that it leaves.
+// The platform's list lags: it shows an endpoint as live that has declined a
+// request of this router because it is leaving.
 TEST_CASE_FIXTURE(table_fixture,
                   "endpoint_table/says_leaving_list_says_live/no_new_work")
 {
@@ -171,9 +172,9 @@
   CHECK(Send(Item()));
 }
 
-// Found by scheduler_search with seed 1: an endpoint says that it leaves, an
-// operator's change drops it, the next one declares it again. It got work at
-// once, and cut it a moment later.
+// Found by scheduler_search with seed 1: an endpoint reports that it is
+// leaving, a configuration change removes it and the next one declares it
+// again. It got work at once, and cut it off a moment later.
 TEST_CASE_FIXTURE(table_fixture,
                   "endpoint_table/leaves_dropped_declared_again/no_new_work")
 {
@@ -197,7 +198,7 @@
   for (int i = 0; i < 50; ++i) {
     CHECK(Send(Item()) == Name(1));
   }
-  // No probe beside the request that waits there; one after it was given up.
+  // No probe is sent while a request waits there, and one after it timed out.
   mNow += Seconds(1);
   for (int i = 0; i < 20; ++i) {
     CHECK(Send(Item()) == Name(1));
@@ -211,7 +212,7 @@
 }
 
 // The process was paused for a minute. Its reports are old, and an endpoint
-// that it takes for live may have left meanwhile.
+// that it considers live may have left meanwhile.
 TEST_CASE_FIXTURE(table_fixture,
                   "endpoint_table/process_paused/one_request_until_refreshed")
 {
@@ -255,8 +256,9 @@
   }
 }
 
-// Long answers arrive first and would take every place for a minute, while
-// short ones behind them miss their first token's target.
+// Requests with long answers arrive first. Without a limit they would take
+// every slot for a minute, and short ones behind them would miss their target
+// for the first token.
 TEST_CASE_FIXTURE(table_fixture,
                   "endpoint_table/long_among_short/quarter_kept_for_short")
 {
--- a/thornhollow/policy/internal/endpoint_record.cc
+++ b/thornhollow/policy/internal/endpoint_record.cc
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr double kSmoothingFactor = 0.2;
-// Fewer tokens tell little about the time for each.
+// Answers with fewer tokens give no reliable time per token.
 constexpr std::uint32_t kMinTokens = 8;
 
 } // namespace
@@ -104,7 +104,7 @@
   mLongInFlight -= ended.mLong ? 1 : 0;
   mHealth.OnEnded(aHow, aElapsed, aMayEject, aNow);
   if (aHow == attempt_end::kDeclined) {
-    // The one that was declined isn't running there.
+    // The declined request isn't running there.
     mLimit.OnDeclined(mLoad.InFlight() - 1, aNow);
   }
   if (aHow == attempt_end::kDeclinedLeaving) {
@@ -157,7 +157,7 @@
 {
   ClearUnconfirmed();
   if (mState == endpoint_state::kGone && aState == endpoint_state::kLive) {
-    // Another process under the same name.
+    // A new process under the same name.
     mLeavingReportedAt.reset();
   }
   mState = aState;
@@ -189,12 +189,13 @@
   return *mLeavingReportedAt + mSettings.mLeavingReportLifetime;
 }
 
-// The limit holds for all routers together: what the others hold is taken off.
+// The limit applies to all routers together, so the others' requests are
+// subtracted.
 //
-// A router that comes late must still get in, though the others replace each
-// request of theirs at once: it may always hold its even part of the limit. The
-// engine then has a little more than its limit, the others see that in the next
-// report and hold back until each has its part.
+// A router that starts later must still get slots, although the others replace
+// each of their requests at once. So each router may always use its fair share
+// of the limit. The engine then exceeds its limit slightly; the others see that
+// in the next report and hold back until each router has its fair share.
 std::uint32_t
 endpoint_record::Capacity(time_point aNow) const
 {
--- a/thornhollow/policy/internal/endpoint_record.h
+++ b/thornhollow/policy/internal/endpoint_record.h
@@ -1,4 +1,4 @@
-// All that one router knows of one endpoint.
+// The state that a router keeps for one endpoint.
 #ifndef THORNHOLLOW_POLICY_INTERNAL_ENDPOINT_RECORD_H_
 #define THORNHOLLOW_POLICY_INTERNAL_ENDPOINT_RECORD_H_
 
@@ -18,25 +18,25 @@
   endpoint_load_settings mLoad;
   concurrency_limit_settings mLimit;
   endpoint_health_settings mHealth;
-  // Routers that may share an endpoint; see `Capacity`.
+  // Maximum number of routers that share an endpoint; see `Capacity`.
   std::uint32_t mMaxRouters = 8;
-  // How long an endpoint's own word that it leaves outweighs a list that says
-  // it is live.
+  // How long an endpoint's own report that it is leaving takes precedence over
+  // a list that shows it as live.
   duration mLeavingReportLifetime = Seconds(30);
-  // Part of an endpoint's places that long work may take.
+  // Fraction of an endpoint's slots that long requests may take.
   double mMaxLongFraction = 0.75;
 
   friend bool operator==(const endpoint_record_settings&,
                          const endpoint_record_settings&) = default;
 };
 
-// An average in which a new value counts a fifth.
+// An exponential moving average in which a new value has a weight of one fifth.
 class moving_average
 {
 public:
   void Add(double aValue, time_point aNow);
-  // Drifts to `aPoolMedian`, by half in each `aHalfLife`; that where nothing is
-  // known.
+  // Decays towards `aPoolMedian` with a half-life of `aHalfLife` since the last
+  // value. Returns `aPoolMedian` if there are no values.
   double Value(double aPoolMedian, duration aHalfLife, time_point aNow) const;
 
 private:
@@ -47,8 +47,8 @@
 class endpoint_record
 {
 public:
-  // `aHonoursTiers`: its queue serves a higher tier first, as engines do and
-  // plain services don't.
+  // `aHonoursTiers`: the endpoint's queue serves higher tiers first, as engines
+  // do and plain services don't.
   endpoint_record(const endpoint_record_settings& aSettings,
                   const endpoint& aDeclared,
                   bool aHonoursTiers);
@@ -56,20 +56,21 @@
   void Declare(const endpoint& aDeclared, bool aHonoursTiers);
   void Undeclare() { mIsDeclared = false; }
   const endpoint& Declared() const { return mDeclared; }
-  // Whether its own queue is in order of tiers.
+  // Whether the endpoint's own queue is ordered by tier.
   bool HonoursTiers() const { return mHonoursTiers; }
   bool IsDeclared() const { return mIsDeclared; }
 
   void OnSent(ticket aTicket, bool aLong, time_point aNow);
   void OnFirstToken(ticket aTicket, duration aWait, time_point aNow);
-  // The seconds for each token of this attempt, where it tells.
+  // Returns the attempt's time per token in seconds, if it is a valid sample: a
+  // completed answer of at least a few tokens that doesn't span a clock gap.
   std::optional<double> OnEnded(ticket aTicket,
                                 attempt_end aHow,
                                 std::uint32_t aTokens,
                                 duration aElapsed,
                                 bool aMayEject,
                                 time_point aNow);
-  // Takes one observation of the time for each token.
+  // Adds a sample of the time per token, in seconds.
   void OnTimePerToken(double aSeconds,
                       double aPoolMedian,
                       bool aMayEject,
@@ -80,19 +81,21 @@
   void Update(time_point aNow) { mHealth.Update(aNow); }
 
   bool AcceptsNewWork(time_point aNow) const;
-  // Until when the endpoint's own word that it leaves counts; nothing where it
-  // gave none.
+  // When the endpoint's own report that it is leaving expires; empty without
+  // one.
   std::optional<time_point> LeavingReportExpiry(time_point aNow) const;
-  // Own requests that may be in flight there now.
+  // Number of this router's requests that may be in flight there now.
   std::uint32_t Capacity(time_point aNow) const;
   bool HasFreeSlot(time_point aNow) const;
-  // Whether one more long request fits beside those there.
+  // Whether one more long request may be sent there.
   bool HasFreeSlotForLong(time_point aNow) const;
-  // Own requests in flight there as a share of the limit.
+  // This router's requests in flight there as a fraction of the concurrency
+  // limit.
   double Utilization() const;
 
-  // Whether others work with it too, by its reports, or else by a limit that
-  // fell: own requests alone, at most as many as its slots, fill no queue.
+  // Whether other routers use the endpoint too, as shown by its reports or by a
+  // concurrency limit below its slots: this router's requests alone are at most
+  // as many as the slots, so they wouldn't cause a queue.
   bool IsShared(time_point aNow) const
   {
     return mLoad.OthersInFlight(aNow) > 0 || mLimit.Limit() < mDeclared.mSlots;
@@ -107,8 +110,8 @@
   endpoint_state State() const { return mState; }
   const moving_average& TimeToFirstToken() const { return mTimeToFirstToken; }
   const moving_average& TimePerToken() const { return mTimePerToken; }
-  // Whether an answer that took `aElapsed` up to now was sent before a pause of
-  // this process: then its times say nothing.
+  // Whether an answer that took `aElapsed` up to `aNow` was sent before this
+  // process was paused, which makes its timings invalid.
   bool SpansClockGap(duration aElapsed, time_point aNow) const;
 
 private:
@@ -116,8 +119,8 @@
   {
     ticket mTicket = 0;
     bool mLong = false;
-    // Sent while the endpoint was thought to have a free place. Of one that was
-    // sent to queue there, the wait says nothing about the limit.
+    // Sent while the endpoint was estimated to have a free slot. If it was sent
+    // to be queued there, its wait tells nothing about the limit.
     bool mWithinLimit = true;
     duration mTimeToFirstToken{};
   };
@@ -130,8 +133,8 @@
   bool mIsDeclared = true;
   endpoint_state mState = endpoint_state::kLive;
   std::optional<time_point> mLeavingReportedAt;
-  // Set after a pause, until something new is heard: the requests in flight
-  // then.
+  // The requests in flight when this process was last paused; cleared when
+  // something new is received from the endpoint.
   std::optional<std::uint32_t> mUnconfirmed;
   std::optional<time_point> mLastClockGap;
   std::vector<attempt> mAttempts;
--- a/thornhollow/policy/internal/pool_index.h
+++ b/thornhollow/policy/internal/pool_index.h
@@ -1,5 +1,6 @@
-// The endpoints that serve one pool, and which of them have a free place, kept
-// up to date so that a decision looks at a few only.
+// Index of the endpoints that serve one pool and of those with a free slot,
+// updated on every change, so that a decision needs to consider only a few
+// endpoints.
 #ifndef THORNHOLLOW_POLICY_INTERNAL_POOL_INDEX_H_
 #define THORNHOLLOW_POLICY_INTERNAL_POOL_INDEX_H_
 
@@ -10,29 +11,30 @@
 
 namespace thornhollow::internal {
 
-// What a pool needs to know of a member.
+// The state of a member that the pool depends on.
 struct member_state
 {
-  // May take new work by its state, if only probes.
+  // Accepts new work, even if only probes.
   bool mLive = false;
-  // Gets more than probes.
+  // Accepts more than probes.
   bool mServing = false;
   bool mHasFreeSlot = false;
-  // Places that this router may use there, taken or free.
+  // Slots that this router may use there, taken or free.
   std::uint32_t mSlots = 0;
-  // Part of its share that it lost as an outlier, 0 to 1.
+  // Fraction of its capacity that was withdrawn because it is an outlier, 0 to
+  // 1.
   double mLostFraction = 0;
 
   friend bool operator==(const member_state&, const member_state&) = default;
 };
 
-// A running median of values that arrive one at a time, in constant memory:
-// each value moves it by a fiftieth towards itself. Robust against stragglers.
+// A running median of a stream of values, in constant memory: each value moves
+// it towards itself by at most a fiftieth. Robust against stragglers.
 class running_median
 {
 public:
   void Add(double aValue);
-  // Zero where nothing was added.
+  // Zero if no values were added.
   double Value() const { return mValue; }
 
 private:
@@ -42,7 +44,7 @@
 class pool_index
 {
 public:
-  // Domains by preference.
+  // Failure domains by preference.
   enum domain_rank : std::uint8_t
   {
     kOwnDomain,
@@ -50,14 +52,14 @@
   };
   static constexpr std::size_t kRanks = 2;
 
-  // Forgets the members, keeps what was learnt about the pool.
+  // Removes the members, but keeps the pool's latency medians.
   void Clear();
-  // Adds an endpoint; returns its member number here.
+  // Adds an endpoint and returns its member number in this pool.
   std::uint32_t Add(std::uint32_t aEndpoint, domain_rank aRank);
   // Constant time.
   void Update(std::uint32_t aMember, const member_state& aState);
 
-  // Endpoint numbers of members with a free place, in no order.
+  // Endpoint numbers of the members with a free slot, in unspecified order.
   const std::vector<std::uint32_t>& WithFreeSlot(domain_rank aRank) const
   {
     return mLists[aRank].mEndpoints;
@@ -66,7 +68,7 @@
   {
     return mMembers[aMember].mRank;
   }
-  // Members, with or without a place.
+  // Number of members, with or without a free slot.
   std::size_t size() const { return mMembers.size(); }
   std::uint32_t EndpointOf(std::uint32_t aMember) const
   {
@@ -75,8 +77,8 @@
   std::uint32_t Slots() const { return mSlots; }
   std::uint32_t Live() const { return mLive; }
   std::uint32_t Serving() const { return mServing; }
-  // Whether one more member may lose its share: a third of the live ones at
-  // most, one where that is less, and never the only one.
+  // Whether `aMember` may be ejected: at most a third of the live members may
+  // be, or one where that is less, and never the only one.
   bool CanEject(std::uint32_t aMember) const;
 
   running_median mTimeToFirstToken;
@@ -87,14 +89,14 @@
   {
     std::uint32_t mEndpoint = 0;
     domain_rank mRank = kOwnDomain;
-    // Where it stands in the list, while it has a place.
+    // Position in the list, while it has a free slot.
     std::uint32_t mPosition = 0;
     member_state mState;
   };
   struct list
   {
     std::vector<std::uint32_t> mEndpoints;
-    // Member numbers, in step with `mEndpoints`.
+    // Member numbers, parallel to `mEndpoints`.
     std::vector<std::uint32_t> mMembers;
   };
 
--- a/thornhollow/policy/prefix_affinity.cc
+++ b/thornhollow/policy/prefix_affinity.cc
@@ -29,7 +29,8 @@
     found->mPrefix = aPrefix;
   }
   found->mLastUsed = aNow;
-  // Moves the endpoint to the front; the least recent one drops off the end.
+  // Move the endpoint to the front; if it is new, the least recent one is
+  // dropped.
   auto last = std::ranges::find(found->mEndpoints, aEndpoint);
   if (last == found->mEndpoints.end()) {
     --last;
--- a/thornhollow/policy/prefix_affinity.h
+++ b/thornhollow/policy/prefix_affinity.h
@@ -1,23 +1,25 @@
-// Which endpoints are likely to hold a prompt's leading part in their cache:
-// those to which this router sent it lately.
+// Records which endpoints are likely to have a prompt's prefix cached: those to
+// which this router recently sent it.
 //
 //   affinity.Record(item.mPrefix, endpoint, now);
 //   for (const std::uint32_t each : affinity.Lookup(item.mPrefix, now)) {...}
 //
-// Load pattern: many requests share a long leading part. Without this each goes
-// wherever there is room, every endpoint computes the same part again, and its
-// cache holds the same few prefixes as all others'.
+// Many requests share a long prefix. Without prefix affinity each is sent
+// wherever there is room, every endpoint computes the prefix again, and all
+// caches hold the same few prefixes.
 //
-// It only says where a prefix went; the choice weighs that against the load, so
-// that a hot prefix spreads when its endpoint is full. Memory is bounded: a
-// fixed table of sets with a few ways each, least recently used out first. No
-// allocation after construction.
+// This module only records where a prefix was sent. The choice weighs that
+// against the load, so that a hot prefix spreads when its endpoint is full.
+// Memory is bounded: a set-associative table with LRU eviction within each set,
+// and no allocation after construction.
 //
-// Grounds for the figures: 4,096 prefixes are far more than the few hundred
-// that a router's streams in flight (86 at the size of letter 1) can share. Up
-// to four holders each: more than that and the prefix is everywhere anyway. A
-// holder counts for two minutes after the last use: engines' memory for
-// prefixes is limited and holds what is used now.
+// Choice of the defaults:
+// - 4,096 prefixes are far more than the few hundred that a router's streams in
+//   flight (86 in a deployment of 420 daemons) can share.
+// - Up to four endpoints are recorded per prefix; with more of them, nearly
+//   every endpoint has it cached anyway.
+// - Entries expire two minutes after their last use, as an engine's prefix
+//   cache is limited and keeps what is in use.
 #ifndef THORNHOLLOW_POLICY_PREFIX_AFFINITY_H_
 #define THORNHOLLOW_POLICY_PREFIX_AFFINITY_H_
 
@@ -33,9 +35,9 @@
 
 struct prefix_affinity_settings
 {
-  // False: remembers nothing.
+  // False: nothing is recorded.
   bool mEnabled = true;
-  // Prefixes remembered; rounded up to whole sets.
+  // Capacity in prefixes, rounded up to whole sets.
   std::size_t mMaxPrefixes = 4096;
   duration mTimeToLive = Seconds(120);
 
@@ -49,17 +51,18 @@
   static constexpr std::size_t kMaxEndpoints = 4;
   static constexpr std::uint32_t kNoEndpoint = UINT32_MAX;
 
-  // Endpoint numbers, the most recent first; `kNoEndpoint` after the last.
+  // Endpoint numbers, the most recent first, padded with `kNoEndpoint`.
   using endpoint_list = std::array<std::uint32_t, kMaxEndpoints>;
 
   explicit prefix_affinity(const prefix_affinity_settings& aSettings);
 
-  // A request with prefix hash `aPrefix` (0: none) went to `aEndpoint`.
+  // A request with prefix hash `aPrefix` (0: none) was sent to `aEndpoint`.
   void Record(std::uint64_t aPrefix, std::uint32_t aEndpoint, time_point aNow);
 
   endpoint_list Lookup(std::uint64_t aPrefix, time_point aNow) const;
 
-  // `aEndpoint` is gone or lost its cache. Linear in the table.
+  // Removes `aEndpoint`, which is gone or lost its cache. Linear in the size of
+  // the table.
   void RemoveEndpoint(std::uint32_t aEndpoint);
 
 private:
