--- a/thornhollow/policy/decaying_rate.h
+++ b/thornhollow/policy/decaying_rate.h
@@ -1,4 +1,4 @@
-// How much comes in a second, with what came longer ago counting for less.
+// Exponentially decaying rate of events per second.
 //
 //   decaying_rate rate;
 //   rate.Add(1200, now);
@@ -17,9 +17,10 @@
 class decaying_rate
 {
 public:
-  // A few of the arrivals' clumps, and shorter than a burst.
+  // Covers several clusters of arrivals, yet is shorter than a burst.
   static constexpr double kTimeConstantSeconds = 2.0;
 
+  // `aTimeConstantSeconds`: time in which an amount decays to 1/e.
   explicit decaying_rate(double aMemorySeconds = kTimeConstantSeconds)
     : mTimeConstantSeconds(aMemorySeconds)
   {
--- a/thornhollow/policy/popular_prefix_blocks.h
+++ b/thornhollow/policy/popular_prefix_blocks.h
@@ -1,14 +1,16 @@
-// Which first parts of prompts all engines of a pool hold by now.
+// Estimates which first prefix blocks are cached on all engines of a pool.
 //
-//   popular_prefix_blocks parts;
-//   parts.OnRequested(work.mFirstBlock, now);
-//   if (parts.CachedOnAll(work.mFirstBlock, engines, instances, now)) { ... }
+//   popular_prefix_blocks blocks;
+//   blocks.OnRequested(request.mFirstBlock, now);
+//   if (blocks.CachedOnAll(request.mFirstBlock, engines, instances, now)) {
+//     ...
+//   }
 //
-// Load pattern: prompts that begin with one of a few texts, the same for all
-// sessions, and go on with a session's own. Every engine reads each of the
-// texts within a moment and keeps it, as it is used all the time. Counted as a
-// part of the session, it is expected to be read again by whichever engine a
-// session hasn't been sent to before.
+// Load pattern: prompts begin with one of a few texts that all sessions share
+// and continue with a block of the session. Every engine soon has each of these
+// texts in its prefix cache and keeps it there, because it is in constant use.
+// If they were counted as part of the session, every engine to which the
+// session has not yet been sent would be expected to prefill them again.
 #ifndef THORNHOLLOW_POLICY_POPULAR_PREFIX_BLOCKS_H_
 #define THORNHOLLOW_POLICY_POPULAR_PREFIX_BLOCKS_H_
 
@@ -25,11 +27,12 @@
 class popular_prefix_blocks
 {
 public:
-  // Parts that are counted; what is as popular as this asks for is among the
-  // first ones that come.
+  // Maximum number of blocks tracked. A block popular enough for `CachedOnAll`
+  // is among the first to arrive, so later ones can be ignored.
   static constexpr std::size_t kMaxBlocks = 64;
 
-  // A request's prompt begins with `aBlock`; 0: with none of its own.
+  // Counts a request whose prompt begins with `aBlock`; 0 if it has no first
+  // block of its own.
   void OnRequested(std::uint64_t aBlock, time_point aNow)
   {
     if (aBlock == 0) {
@@ -46,7 +49,9 @@
     }
   }
 
-  // All instances are asked for about as many prompts as this one.
+  // Whether `aBlock` was requested often enough lately to be cached on each of
+  // `aEngines` engines. Assumes that each of `aInstances` instances receives
+  // about as many prompts as this one.
   bool CachedOnAll(std::uint64_t aBlock,
                    std::size_t aEngines,
                    std::size_t aInstances,
@@ -63,10 +68,10 @@
   }
 
 private:
-  // Engines forget what wasn't used for tens of seconds.
+  // Engines evict blocks that have not been used for tens of seconds.
   static constexpr double kTimeConstantSeconds = 20;
-  // Prompts spread unevenly: with three for each engine in the mean one in
-  // twenty has had none.
+  // Prompts are distributed unevenly: at an average of three per engine, one
+  // engine in twenty has received none.
   static constexpr double kMinRequestsPerEngine = 3;
 
   std::map<std::uint64_t, decaying_rate> mBlocks;
--- a/thornhollow/policy/popular_prefix_blocks_test.cc
+++ b/thornhollow/policy/popular_prefix_blocks_test.cc
@@ -33,8 +33,8 @@
   CHECK_FALSE(Cached(7));
 }
 
-// Callers that send a prompt of their own each time would fill the table, and
-// the texts that all share would find no place.
+// Guards against a table filled by callers that send a unique prompt each time,
+// which leaves no room for the texts that all sessions share.
 TEST_CASE_FIXTURE(blocks_on_eighteen_engines,
                   "popular_parts/many_parts/popular_one_finds_a_place")
 {
--- a/thornhollow/policy/prefill_rate.h
+++ b/thornhollow/policy/prefill_rate.h
@@ -1,17 +1,18 @@
-// How many prompt tokens an engine of a pool reads in a second.
+// Estimates the prefill rate of a pool's engines, in prompt tokens per second.
 //
 //   prefill_rate rate(55'000);
 //   rate.OnPrefill(tokensBefore + ownTokens, wait);
 //   const duration wait = FromSeconds(tokens / rate.PerSecond());
 //
-// Load pattern: engines of a deployment that nobody has measured; rates of
-// present engines lie between 20 and 150 thousand. Each answer that begins
-// tells one: the prompt tokens that its engine had to read until then, over the
-// time that it took. What others sent there a moment ago isn't known, so single
-// answers are far off; the median is close. It is followed by steps in
-// proportion, large ones at first, so that odd answers move it little and a
-// wrong first guess is left within ten: within a fifth, for rates of 20 to 150
-// thousand, when one answer in five waited behind unknown prompts.
+// Load pattern: engines of a deployment that has not been measured; the rates
+// of present engines lie between 20,000 and 150,000. Each response that starts
+// gives a sample: the prompt tokens that its engine had to prefill until then,
+// divided by the time that this took. Single samples are far off, as requests
+// that other instances sent a moment ago are not known, but their median is
+// close. The estimate follows the median in proportional steps, large ones at
+// first, so that outliers move it little and a wrong prior is corrected within
+// ten responses: to within a fifth, for rates of 20,000 to 150,000, when one
+// response in five waited behind unknown prompts.
 #ifndef THORNHOLLOW_POLICY_PREFILL_RATE_H_
 #define THORNHOLLOW_POLICY_PREFILL_RATE_H_
 
@@ -26,17 +27,18 @@
 class prefill_rate
 {
 public:
-  // An engine outside of these isn't believed, nor who tells of one.
+  // Bounds for plausible rates; samples and rates reported by other instances
+  // are clamped to them.
   static constexpr double kMin = 2'000;
   static constexpr double kMax = 2'000'000;
 
-  // `aPrior`: tokens a second, until something was seen.
+  // `aPrior`: tokens per second to assume before the first sample.
   explicit prefill_rate(double aPrior)
     : mPerSecond(aPrior)
   {
   }
 
-  // An answer began after `aWait`, when its engine had read `aTokens`.
+  // A response started after `aWait`, in which its engine prefilled `aTokens`.
   void OnPrefill(double aTokens, duration aWait)
   {
     const double seconds =
@@ -52,16 +54,16 @@
   }
 
   double PerSecond() const { return mPerSecond; }
-  // Whether it is more than the first guess.
+  // Whether there are enough samples to report the estimate to other instances.
   bool Known() const { return mSamples >= kMinSamples; }
 
 private:
-  // Shorter readings tell more of the network than of the engine.
+  // The wait for shorter prefills depends on the network more than the engine.
   static constexpr double kMinTokens = 1'000;
   static constexpr double kMaxStep = 0.25;
   static constexpr double kMinStep = 0.02;
 
-  // From then on it is told to others.
+  // Samples required before the estimate is reported to other instances.
   static constexpr std::size_t kMinSamples = 5;
 
   double mPerSecond;
--- a/thornhollow/policy/prefill_rate_test.cc
+++ b/thornhollow/policy/prefill_rate_test.cc
@@ -8,8 +8,8 @@
 namespace thornhollow {
 namespace {
 
-// Answers of one kind of engine: a prompt's reading, the way to the engine and
-// back, and now and then a queue that nobody here knows of.
+// Responses of one kind of engine: the prefill of a prompt, the network round
+// trip, and in some cases a queue that this instance does not know about.
 struct engine_of_a_pool
 {
   double mPerSecond = 0;
--- a/thornhollow/policy/prefill_time_per_token.h
+++ b/thornhollow/policy/prefill_time_per_token.h
@@ -1,19 +1,21 @@
-// How fast an engine reads prompts, and what a prompt costs it.
+// Prefill time per token of a single engine, estimated from the minimum seen.
 //
-//   pace.OnPrefill(2'900, wait, now);
-//   if (pace.Nanoseconds() > 1.15 * fastest) { ... it is slow ... }
+//   prefill_time_per_token time;
+//   time.OnPrefill(8'000, wait, now);
+//   if (time.Nanoseconds(now) > 1.15 * fastest) { ... it is slow ... }
 //
-// Load pattern: engines of one pool that differ by a third in speed. What makes
-// an event of a stream late is five long steps in a row; with a chunk of a
-// prompt in it a step takes 35 ms on a fast engine and 45 on one that is 1.3
-// times as slow, where five of them break a promise of 200 ms and five of the
-// others just keep it. So urgent streams are to be on the fast ones.
+// Load pattern: engines of one pool whose speeds differ by a third. An event of
+// a stream is late after five long steps in a row. A step that contains a chunk
+// of a prompt takes 35 ms on a fast engine and 45 ms on one that is 1.3 times
+// as slow: five of the latter exceed a limit of 200 ms between events, while
+// five of the former just meet it. Streams with short limits therefore belong
+// on the fast engines.
 //
-// The wait for a first event is the time of reading at the least: queues and
-// streams beside it only add to it. So the least time for each token that was
-// seen lately is the engine's own, whatever it was busy with. Pauses between
-// events tell less: the low quantiles of pauses of 20 ms differ by a quarter
-// from instance to instance.
+// The wait for the first event is at least the prefill time; queues and
+// concurrent streams only add to it. The minimum time per token seen lately
+// thus belongs to the engine itself, whatever its load. Intervals between
+// events are less suitable: the low quantiles of intervals of 20 ms differ by a
+// quarter between instances.
 #ifndef THORNHOLLOW_POLICY_PREFILL_TIME_PER_TOKEN_H_
 #define THORNHOLLOW_POLICY_PREFILL_TIME_PER_TOKEN_H_
 
@@ -26,15 +28,16 @@
 class prefill_time_per_token
 {
 public:
-  // Shorter prompts tell more of the network than of the engine.
+  // The wait for shorter prompts depends on the network more than the engine.
   static constexpr double kMinTokens = 3'500;
-  // From a request's arrival to its first event, the reading left out: two
-  // ways, the engine's own start, a step.
+  // Time to the first event excluding the prefill: the network round trip, the
+  // engine's start of the request, and one step.
   static constexpr double kOverheadSeconds = 0.018;
-  // The least is forgotten by so much a second, as engines slow down for good.
+  // Relative growth of the minimum per second, so that an engine that became
+  // permanently slower is noticed.
   static constexpr double kGrowthPerSecond = 0.003;
 
-  // A prompt of which so many tokens were read had its first event after
+  // A request that needed `aTokens` tokens of prefill had its first event after
   // `aWait`.
   void OnPrefill(double aTokens, duration aWait, time_point aNow)
   {
@@ -45,11 +48,12 @@
     OnReported(seconds / aTokens * 1e9, aNow);
   }
 
-  // Another instance's pace for the same engine. It is kept like an own one,
-  // and told on: what is known of all engines is thus the same on all instances
-  // within a few rounds, however few of them each hears at a time. Of ninety
-  // instances that went by what they had heard in the last second, each took
-  // another 12 to 71 of ninety engines for slow.
+  // Another instance reported `aNanosecondsPerToken` for the same engine. The
+  // value is stored like a local one and reported onward, so that within a few
+  // rounds all instances have the same values for all engines, however few
+  // messages each of them receives at a time. When ninety instances used only
+  // what they had received in the last second, each classified a different 12
+  // to 71 of ninety engines as slow.
   void OnReported(double aNanosecondsPerToken, time_point aNow)
   {
     const double before = Nanoseconds(aNow);
@@ -58,7 +62,7 @@
     mUpdatedAt = aNow;
   }
 
-  // 0 before a prompt was read.
+  // Estimated nanoseconds per token; 0 before the first sample.
   double Nanoseconds(time_point aNow) const
   {
     const double passed = std::max(0.0, ToSeconds(aNow - mUpdatedAt));
--- a/thornhollow/policy/prefix_reuse_estimator.h
+++ b/thornhollow/policy/prefix_reuse_estimator.h
@@ -1,18 +1,19 @@
-// How likely it is that some instance has sent a prefix before, of which this
-// one knows nothing.
+// Estimates the probability that some instance has already sent a prefix that
+// this instance has not.
 //
-//   prefix_reuse_estimator known;
-//   known.OnSent(wasKnownHere);
-//   const double likely = known.Probability(instances);
+//   prefix_reuse_estimator reuse;
+//   reuse.OnSent(wasKnownHere);
+//   const double probability = reuse.Probability(instances);
 //
-// Load pattern: all engines are empty, as after a start of the whole site, and
-// a burst of long prompts comes. All instances send a session to the same
-// engine, so one that doesn't know the session takes its parts to be there; but
-// nobody had sent it yet. Counted as if they were there, the first prompts take
-// a multiple of what is believed, and the queues before them begin late.
+// Load pattern: all engine caches are empty, as after a restart of the whole
+// site, and a burst of long prompts arrives. All instances prefer the same
+// engine for a session, so an instance that does not know the session assumes
+// its prefix blocks to be cached there, although nobody has sent them yet. The
+// first prompts would then take several times their estimated prefill time, and
+// the requests queued behind them would start late.
 //
-// Each of the other instances sees other requests of the same sessions, and
-// knows as large a part of them as this one does.
+// The model assumes that each of the other instances sees different requests of
+// the same sessions and knows the same fraction of the prefixes as this one.
 #ifndef THORNHOLLOW_POLICY_PREFIX_REUSE_ESTIMATOR_H_
 #define THORNHOLLOW_POLICY_PREFIX_REUSE_ESTIMATOR_H_
 
@@ -25,7 +26,7 @@
 class prefix_reuse_estimator
 {
 public:
-  // A request was sent whose prefix this instance had sent before, or not.
+  // A request was sent. `aKnown`: this instance had sent its prefix before.
   void OnSent(bool aKnown)
   {
     ++mSamples;
@@ -33,6 +34,8 @@
     mKnownFraction += ((aKnown ? 1 : 0) - mKnownFraction) * step;
   }
 
+  // Probability that at least one of `aInstances` instances, this one included,
+  // has sent a given prefix.
   double Probability(std::size_t aInstances) const
   {
     const auto instances =
@@ -41,7 +44,8 @@
   }
 
 private:
-  // A few dozen requests: sessions come and go within tens of seconds.
+  // Averages over a few dozen requests, since sessions start and end within
+  // tens of seconds.
   static constexpr double kMinStep = 0.03;
 
   std::size_t mSamples = 0;
--- a/thornhollow/policy/prefix_reuse_estimator_test.cc
+++ b/thornhollow/policy/prefix_reuse_estimator_test.cc
@@ -23,8 +23,8 @@
   CHECK(subject.Probability(8) < 0.92);
 }
 
-// A third of the sessions was new after a release; what had been known before
-// was forgotten too slowly, and prompts were believed to be short.
+// Guards against an estimate that adapts too slowly: after a release a third of
+// the sessions was new, and the number of tokens to prefill was underestimated.
 TEST_CASE("known_prefixes/sessions_change/is_followed_within_a_hundred")
 {
   prefix_reuse_estimator subject;
--- a/thornhollow/policy/relay_admission.cc
+++ b/thornhollow/policy/relay_admission.cc
@@ -5,11 +5,11 @@
 namespace thornhollow {
 namespace {
 
-// A team counts while it asks for at least so many requests a second: one
-// within three times the rate's memory.
+// Minimum requests per second for which a team counts as active: one request
+// within three time constants of the rate.
 constexpr double kMinTeamRate = 0.025;
 constexpr duration kEvictionInterval = Seconds(1);
-// Callers come back only within a third of the time that they have left.
+// Callers are told to retry within a third of the time that they have left.
 constexpr int kTimeLeftDivisor = 3;
 
 } // namespace
@@ -63,7 +63,7 @@
     ToSeconds(observed) < maxWait * mSettings.mMinObservedFraction;
   const bool soon = aRequest.mIsRetry || ToSeconds(wait) <= maxWait;
   const bool fits = calm || (meetsDeadline && soon);
-  // A route without a target promises nothing that a queue could break.
+  // A route without a target makes no promise that a queue could break.
   const bool promised = aRequest.mTarget > duration::zero();
   if (!mSettings.mAdmit || !promised ||
       (fits && !ExceedsCapacity(aRequest, aRandom, aNow))) {
@@ -82,8 +82,8 @@
   };
 }
 
-// For a team that asks for more than its even part its tier has to wait less:
-// its burst alone could take all slots.
+// The limit is stricter for a team above its fair share, whose burst alone
+// could occupy all slots.
 bool
 relay_admission::OvertakesQueue(const admission_request& aRequest,
                                 time_point aNow) const
@@ -168,8 +168,8 @@
 {
   mUnstartedTokens -= std::min<std::uint64_t>(mUnstartedTokens, aTokens);
   if (mUnstartedTokens == 0) {
-    // Both rates fade alike, so their ratio would say forever how long the last
-    // answers had waited.
+    // Both rates decay alike, so their ratio would stay at the wait of the last
+    // responses indefinitely.
     mAnswers = decaying_rate();
     mWaits = decaying_rate();
   }
--- a/thornhollow/policy/relay_admission.h
+++ b/thornhollow/policy/relay_admission.h
@@ -1,43 +1,47 @@
-// Whether a prompt that may wait a little is taken, by how long the ones taken
-// before it wait.
+// Admission control for prompts that may be queued for a short time, based on
+// the waits of prompts admitted before.
 //
 //   relay_admission admission(relay_admission_settings{});
-//   if (const auto refused = admission.Decide(request, random, now)) {
-//     ... answer with refused->mKind, to come back after that time ...
+//   if (const auto refusal = admission.Decide(request, random, now)) {
+//     ... answer with refusal->mKind and refusal->mRetryAfter ...
 //   }
 //   admission.OnSent(prompt);
 //   admission.OnStarted(prompt, wait, now);   // or OnAborted(prompt)
 //
-// Load pattern: for ten seconds twice as many long prompts as engines can read.
-// Engines take them all and serve them in order: after a few seconds every
-// answer begins late, and a third of the callers has left before theirs began,
-// when most of the work for it was done. Taken are then only as many as begin
-// in time; the others are told at once when to come back. Answers of such a
-// half minute, on ninety engines with 16 places each, were worth 0.37 of what
-// they could be to callers instead of 0.26, and 0.31 instead of 0.18 on a
-// second one (real processes, one run each).
+// Load pattern: for ten seconds, twice as many long prompts arrive as engines
+// can prefill. Engines that accept them all serve them in order: after a few
+// seconds every response starts late, and a third of the callers leave before
+// theirs starts, when most of the work for it is done. Admission therefore
+// accepts only as many prompts as can start in time and tells the other callers
+// at once when to retry. In such half minutes with ninety engines of 16 slots
+// each, responses reached 0.37 of their maximum value to callers instead of
+// 0.26, and 0.31 instead of 0.18 in a second one (real processes, one run
+// each).
 //
-// The wait is what placement expects of the best engine, by what this instance
-// and others have sent there. It is believed only while answers were seen to
-// begin late, as news of others' prompts is old. Who was refused before and
-// comes back is taken as long as its caller is served at all, but in a clear
-// overload.
+// The wait is the one that placement expects for the best engine, from what
+// this and other instances have sent there. It is used only while responses
+// were observed to start late, because data about the prompts of other
+// instances is stale. Retries of refused requests are admitted as long as they
+// can be served before their deadline, except in a clear overload.
 //
-// News of others' prompts is too old where ninety instances send thousands of
-// prompts a second: each saw engines with room, and of 2,000 prompts a second
-// 30 began in time, where engines could read 460 to 1,450. So once more is
-// asked for than `mOverloadThreshold` times what engines can read, by sums over
-// all instances, no more than that part of it is taken.
+// Data about the prompts of other instances is too stale when ninety instances
+// send thousands of prompts per second: each saw free engines, and of 2,000
+// prompts per second 30 started in time, where engines could prefill 460 to
+// 1,450. Therefore, once the demand summed over all instances exceeds
+// `mOverloadThreshold` times the prefill capacity, only the fraction of it that
+// fits the capacity is admitted.
 //
-// Tiers: while a lower one is asked for, a tier whose own answers begin soon is
-// taken, whatever the lower ones wait: engines serve it first. Else it would be
-// refused for a queue that it doesn't stand in.
+// Tiers: while there is demand in a lower tier, a tier whose own responses
+// start soon is admitted regardless of the wait in lower tiers, since engines
+// serve it first. Otherwise it would be refused because of a queue that it
+// overtakes.
 //
-// Teams: one that asks for more than its even part is refused at half of that
-// wait, one that asks for less at a quarter more. So a team that sends many
-// times its usual waits behind itself. They are counted by requests: by tokens,
-// whoever sent a prompt of the largest tenth counted as asking for more, and
-// those prompts were worth 0.25 instead of 0.34.
+// Teams: a team that exceeds its fair share is refused at half of the maximum
+// wait, one below its share at a quarter more than it. A team that sends many
+// times its usual load thus queues behind itself. Shares are counted in
+// requests rather than tokens: with tokens, any team that sent a prompt from
+// the largest tenth counted as exceeding its share, and the value of those
+// prompts was 0.25 instead of 0.34.
 #ifndef THORNHOLLOW_POLICY_RELAY_ADMISSION_H_
 #define THORNHOLLOW_POLICY_RELAY_ADMISSION_H_
 
@@ -58,28 +62,29 @@
 
 struct relay_admission_settings
 {
-  // False: all are taken.
+  // False: all requests are admitted.
   bool mAdmit = true;
-  // Nothing is refused while answers began sooner than this part of the target
-  // lately, in the mean: one instance's queue is a few prompts of very
-  // different length, and says by itself too little.
+  // Nothing is refused while the mean observed wait is below this fraction of
+  // the maximum wait. The queue of one instance consists of a few prompts of
+  // very different lengths and is too noisy a signal on its own.
   double mMinObservedFraction = 0.4;
-  // Part of their time for which engines read at the least: a full batch of
-  // streams takes the other half.
+  // Minimum fraction of their time that engines spend on prefill: a full batch
+  // of streams takes the other half.
   double mMinPrefillFraction = 0.5;
-  // From here on only the part that engines can read is taken: what is counted
-  // as work and what engines can do are known to a fifth or so each.
+  // Ratio of demand to capacity from which only the fraction that fits the
+  // capacity is admitted. Demand and capacity are each known to about a fifth.
   double mOverloadThreshold = 1.5;
-  // Who comes back is taken so much more often then.
+  // Factor on the admission probability of retries in that case.
   double mRetryFactor = 1.5;
-  // Of the longest wait, for teams above and below their even part: enough
-  // apart for the queue of one not to reach the others' bound.
+  // Factors on the maximum wait for teams above and below their fair share, far
+  // enough apart that the queue of one team does not reach the limit of others.
   double mAboveShareFactor = 0.5;
   double mBelowShareFactor = 1.25;
-  // Above this many times the even part a team counts as asking for more: two
-  // requests where others have one are chance.
+  // Multiple of the fair share above which a team counts as exceeding it: two
+  // requests where others have one are within chance.
   double mAboveShareThreshold = 2;
-  // From a few prompts' reading to the third of 15 s that callers wait for.
+  // From the prefill time of a few prompts to a third of the 15 s for which
+  // callers wait.
   return_schedule_settings mRetrySchedule = { .mLeast = Milliseconds(500),
                                               .mMost = Seconds(5) };
 
@@ -90,26 +95,26 @@
 struct admission_request
 {
   team_name mTeam = {};
-  // 0 is served first.
+  // Priority tier; 0 is served first.
   std::uint32_t mTier = 0;
-  // Prompt tokens to be read for it.
+  // Prompt tokens to prefill.
   std::uint32_t mTokens = 0;
-  // To its first event.
+  // Target time to the first event.
   duration mTarget{};
-  // Until its caller stops waiting.
+  // Time until the caller times out.
   duration mTimeLeft{};
-  // Until its first event, as placement expects it.
+  // Time to the first event as predicted by placement.
   duration mExpectedWait{};
-  // Its caller has asked before.
+  // The caller has been refused before.
   bool mIsRetry = false;
-  // What is asked for over all instances, for each token that engines can read.
+  // Ratio of the demand over all instances to the prefill capacity.
   double mOverload = 0;
 
   friend bool operator==(const admission_request&,
                          const admission_request&) = default;
 };
 
-// One that was taken.
+// A prompt that was admitted.
 struct admitted_prompt
 {
   std::uint32_t mTier = 0;
@@ -123,8 +128,8 @@
 {
   error_kind mKind = error_kind::kQueueFull;
   duration mRetryAfter{};
-  // What decided: the wait as worked out, the mean of answers that began
-  // lately, and the longest wait that this team may have.
+  // Inputs of the decision: the predicted wait, the mean wait of responses that
+  // started lately, and the maximum wait allowed for this team.
   duration mWait{};
   duration mObservedWait{};
   duration mMaxWait{};
@@ -138,36 +143,38 @@
 public:
   explicit relay_admission(const relay_admission_settings& aSettings);
 
-  // Prompt tokens that the engines for this work read a second at full speed,
-  // this instance's part of them.
+  // This instance's fraction of the prefill capacity of the engines for this
+  // work, in prompt tokens per second at full speed.
   void SetCapacity(double aTokensPerSecond);
 
-  // Nothing where the request is taken. It counts as asked for either way.
+  // Returns nothing if the request is admitted, and the reason otherwise. The
+  // request counts towards the team's demand either way.
   std::optional<admission_refusal> Decide(const admission_request& aRequest,
                                           std::mt19937_64& aRandom,
                                           time_point aNow);
 
   void OnSent(const admitted_prompt& aPrompt);
-  // Its answer begins.
+  // The response started, `aWait` after the prompt was sent.
   void OnStarted(const admitted_prompt& aPrompt,
                  duration aWait,
                  time_point aNow);
-  // It ended before.
+  // The request ended before its response started.
   void OnAborted(const admitted_prompt& aPrompt);
 
-  // Of answers that began lately, in the mean; zero once nothing waits.
+  // Mean wait of responses that started lately; zero once no prompt is waiting.
   duration ObservedWait(time_point aNow) const;
 
 private:
   double PrefillTokensPerSecond(time_point aNow) const;
-  // Whether engines serve it before what waits.
+  // Whether engines serve the request before the queued ones of lower tiers.
   bool OvertakesQueue(const admission_request& aRequest, time_point aNow) const;
   void ReduceUnstarted(std::uint32_t aTokens);
-  // Whether it is among those that can't be read.
+  // Whether the request falls, by chance, into the fraction of an overload that
+  // exceeds the prefill capacity.
   bool ExceedsCapacity(const admission_request& aRequest,
                        std::mt19937_64& aRandom,
                        time_point aNow) const;
-  // Of the longest wait, what the team may have.
+  // Factor on the maximum wait that applies to the team.
   double WaitFactor(const team_name& aTeam, time_point aNow) const;
   void EvictIdleTeams(time_point aNow);
 
@@ -175,11 +182,11 @@
   double mCapacity = 0;
   std::uint64_t mUnstartedTokens = 0;
   decaying_rate mStartedTokens;
-  // Answers that began, and the seconds that they waited.
+  // Responses that started, and their waits in seconds.
   decaying_rate mAnswers;
   decaying_rate mWaits;
   tier_waits mTiers;
-  // Requests asked for, taken or not; by team those that asked lately.
+  // Requests received, admitted or not; by team for recently active teams.
   decaying_rate mRequests;
   std::map<team_name, decaying_rate> mRequestsByTeam;
   time_point mNextEviction{};
--- a/thornhollow/policy/relay_admission_benchmark.cc
+++ b/thornhollow/policy/relay_admission_benchmark.cc
@@ -7,8 +7,8 @@
 namespace thornhollow {
 namespace {
 
-// One decision while as many teams as the argument says asked for something
-// lately: a site's, a grown one's, all of letter 1's on one instance.
+// One decision with the given number of recently active teams: those of a site,
+// those of a larger site, and 11,000 teams on a single instance.
 void
 JudgePrompt(benchmark::State& aState)
 {
--- a/thornhollow/policy/relay_admission_test.cc
+++ b/thornhollow/policy/relay_admission_test.cc
@@ -12,10 +12,10 @@
 namespace {
 
 constexpr std::uint32_t kPrompt = 8'000;
-// Engines read so many prompt tokens a second for this instance.
+// Prompt tokens per second that engines prefill for this instance.
 constexpr double kRate = 40'000;
 
-// Engines that read one prompt after another, in virtual time.
+// Engines that prefill one prompt after another, in virtual time.
 struct fifo_engines
 {
   relay_admission mAdmission{ relay_admission_settings{} };
@@ -75,7 +75,7 @@
     return true;
   }
 
-  // Prompts of one team, so many a second.
+  // Offers prompts of one team at `aPerSecond` for `aFor`.
   void Load(double aPerSecond, duration aFor)
   {
     const time_point end = mNow + aFor;
@@ -86,10 +86,10 @@
   }
 };
 
-// Twice as many prompts as engines could read came for ten seconds. All were
-// taken: after four seconds every answer began later than promised, and work
-// was done for callers that had left. Without admission 19 of 100 began in
-// time.
+// Guards against admitting all prompts when twice as many arrive as engines can
+// prefill: after four seconds every response started later than promised, and
+// work was done for callers that had left. Without admission 19 of 100 started
+// in time.
 TEST_CASE_FIXTURE(fifo_engines,
                   "relay_admission/twice_the_capacity/most_taken_begin_in_time")
 {
@@ -107,9 +107,9 @@
   CHECK(mRefused == 0);
 }
 
-// Large prompts came from all teams now and then. Each made its team one that
-// asks for more than others, so that it was refused where small ones were
-// taken.
+// Guards against counting shares in tokens: each occasional large prompt put
+// its team above its fair share, and was refused where small ones were
+// admitted.
 TEST_CASE_FIXTURE(fifo_engines,
                   "relay_admission/large_prompts/are_taken_as_often_as_small")
 {
@@ -134,8 +134,9 @@
   CHECK(largeTaken * small * 10 >= smallTaken * large * 8);
 }
 
-// Three prompts came within a tick after a quiet minute, and one was refused
-// though engines were idle: the rate seen lately was next to nothing.
+// Guards against refusals by idle engines: three prompts arrived within a tick
+// after an idle minute, and one was refused because the recent rate was close
+// to zero.
 TEST_CASE_FIXTURE(fifo_engines, "relay_admission/burst_after_silence/is_taken")
 {
   Load(1, Seconds(3));
@@ -146,8 +147,8 @@
   CHECK(mRefused == 0);
 }
 
-// Capacity came back, but the queue that had been refused for was forgotten too
-// slowly: callers were sent away from idle engines.
+// Guards against remembering the queue of an overload for too long: capacity
+// had recovered, but callers were still refused by idle engines.
 TEST_CASE_FIXTURE(fifo_engines,
                   "relay_admission/overload_ends/all_are_taken_soon")
 {
@@ -158,9 +159,9 @@
   CHECK(mRefused == 0);
 }
 
-// A minute after an overload the mean of the waits that were seen last was
-// still seconds: it is a ratio of two numbers that fade alike. The next burst
-// was refused by idle engines.
+// Guards against a stale mean wait: it is the ratio of two rates that decay
+// alike, so a minute after an overload it was still seconds, and idle engines
+// refused the next burst.
 TEST_CASE_FIXTURE(fifo_engines,
                   "relay_admission/overload_long_over/nothing_is_remembered")
 {
@@ -173,8 +174,8 @@
   }
 }
 
-// One team sent many times its usual. All teams were refused alike, and those
-// that sent no more than ever lost as much as the one that caused it.
+// Guards against refusing all teams alike when one sends many times its usual
+// load: teams with unchanged load lost as much as the one that caused it.
 TEST_CASE_FIXTURE(fifo_engines,
                   "relay_admission/one_team_sends_most/it_is_refused_most")
 {
@@ -250,9 +251,10 @@
   CHECK(Offer(team_name("office")));
 }
 
-// Ninety instances each saw engines with room, as news of the others' prompts
-// was seconds old, and took four times what engines could read: of 2,000
-// prompts a second 30 began in time.
+// Guards against overload caused by stale data: ninety instances each saw free
+// engines, as data about the prompts of others was seconds old, and admitted
+// four times the prefill capacity. Of 2,000 prompts per second 30 started in
+// time.
 TEST_CASE_FIXTURE(fifo_engines,
                   "relay_admission/clear_overload/only_what_fits_is_taken")
 {
@@ -292,8 +294,8 @@
   }
 }
 
-// Callers that had been refused came back as told, while the overload lasted,
-// and were refused once more: half a second of waiting for nothing.
+// Guards against refusing a caller a second time that retries as told while the
+// overload lasts: half a second of waiting in vain.
 TEST_CASE_FIXTURE(fifo_engines,
                   "relay_admission/comes_back/is_taken_while_it_can_be_served")
 {
@@ -309,8 +311,8 @@
   CHECK(mAdmission.Decide(request, mRandom, mNow));
 }
 
-// Engines that read prompts of a lower number's tier first, or all in the order
-// in which they came; two in three prompts are of the second tier.
+// Engines that prefill prompts either in tier order, lower numbers first, or in
+// order of arrival. Two in three prompts are of the second tier.
 struct two_tier_engines
 {
   struct prompt
@@ -386,8 +388,9 @@
   }
 };
 
-// Guards against refusing the first tier for a queue of the second, which
-// engines let it pass: a higher tier was shed before a lower one.
+// Guards against refusing the first tier because of a queue of the second,
+// which it overtakes at the engines: the higher tier was shed before the lower
+// one.
 TEST_CASE_FIXTURE(two_tier_engines,
                   "relay_admission/twice_the_capacity/lower_tier_is_shed_first")
 {
@@ -397,8 +400,8 @@
   CHECK(mOf[1].mRefused >= 20);
 }
 
-// Where engines don't heed tiers the first one waits as well. Guards against
-// taking all of it then, for answers that begin late.
+// Guards against admitting the whole first tier when engines ignore tiers: it
+// then waits as well, and its responses start late.
 TEST_CASE_FIXTURE(two_tier_engines,
                   "relay_admission/tiers_not_heeded/first_is_refused_as_well")
 {
--- a/thornhollow/policy/relay_pool.cc
+++ b/thornhollow/policy/relay_pool.cc
@@ -12,10 +12,9 @@
 namespace thornhollow {
 namespace {
 
-// Plain services answer part of their requests with errors of their own as a
-// matter of course (14 in 100 where the users' inventory is asked), so more
-// failures are needed before one is left than for engines, which answer
-// without a failure for as long as they are healthy.
+// Plain services regularly answer some requests with errors of their own (14 in
+// 100 for the users' inventory), so they are ejected only after more failures
+// than engines, which answer without failures while they are healthy.
 endpoint_health_settings
 HealthSettings(bool aEngines)
 {
@@ -27,16 +26,17 @@
   return settings;
 }
 
-// Engines whose place in a session's order counts: with the default steps the
-// penalty is whole from the third on.
+// Number of engines whose rank in a session's order affects the penalty: with
+// the default steps, the full penalty applies from the third on.
 constexpr std::size_t kPreferredRanks = 4;
 
-// Prompt tokens that reading `aUncached` tokens after `aCached` known ones is
-// worth, as compared to reading without context: a step of its own for each
-// chunk, and attention to all tokens before. The two figures are those of two
-// makes of engine and an eighth or so for usual prompts; without them the days
-// with trouble of a site with other engines were worth 0.759 instead of 0.770,
-// as engines were told apart by the length of their prompts.
+// Cost of prefilling `aUncached` tokens after `aCached` cached ones, in units
+// of tokens prefilled without context: an overhead for the step of each chunk,
+// plus attention to all preceding tokens. The two constants are those of two
+// makes of engine, and each adds about an eighth to the cost of usual prompts.
+// Without them, the value of responses on days with faults at a site with other
+// engines was 0.759 instead of 0.770, because differences in prompt length were
+// taken for differences in engine speed.
 double
 PrefillCost(double aUncached, double aCached)
 {
@@ -46,12 +46,13 @@
   return aUncached * (1 + kChunkOverhead) + pairs * kTokensPerPair;
 }
 
-// Nothing is refused before engines have this part of what they can read to do:
-// a queue that is there all the same is a clump, and gone before who is sent
-// away for it comes back.
+// Nothing is refused while the demand is below this fraction of the prefill
+// capacity: a queue below it is a short cluster of arrivals, which is gone
+// before a refused caller would retry.
 constexpr double kSaturationThreshold = 0.85;
 
-// Engines of one pool don't differ by more, whatever was seen of a few prompts.
+// Maximum ratio between the speed of an engine and the mean of its pool. Larger
+// measured ratios stem from small samples.
 constexpr double kMaxSpeedRatio = 2.5;
 
 } // namespace
@@ -116,7 +117,7 @@
   if (!mEngines || !pick) {
     return pick;
   }
-  // What is refused counts as asked for.
+  // Refused requests count towards the demand as well.
   mMeter.OnAsked(KindOf(aRequest), pick->mPrefillTokens, aNow);
   mPopularBlocks.OnRequested(aRequest.mFirstBlock, aNow);
   const double room =
@@ -127,8 +128,8 @@
   if (!pick->mBulk || !full) {
     return pick;
   }
-  // While slots are short who comes back isn't put first: the target has passed
-  // for most of them, and others' would pass as well.
+  // While slots are short, retries get no preference: most of them have missed
+  // their target already, and others would miss theirs, too.
   const auto refused = mAdmission.Decide(
     { .mTeam = aRequest.mTeam,
       .mTier = aRequest.mTier,
@@ -191,8 +192,8 @@
     }
     (TakesNewWork(each, aNow) ? healthy : doubtful).push_back(&each);
   }
-  // With no healthy one left a doubtful one is worth the try: refusing is
-  // certain to fail.
+  // If no healthy endpoint is left, an unhealthy one is worth the attempt,
+  // since refusing the request is certain to fail.
   if (healthy.empty()) {
     return doubtful;
   }
@@ -200,7 +201,8 @@
   return mEngines ? OnSide(aRequest, healthy, aNow) : healthy;
 }
 
-// Those whose failure domains aren't in doubt; all where that leaves none.
+// Returns the endpoints whose failure domains are not suspected to be
+// unreachable, or all if that leaves none.
 std::vector<relay_pool::record*>
 relay_pool::Reachable(std::vector<record*> aHealthy, time_point aNow) const
 {
@@ -245,9 +247,9 @@
     aNow);
 }
 
-// The engines of the work's side of the border; all where that leaves none.
-// Bulk work passes over those that still clear, as long as the others have
-// room for it.
+// Returns the engines on the request's side of the partition, or all if that
+// leaves none. Bulk work avoids engines that still serve interactive streams as
+// long as the others have capacity for it.
 std::vector<relay_pool::record*>
 relay_pool::OnSide(const request_profile& aRequest,
                    const std::vector<record*>& aHealthy,
@@ -352,7 +354,8 @@
   return best;
 }
 
-// How likely an engine is to lack a session's shared parts.
+// Probability that a session's shared prefix blocks are not cached on an
+// engine.
 double
 relay_pool::MissProbability(bool aSentHere, std::size_t aRank) const
 {
@@ -362,11 +365,11 @@
   return aRank == 0 ? 1 - mPrefixReuse.Probability(mInstances) : 1;
 }
 
-// What its open requests cost one more: each makes the events of all others
-// later, and once the slots are taken the request waits until one has ended.
-// Guards against a burst of short prompts that all go to the engine that holds
-// most of their sessions: its slots are taken, others' stay free, and the last
-// ones wait.
+// Cost that an engine's requests in flight add for one more: each delays the
+// events of all others, and once all slots are occupied a request waits until
+// another has ended. Without this cost, a burst of short prompts all goes to
+// the engine on which most of their sessions are cached: its slots fill up
+// while others stay free, and the last requests wait.
 double
 relay_pool::OccupancySeconds(const record& aRecord,
                              const request_profile& aRequest) const
@@ -381,8 +384,8 @@
          taken;
 }
 
-// Until bulk work finds a free slot, by what is open over all instances: of
-// single engines too little is known.
+// Expected wait of bulk work for a slot, from the requests in flight over all
+// instances: too little is known about single engines.
 duration
 relay_pool::SlotWait() const
 {
@@ -391,8 +394,8 @@
                      mSettings.mQueueImbalance);
 }
 
-// Another engine that is believed to hold the shared parts; nothing where
-// `aChosen` is believed to.
+// Returns another engine on which the shared prefix blocks are estimated to be
+// cached; nothing if they are estimated to be cached on `aChosen`.
 const relay_pool::record*
 relay_pool::CopySource(const request_profile& aRequest,
                        const prefix_affinity::holders& aHolders,
@@ -411,7 +414,8 @@
   return earlier == &aChosen ? nullptr : earlier;
 }
 
-// Where all instances sent the session before engines changed sides lately.
+// Returns the engine to which all instances sent the session before engines
+// recently changed sides.
 const relay_pool::record*
 relay_pool::PreviousPreferredEngine(const request_profile& aRequest,
                                     time_point aNow) const
@@ -431,8 +435,8 @@
   return home;
 }
 
-// An engine that fails may not answer the one that asks it for a copy, and the
-// request would wait for as long as that one tries.
+// A failing engine may not answer the engine that requests a copy, and the
+// request would wait until that engine gives up.
 bool
 relay_pool::CanServeCopy(const record& aRecord)
 {
@@ -448,8 +452,8 @@
   return found == mRecords.end() ? nullptr : &found->second;
 }
 
-// The first `aMaxCount` candidates in the session's order, which is the same on
-// every instance.
+// Returns the first `aMaxCount` candidates in the session's order, which is the
+// same on every instance.
 std::vector<const relay_pool::record*>
 relay_pool::PreferredEngines(const request_profile& aRequest,
                              const std::vector<record*>& aCandidates,
@@ -508,8 +512,9 @@
     found->mPrefillTokens -=
       std::min<std::uint64_t>(found->mPrefillTokens, aPick.mPrefillTokens);
     found->mHealth.OnFirstToken(aWait, aNow);
-    // Where parts were to be read that another instance had sent there before,
-    // the time would be too short for what was counted.
+    // A prefix that was counted as missing may have been cached already by
+    // another instance's requests. Such a sample would show too short a time
+    // for the tokens counted, so only requests with a cached prefix are used.
     if (mEngines && aPick.mPrefixCached) {
       const double read =
         PrefillCost(aRequest.mPromptTokens - aRequest.mSharedTokens,
@@ -550,8 +555,8 @@
     found->mPrefillTokens -=
       std::min<std::uint64_t>(found->mPrefillTokens, aPick.mPrefillTokens);
   }
-  // Half of the pool may be left for failures; beyond that the cause is
-  // elsewhere.
+  // At most half of the pool is ejected for failures; if more endpoints fail,
+  // the cause lies elsewhere.
   const auto failing = static_cast<std::size_t>(
     std::ranges::count_if(mRecords, [](const auto& aEntry) {
       return aEntry.second.mHealth.Kind() == health_kind::kFailing;
--- a/thornhollow/policy/relay_pool.h
+++ b/thornhollow/policy/relay_pool.h
@@ -1,39 +1,41 @@
-// One pool's endpoints and the choice among them for relayed requests.
+// The endpoints of one pool and the choice among them for relayed requests.
 //
-//   relay_pool pool(relay_pool_settings{}, true, seed);
-//   pool.Put(entry, lifetime, now);
-//   if (const auto pick = pool.Choose(work, tried, now)) {
-//     pool.OnSent(*pick, work, now);
+//   relay_pool pool(relay_pool_settings{}, true, ownDomain, seed);
+//   pool.Put(endpoint);
+//   if (const auto pick = pool.Choose(request, tried, now)) {
+//     pool.OnSent(*pick, request, now);
 //   }
 //
-// Load pattern: engines that read prompts at a fixed rate, between the steps of
-// their streams; sessions whose prompts begin alike, each costly to read again;
-// several instances that send to the same engines and see each other's work
-// late.
+// Load pattern: engines that prefill at a fixed rate, between the decoding
+// steps of their streams; sessions whose prompts share a prefix that is
+// expensive to prefill again; several instances that send to the same engines
+// and learn about each other's work with a delay.
 //
-// An engine's price for a request is the time until its first event: the
-// prompt tokens that wait there, by this instance's count and by what others
-// said they sent lately, and those that it has to read for the request itself.
-// A prompt's shared parts are at the engine that was sent them before, and, as
-// all instances rank the engines alike by the parts' hash, most likely at the
-// first of that rank. To read them again elsewhere costs `mMissPenalty` times
-// the time that it takes, since it is also time taken from all others. That
-// alone would leave an engine with a popular session overloaded while others
-// idle: the penalty is less for the next engines of the session's rank.
+// The cost of an engine for a request is the time to its first event: the
+// prompt tokens waiting there, by this instance's count and by what others
+// reported to have sent lately, plus the tokens to prefill for the request
+// itself. The prefix blocks of a prompt are cached on the engine that was sent
+// them before. As all instances rank the engines alike by the hash of the
+// blocks, that is most likely the first engine in this order. Prefilling them
+// on another engine is charged `mMissPenalty` times its duration, since it also
+// takes time from all other requests. That alone would overload the engine of a
+// popular session while others idle, so the penalty is lower for the next
+// engines in the session's order.
 //
-// Engines that run few requests at a time are out of slots before they are busy
-// reading. Long prompts are then refused by the wait for a slot, as it follows
-// from what is open over all instances and from how long an answer takes; else
-// they wait at engines until their callers leave.
+// Engines that run few requests at a time run out of slots before they are busy
+// with prefill. Long prompts are then refused by the expected wait for a slot,
+// derived from the requests in flight over all instances and the time that a
+// response takes. Otherwise they would wait at engines until their callers time
+// out.
 //
-// On which side of the border an engine is follows from its name's hash, but
-// slow ones are on the bulk side first.
+// The side of the partition to which an engine belongs follows from the hash of
+// its name, except that slow engines are assigned to the bulk side first.
 //
-// Endpoints of failure domains that seem out of reach are passed over as long
-// as others are left, see policy/domain_reach.h.
+// Endpoints of failure domains that appear unreachable are skipped as long as
+// others are left, see policy/domain_reach.h.
 //
-// Plain services have places instead: the endpoint with the fewest requests of
-// this instance is taken, one of its own failure domain before others.
+// Plain services are chosen by load instead: the endpoint with the fewest
+// requests from this instance, preferring its own failure domain.
 #ifndef THORNHOLLOW_POLICY_RELAY_POOL_H_
 #define THORNHOLLOW_POLICY_RELAY_POOL_H_
 
@@ -66,39 +68,44 @@
 
 struct relay_pool_settings
 {
-  // Prompt tokens that an engine reads a second, while nothing is known of any:
-  // the middle of 20 to 150 thousand, which is what present engines do.
+  // Prefill rate of an engine in tokens per second until one is measured: the
+  // middle of the 20,000 to 150,000 of present engines.
   double mPrefillTokensPerSecond = 55'000;
-  // From a request's arrival at an idle engine to its first event, the reading
-  // left out.
+  // Time from a request's arrival at an idle engine to its first event,
+  // excluding the prefill.
   duration mFirstEventOverhead = Milliseconds(20);
-  // See above.
+  // Factor on the prefill time of prefix blocks that are not cached on an
+  // engine, see above.
   double mMissPenalty = 16;
-  // The penalty of the engine next in rank after the session's first, twice
-  // that for the one after, up to the whole. A session that one engine can't
-  // serve thus spreads over the same few on every instance.
+  // Penalty of the second engine in the session's order, twice as much for the
+  // third, up to `mMissPenalty`. A session that exceeds one engine's capacity
+  // thus spreads over the same few engines on every instance.
   double mMissPenaltyStep = 8;
-  // Of its target, what a request loses at an engine whose slots are all taken.
+  // Cost of an engine whose slots are all occupied, as a fraction of the
+  // request's target.
   double mOccupancyFraction = 0.1;
-  // The queue for slots is uneven: where the mean engine has a short one, an
-  // instance's request waits so many times as long at the one it is sent to.
+  // Queues for slots are uneven: when the mean engine has a short one, a
+  // request waits this many times as long at the engine to which it is sent.
   double mQueueImbalance = 4;
-  // Shared parts of at least so many tokens are copied from an engine that is
-  // believed to hold them, where the chosen one isn't; 0: never. A copy takes
-  // less time than reading and none from streams; shorter parts are read in a
-  // few milliseconds.
+  // Minimum tokens of shared prefix blocks that are copied from another engine
+  // on which they are estimated to be cached, if they are not on the chosen
+  // one; 0: never copy. A copy is faster than a prefill and does not delay
+  // streams; shorter blocks are prefilled in a few milliseconds.
   std::uint32_t mCopyFromTokens = 256;
-  // Bulk work passes over engines that still have interactive streams from
-  // before they became bulk ones while the others would be busy reading for
-  // less than this part of the time: a full site needs the room.
+  // Bulk work avoids engines that changed to the bulk side and still serve
+  // interactive streams, while it would keep the other bulk engines busy with
+  // prefill for less than this fraction of the time. A saturated site needs the
+  // capacity.
   double mAvoidClearingBelow = 0.6;
-  // Slow from this multiple of the pool's fastest pace on, and no more below
-  // the other: engines differ by 1.3.
+  // An engine counts as slow above the first multiple of the pool's minimum
+  // prefill time per token, until it falls to the second: engines differ
+  // by 1.3.
   double mSlowThreshold = 1.17;
   double mSlowExitThreshold = 1.10;
-  // Before that long after its first prompt an engine isn't judged: the first
-  // few waits hold other prompts' time. Not longer, as slow engines have
-  // interactive streams until then, whose pauses break their promise.
+  // Time after an engine's first prefill sample before its speed is used, as
+  // the first few waits include the time of other prompts. Not longer, because
+  // until then slow engines serve interactive streams and exceed the promised
+  // time between events.
   duration mWarmup = Seconds(6);
   engine_border_settings mPartition;
   engine_sides_settings mSides;
@@ -111,7 +118,7 @@
                          const relay_pool_settings&) = default;
 };
 
-// An endpoint as placement knows it.
+// An endpoint as known to placement.
 struct relay_endpoint
 {
   endpoint_name mName;
@@ -124,15 +131,15 @@
                          const relay_endpoint&) = default;
 };
 
-// What this instance has at an endpoint.
+// Load that an instance has placed on an endpoint.
 struct relay_load
 {
   endpoint_name mName;
-  // Requests without an end yet.
+  // Requests that have not ended.
   std::uint32_t mInFlight = 0;
-  // Prompt tokens of those without a first event yet.
+  // Prompt tokens to prefill for requests without a first event yet.
   std::uint64_t mPrefillTokens = 0;
-  // Nanoseconds for which it reads a prompt token, at its best; 0: not known.
+  // Minimum prefill time per token in nanoseconds; 0: not known.
   double mPrefillNanoseconds = 0;
   bool mSlow = false;
 
@@ -147,23 +154,24 @@
              domain_name aOwnDomain,
              std::uint64_t aSeed);
 
-  // A new endpoint, or another state of one that is known. Another lifetime is
-  // a new endpoint.
+  // Adds an endpoint or updates a known one. A different lifetime replaces the
+  // endpoint by a new one.
   void Put(const relay_endpoint& aEndpoint);
   void Remove(const endpoint_name& aName);
   std::size_t size() const { return mRecords.size(); }
-  // Chooses by the rules for engines.
+  // Whether the endpoints are engines rather than plain services.
   bool ServesEngines() const { return mEngines; }
 
-  // Whether `aRequest`, whose caller waits for `aTimeLeft` more, is taken; to
-  // be asked before its first attempt, for which it returns where to send it:
-  // choosing once more would double what a request costs. All but bulk work on
-  // engines is taken; nothing is chosen where no endpoint takes new work.
+  // Admits or refuses `aRequest`, whose caller waits for `aTimeLeft` more. To
+  // be called before the first attempt. Returns the endpoint for that attempt,
+  // since choosing a second time would double the work per request. Only bulk
+  // work on engines can be refused; nothing is chosen if no endpoint is
+  // available.
   std::variant<std::optional<relay_pick>, admission_refusal>
   Admit(const request_profile& aRequest, duration aTimeLeft, time_point aNow);
 
-  // Where to send `aRequest`, none of `aTried`; nothing where no endpoint takes
-  // new work.
+  // Chooses an endpoint for `aRequest` that is not in `aTried`. Returns nothing
+  // if no endpoint is available.
   std::optional<relay_pick> Choose(const request_profile& aRequest,
                                    const std::vector<endpoint_name>& aTried,
                                    time_point aNow);
@@ -171,12 +179,13 @@
   void OnSent(const relay_pick& aPick,
               const request_profile& aRequest,
               time_point aNow);
-  // The first event or the whole answer begins.
+  // The first event or the whole response started, `aWait` after the request
+  // was sent.
   void OnFirstByte(const relay_pick& aPick,
                    const request_profile& aRequest,
                    duration aWait,
                    time_point aNow);
-  // `aBegun`: the first byte had come.
+  // The attempt ended. `aBegun`: its first byte had arrived.
   void OnEnded(const relay_pick& aPick,
                const request_profile& aRequest,
                attempt_end aHow,
@@ -184,30 +193,30 @@
                duration aLength,
                time_point aNow);
 
-  // The endpoint gave no sign, as if it were out of reach; `OnEnded` is called
-  // as well. Returns whether its failure domain came into doubt by that.
+  // The endpoint did not answer at all, as if unreachable; `OnEnded` is called
+  // as well. Returns whether its failure domain became suspect by this.
   bool OnUnreachable(const relay_pick& aPick, time_point aNow);
-  // Another instance of the failure domain was heard.
+  // A message from another instance in the failure domain was received.
   void OnPeerMessage(const domain_name& aDomain, time_point aNow);
 
-  // What other instances said of it, in sums, and in the least of their paces,
-  // 0 where they said none.
+  // Sets the load reported by other instances: sums over them, and the minimum
+  // of their prefill times per token, 0 if none was reported.
   void SetRemoteLoad(const relay_load& aLoad, time_point aNow);
-  // What is known over all instances, this one included. To be called every
+  // Sets the totals over all instances, this one included. To be called every
   // 100 ms.
   void SetView(const pool_view& aView, time_point aNow);
-  // Requests that an engine runs at a time; 0: not stated.
+  // Requests that an engine runs concurrently; 0: not configured.
   void SetSlots(std::size_t aSlots) { mSlots = aSlots; }
-  // Instances that send to these endpoints, this one included.
+  // Number of instances that send to these endpoints, this one included.
   void SetInstances(std::size_t aInstances) { mInstances = aInstances; }
-  // This process stood still.
+  // This process was paused.
   void OnClockGap(time_point aNow);
 
-  // This instance's own part of it.
+  // This instance's contribution to the view.
   pool_view LocalView(time_point aNow) const;
   std::vector<relay_load> Loads(time_point aNow) const;
   std::size_t BulkEngines() const { return mPartition.Bulk(); }
-  // Prompt tokens that one engine reads in a second, in the mean.
+  // Mean prefill rate of an engine, in tokens per second.
   double PrefillTokensPerSecond() const { return mPrefillTokensPerSecond; }
 
 private:
@@ -215,7 +224,8 @@
   {
     relay_endpoint mEndpoint;
     std::uint32_t mNumber = 0;
-    // Rank for the border: the same on every instance.
+    // Hash that orders engines for the partition and for sessions; the same on
+    // every instance.
     std::uint64_t mRank = 0;
     endpoint_health mHealth;
     std::uint32_t mInFlight = 0;
@@ -223,9 +233,9 @@
     std::uint64_t mRemotePrefillTokens = 0;
     std::uint32_t mRemoteInFlight = 0;
     prefill_time_per_token mPrefillTime = {};
-    // When a pace of it was known first.
+    // Time of the first known prefill time per token.
     std::optional<time_point> mPrefillTimeKnownSince = std::nullopt;
-    // Reads prompts so slowly that it is left to bulk work first.
+    // Prefills so slowly that it is assigned to the bulk side first.
     bool mSlow = false;
   };
 
@@ -278,19 +288,19 @@
   engine_sides mSides;
   relay_admission mAdmission;
   std::size_t mInstances = 1;
-  // Prompt tokens a second for bulk work, over all instances.
+  // Prompt tokens per second of bulk work, over all instances.
   double mBulkDemand = 0;
-  // Engines that take it and are healthy.
+  // Healthy engines on the bulk side.
   std::size_t mHealthyBulkEngines = 0;
-  // Requests of it at engines, over all instances.
+  // Bulk requests at engines, over all instances.
   double mBulkInFlight = 0;
   slot_occupancy mBulkOccupancy;
-  // Nanoseconds for a token, in the mean over engines; 0: not known.
+  // Mean prefill time per token over engines, in nanoseconds; 0: not known.
   double mMeanPrefillNanoseconds = 0;
   prefix_reuse_estimator mPrefixReuse;
   popular_prefix_blocks mPopularBlocks;
   prefill_rate mPrefillRate;
-  // The same over all instances.
+  // Mean prefill rate over all instances, in tokens per second.
   double mPrefillTokensPerSecond;
   std::size_t mSlots = 0;
   work_meter mMeter;
--- a/thornhollow/policy/relay_pool_benchmark.cc
+++ b/thornhollow/policy/relay_pool_benchmark.cc
@@ -8,8 +8,8 @@
 namespace thornhollow {
 namespace {
 
-// One decision, with the sessions and the work of a busy hour, over as many
-// engines as the argument says: a small site, a grown one, letter 1's.
+// One decision with the sessions and load of a busy hour, over the given number
+// of engines: a small site, a larger one, and a deployment of 850 engines.
 void
 ChooseEngine(benchmark::State& aState)
 {
--- a/thornhollow/policy/relay_pool_test.cc
+++ b/thornhollow/policy/relay_pool_test.cc
@@ -36,7 +36,7 @@
   return work;
 }
 
-// Prompt tokens a second of long and of short prompts.
+// Demand in prompt tokens per second of long and of short prompts.
 pool_view
 View(double aLong, double aShort)
 {
@@ -88,8 +88,8 @@
 TEST_CASE_FIXTURE(pool_of_nine_engines,
                   "relay_pool/long_and_short_prompts/never_meet")
 {
-  // Drivers' notes come in bursts of words with pauses between: a plan's prompt
-  // of many pages is read on the same engine.
+  // Guards against gaps in the streams of drivers' notes, whose words came in
+  // bursts while the engine prefilled a plan's prompt of many pages.
   std::map<endpoint_name, std::pair<int, int>> seen;
   for (std::uint64_t each = 1; each <= 400; ++each) {
     const bool isLong = each % 3 == 0;
@@ -154,8 +154,9 @@
 TEST_CASE_FIXTURE(pool_of_nine_engines,
                   "relay_pool/slow_engine/is_left_to_bulk_work")
 {
-  // Every note on one engine is late though it has little to do: it reads a
-  // third more slowly, and five of its steps exceed the promised pause.
+  // Guards against placing notes on an engine that prefills a third more
+  // slowly: five of its steps exceed the promised time between events, so every
+  // note is late there even under low load.
   const auto before = mPool.Choose(Work(3, false), {}, mNow);
   for (const relay_load& each : mPool.Loads(mNow)) {
     const bool slow = each.mName == before->mEndpoint;
@@ -172,9 +173,10 @@
   }
 }
 
-// Of ninety instances each heard a third in a second, and went by the least
-// pace among those: another one each time, so that engines were slow and fast
-// in turn, and never the same ones on two instances.
+// Guards against using only recently reported prefill times: each of ninety
+// instances received messages from a third of the others per second and used
+// the minimum among those. It changed every time, so engines alternated between
+// slow and fast, and no two instances agreed on them.
 TEST_CASE_FIXTURE(pool_of_nine_engines,
                   "relay_pool/pace_told_once/is_kept_and_told_on")
 {
@@ -249,9 +251,9 @@
   }
 }
 
-// A session's engine was full and its next prompt went elsewhere: the parts
-// that all its prompts begin with were read once more, time taken from all
-// others.
+// Guards against a repeated prefill when a session's engine is full and its
+// next prompt goes to another one: prefilling the shared prefix blocks again
+// takes time from all other requests.
 TEST_CASE_FIXTURE(pool_of_nine_engines,
                   "relay_pool/session_goes_elsewhere/its_parts_are_copied")
 {
@@ -263,13 +265,13 @@
   REQUIRE(result.has_value());
   CHECK(result->mEndpoint != first.mEndpoint);
   CHECK(result->mCopyFrom == AddressOf(first.mEndpoint));
-  // Once sent there, that one holds them too.
+  // Once sent there, the blocks are cached on that engine, too.
   mPool.OnSent(*result, work, mNow);
   CHECK(mPool.Choose(work, { first.mEndpoint }, mNow)->mCopyFrom.empty());
 }
 
-// The engine that held a session's parts had crashed. The next one was told to
-// copy them from there, and the request waited for an engine that was gone.
+// Guards against copying prefix blocks from a crashed engine: the request
+// waited for an engine that no longer existed.
 TEST_CASE_FIXTURE(pool_of_nine_engines,
                   "relay_pool/holder_fails/nothing_is_copied_from_it")
 {
@@ -287,9 +289,9 @@
   CHECK(result->mCopyFrom.empty());
 }
 
-// The border moved: the engine that all instances had sent a session to takes
-// no more such work. An instance that hadn't sent the session itself didn't
-// know who held its parts.
+// Guards against losing track of cached blocks when the partition moves and the
+// preferred engine of a session no longer takes such work: an instance that had
+// not sent the session itself did not know where its blocks were cached.
 TEST_CASE_FIXTURE(pool_of_nine_engines,
                   "relay_pool/border_moved/parts_are_copied_from_earlier_home")
 {
@@ -318,8 +320,8 @@
   CHECK(moved > 0);
 }
 
-// A calm day refused work: a clump of prompts stood at the engines, though
-// these had half of their time to spare and were done with it within a second.
+// Guards against refusals at low load: a cluster of prompts was queued at
+// engines that were half idle and finished it within a second.
 TEST_CASE_FIXTURE(pool_of_nine_engines,
                   "relay_pool/clump_on_a_calm_day/nothing_is_refused")
 {
@@ -331,8 +333,8 @@
   }
 }
 
-// Twice as many long prompts came as engines could read. All were taken, and
-// after two seconds every answer began late.
+// Guards against admitting all prompts when twice as many long ones arrive as
+// engines can prefill: after two seconds every response started late.
 TEST_CASE_FIXTURE(pool_of_nine_engines,
                   "relay_pool/more_than_can_be_read/some_are_refused_at_once")
 {
@@ -347,7 +349,7 @@
       continue;
     }
     const relay_pick pick = Send(work);
-    // One in ten begins meanwhile, late.
+    // One in ten starts late in the meantime.
     if (session % 10 == 0) {
       mPool.OnFirstByte(pick, work, Seconds(2), mNow);
     }
@@ -357,9 +359,9 @@
   CHECK_FALSE(Refused(Work(7, false)));
 }
 
-// After a start of the whole site nobody had sent a session yet, but its engine
-// was taken to hold its parts: the first prompts were expected to begin after a
-// third of the time that they took.
+// Guards against assuming cached prefix blocks after a restart of the whole
+// site, when no instance has sent a session yet: the first prompts were
+// expected to start after a third of the time that they took.
 TEST_CASE_FIXTURE(pool_of_nine_engines,
                   "relay_pool/all_engines_empty/first_reads_are_counted")
 {
@@ -395,13 +397,13 @@
   CHECK(pool.Choose(work, {}, now)->mEndpoint == endpoint_name("far"));
 }
 
-// Four domains with ten engines each, as an instance of the first sees them
-// while its domain is cut off: the others' engines can't be reached, and of
-// their instances nothing is heard.
+// Four domains with ten engines each, as seen by an instance of the first while
+// its domain is isolated from the others: their engines are unreachable, and
+// no messages arrive from their instances.
 struct domain_cut_off
 {
   static constexpr int kDomains = 4;
-  // As many connections are tried for a request.
+  // Connection attempts per request.
   static constexpr std::size_t kTries = 3;
 
   relay_pool mPool{ relay_pool_settings{}, true, Domain(0), 1 };
@@ -469,8 +471,8 @@
   }
 };
 
-// Guards against refusing whoever calls in a domain that is cut off, as three
-// engines beyond the cut were tried, while its own engines idle.
+// Guards against refusing requests in an isolated domain after three attempts
+// at unreachable engines, while the domain's own engines are idle.
 TEST_CASE_FIXTURE(domain_cut_off, "relay_pool/cut_drops/own_domain_serves")
 {
   AskMany();
@@ -486,7 +488,8 @@
   CHECK(mServedAtOnce >= 18);
 }
 
-// Guards against leaving the engines beyond a cut idle once it is over.
+// Guards against leaving engines of other domains idle once the connection
+// between domains is restored.
 TEST_CASE_FIXTURE(domain_cut_off, "relay_pool/cut_over/all_domains_serve")
 {
   AskMany();
--- a/thornhollow/policy/request_profile.h
+++ b/thornhollow/policy/request_profile.h
@@ -1,6 +1,7 @@
-// What placement and admission know of one relayed request.
+// Properties of a relayed request that placement and admission use, and the
+// endpoint chosen for it.
 //
-//   const request_profile work = { .mTier = 0, .mPromptTokens = 640, ... };
+//   const request_profile request = { .mTier = 0, .mPromptTokens = 640, ... };
 //
 #ifndef THORNHOLLOW_POLICY_REQUEST_PROFILE_H_
 #define THORNHOLLOW_POLICY_REQUEST_PROFILE_H_
@@ -19,27 +20,28 @@
 {
   // Empty for a caller without a team.
   team_name mTeam = {};
-  // 0 is served first.
+  // Priority tier; 0 is served first.
   std::uint32_t mTier = 0;
-  // The same for engines, in finer steps: 0 to 9.
+  // Priority as sent to engines, in finer steps: 0 (first) to 9.
   std::uint32_t mEnginePriority = 0;
-  // All of the prompt, shared parts included; 0 for a plain service.
+  // The whole prompt, shared prefix blocks included; 0 for a plain service.
   std::uint32_t mPromptTokens = 0;
-  // Of these, parts that other requests begin with as well.
+  // Tokens in prefix blocks that other requests begin with as well.
   std::uint32_t mSharedTokens = 0;
-  // Hash of the shared parts; 0 where there are none.
+  // Hash of the shared prefix blocks; 0 if there are none.
   std::uint64_t mSharedPrefix = 0;
-  // The first of the shared parts, where there are several: other sessions may
-  // begin with it too. 0 where there is none.
+  // Hash of the first shared block if there are several; other sessions may
+  // begin with it too. 0 if there is none.
   std::uint64_t mFirstBlock = 0;
   std::uint32_t mFirstBlockTokens = 0;
-  // To the first event or the whole answer.
+  // Target time to the first event or to the whole response.
   duration mTarget{};
-  // Between two events; zero: none is promised.
+  // Maximum time between two events; zero if no limit is promised.
   duration mPause{};
-  // When the caller stops waiting.
+  // When the caller times out.
   time_point mDeadline{};
-  // The caller has asked before: it has less time than its route gives.
+  // The caller has been refused before: it has less time left than its route
+  // allows.
   bool mIsRetry = false;
 
   friend bool operator==(const request_profile&,
@@ -52,30 +54,31 @@
   return { aWork.mTarget, aWork.mPause };
 }
 
-// Where a request is sent.
+// The endpoint chosen for a request.
 struct relay_pick
 {
   endpoint_name mEndpoint;
   std::string mAddress;
   domain_name mDomain;
-  // Tells processes of one name apart.
+  // Distinguishes successive processes of the same name.
   std::uint64_t mLifetime = 0;
-  // Prompt tokens that the engine is believed to have to read.
+  // Estimated prompt tokens that the engine has to prefill for this request.
   std::uint32_t mPrefillTokens = 0;
-  // It went to the engines for bulk work.
+  // The request is placed on the bulk side of the partition.
   bool mBulk = false;
-  // Of the shared parts it is believed to hold all.
+  // All shared prefix blocks are estimated to be cached on the engine.
   bool mPrefixCached = false;
-  // It was sent them before by this instance.
+  // This instance has sent the shared prefix to this engine before.
   bool mSentBefore = false;
-  // This instance sent them to some engine before.
+  // This instance has sent the shared prefix to some engine before.
   bool mKnownPrefix = false;
-  // Address of another engine that is believed to hold them, to be copied from
-  // there; empty where none is.
+  // Address of another engine on which the shared prefix is estimated to be
+  // cached, to copy it from; empty if there is none.
   std::string mCopyFrom = {};
-  // What it had to read before, prompts of other instances included.
+  // Prompt tokens waiting at the engine before this request, those of other
+  // instances included.
   std::uint64_t mBacklogTokens = 0;
-  // Time until the first event, as predicted.
+  // Predicted time to the first event.
   duration mExpectedWait{};
 
   friend bool operator==(const relay_pick&, const relay_pick&) = default;
--- a/thornhollow/policy/slot_occupancy.cc
+++ b/thornhollow/policy/slot_occupancy.cc
@@ -5,9 +5,9 @@
 namespace thornhollow {
 namespace {
 
-// What an older one counts for with each that follows.
+// Factor by which each new sample reduces the weight of older ones.
 constexpr double kDecay = 0.97;
-// Taken while no answer has ended: some hundred tokens.
+// Used until a response has ended: the time of a few hundred tokens.
 constexpr duration kDefaultMean = Seconds(2);
 constexpr duration kMinMean = Milliseconds(50);
 
--- a/thornhollow/policy/slot_occupancy.h
+++ b/thornhollow/policy/slot_occupancy.h
@@ -1,10 +1,10 @@
-// How long a request holds an engine's slot, in the mean of those that ended
-// lately, and what that makes of a queue for slots.
+// Average time for which a request occupies an engine slot, over requests that
+// ended lately, and the resulting wait in a queue for slots.
 //
-//   slot_occupancy hold;
-//   hold.OnStarted(wait);
-//   hold.OnEnded(length);
-//   const duration wait = hold.WaitFor(open, slots);
+//   slot_occupancy occupancy;
+//   occupancy.OnStarted(wait);
+//   occupancy.OnEnded(length);
+//   const duration wait = occupancy.WaitFor(inFlight, slots);
 //
 #ifndef THORNHOLLOW_POLICY_SLOT_OCCUPANCY_H_
 #define THORNHOLLOW_POLICY_SLOT_OCCUPANCY_H_
@@ -16,19 +16,21 @@
 class slot_occupancy
 {
 public:
-  // Its first event came so long after it was sent.
+  // A request had its first event `aWait` after it was sent.
   void OnStarted(duration aWait);
-  // Its answer ended whole, so long after it was sent.
+  // A response was completed `aLength` after its request was sent.
   void OnEnded(duration aLength);
 
-  // From the first event to the end, in the mean.
+  // Mean time from the first event to the end; a default while either is
+  // unknown.
   duration Mean() const;
-  // Until a slot is free for one more of `aInFlight` requests at engines that
-  // have `aSlots` in all; zero where some are free or the slots aren't known.
+  // Time until a slot is free for one more request when `aInFlight` requests
+  // are at engines with `aSlots` slots in total. Zero if slots are free or
+  // their number is not known.
   duration WaitFor(double aInFlight, double aSlots) const;
 
 private:
-  // Of the last thirty or so.
+  // Exponentially decaying mean over about the last thirty samples.
   struct decaying_mean
   {
     double mSum = 0;
