--- a/thornhollow/policy/fair_queue.cc
+++ b/thornhollow/policy/fair_queue.cc
@@ -7,15 +7,15 @@
 namespace thornhollow {
 
 const team_name&
-fair_queue::Account(const team_name& aTeam) const
+fair_queue::EffectiveTeam(const team_name& aTeam) const
 {
-  return mByTeam ? aTeam : mEverybody;
+  return mByTeam ? aTeam : mCommonTeam;
 }
 
 double
 fair_queue::StartTag(const team_name& aTeam) const
 {
-  const auto found = mTeams.find(Account(aTeam));
+  const auto found = mTeams.find(EffectiveTeam(aTeam));
   return found == mTeams.end()
            ? mVirtualTime
            : std::max(mVirtualTime, found->second.mFinishTag);
@@ -26,7 +26,7 @@
 {
   const double start = StartTag(aRequest.mItem.mTeam);
   const double finish = start + aRequest.mWork.mCost / aWeight;
-  mTeams[Account(aRequest.mItem.mTeam)].mFinishTag = finish;
+  mTeams[EffectiveTeam(aRequest.mItem.mTeam)].mFinishTag = finish;
   return Insert(start, { aRequest, finish, aWeight });
 }
 
@@ -45,7 +45,7 @@
 {
   const position at{ aStartTag, mSequence++ };
   mTotalCost += aEntry.mRequest.mWork.mCost;
-  if (team_state& owner = mTeams[Account(aEntry.mRequest.mItem.mTeam)];
+  if (team_state& owner = mTeams[EffectiveTeam(aEntry.mRequest.mItem.mTeam)];
       owner.mWaiting++ == 0) {
     owner.mWeight = aEntry.mWeight;
     mActiveWeight += owner.mWeight;
@@ -76,11 +76,11 @@
 }
 
 void
-fair_queue::Take(const position& aPosition)
+fair_queue::Dequeue(const position& aPosition)
 {
   if (const auto found = mWaiting.find(aPosition); found != mWaiting.end()) {
     mVirtualTime = std::max(mVirtualTime, found->first.mStartTag);
-    Drop(found);
+    EraseEntry(found);
   }
 }
 
@@ -91,11 +91,12 @@
   if (found == mWaiting.end()) {
     return false;
   }
-  team_state& owner = mTeams.at(Account(found->second.mRequest.mItem.mTeam));
+  team_state& owner =
+    mTeams.at(EffectiveTeam(found->second.mRequest.mItem.mTeam));
   if (owner.mFinishTag == found->second.mFinishTag) {
     owner.mFinishTag = found->first.mStartTag;
   }
-  Drop(found);
+  EraseEntry(found);
   return true;
 }
 
@@ -106,17 +107,21 @@
 }
 
 void
-fair_queue::Settle(const team_name& aTeam, double aMore, double aWeight)
+fair_queue::AdjustCost(const team_name& aTeam,
+                       double aCostDelta,
+                       double aWeight)
 {
-  if (const auto found = mTeams.find(Account(aTeam)); found != mTeams.end()) {
-    found->second.mFinishTag += aMore / aWeight;
+  if (const auto found = mTeams.find(EffectiveTeam(aTeam));
+      found != mTeams.end()) {
+    found->second.mFinishTag += aCostDelta / aWeight;
   }
 }
 
 void
-fair_queue::Drop(entries::iterator aEntry)
+fair_queue::EraseEntry(entries::iterator aEntry)
 {
-  const auto owner = mTeams.find(Account(aEntry->second.mRequest.mItem.mTeam));
+  const auto owner =
+    mTeams.find(EffectiveTeam(aEntry->second.mRequest.mItem.mTeam));
   mTotalCost -= aEntry->second.mRequest.mWork.mCost;
   if (--owner->second.mWaiting == 0) {
     mActiveWeight -= owner->second.mWeight;
@@ -150,7 +155,7 @@
 }
 
 bool
-fair_queue::GoesBeforeBack(const team_name& aTeam) const
+fair_queue::PrecedesBack(const team_name& aTeam) const
 {
   return !mWaiting.empty() &&
          StartTag(aTeam) < std::prev(mWaiting.end())->first.mStartTag;
--- a/thornhollow/policy/fair_queue.h
+++ b/thornhollow/policy/fair_queue.h
@@ -69,7 +69,7 @@
   const waiting_request* Find(const position& aPosition) const;
 
   // The request there was started: virtual time goes on.
-  void Take(const position& aPosition);
+  void Dequeue(const position& aPosition);
 
   // The request there leaves without being started; its cost is given back
   // where it is its team's last. False where there is none.
@@ -81,20 +81,20 @@
   // A request of `aTeam` that was taken cost this much more than expected, or
   // less: its later requests wait accordingly. Not remembered for a team that
   // has nothing waiting.
-  void Settle(const team_name& aTeam, double aMore, double aWeight);
+  void AdjustCost(const team_name& aTeam, double aCostDelta, double aWeight);
 
   // Cost of what would go before a new request of `aTeam`: an upper estimate
   // that assumes that all other teams keep their backlog.
   double CostAhead(const team_name& aTeam) const;
 
   // Whether a new request of `aTeam` would go before the last in order.
-  bool GoesBeforeBack(const team_name& aTeam) const;
+  bool PrecedesBack(const team_name& aTeam) const;
 
   double TotalCost() const { return mTotalCost; }
   std::size_t size() const { return mWaiting.size(); }
   bool empty() const { return mWaiting.empty(); }
   // Teams remembered, for memory figures.
-  std::size_t Teams() const { return mTeams.size(); }
+  std::size_t TrackedTeams() const { return mTeams.size(); }
 
 private:
   struct entry
@@ -113,13 +113,13 @@
   };
   using entries = std::map<position, entry>;
 
-  const team_name& Account(const team_name& aTeam) const;
+  const team_name& EffectiveTeam(const team_name& aTeam) const;
   double StartTag(const team_name& aTeam) const;
   position Insert(double aStartTag, entry aEntry);
-  void Drop(entries::iterator aEntry);
+  void EraseEntry(entries::iterator aEntry);
 
   bool mByTeam;
-  team_name mEverybody;
+  team_name mCommonTeam;
   double mVirtualTime = 0;
   std::uint64_t mSequence = 0;
   double mTotalCost = 0;
--- a/thornhollow/policy/fair_queue_test.cc
+++ b/thornhollow/policy/fair_queue_test.cc
@@ -34,7 +34,7 @@
     std::vector<ticket> order;
     while (const waiting_request* next = mQueue.Front()) {
       order.push_back(next->mItem.mTicket);
-      mQueue.Take(mQueue.FrontPosition());
+      mQueue.Dequeue(mQueue.FrontPosition());
     }
     return order;
   }
@@ -81,8 +81,8 @@
   const auto first = Push(1, "long");
   Push(2, "other");
   Push(3, "long");
-  mQueue.Take(first);
-  mQueue.Settle(team_name("long"), 300, 1);
+  mQueue.Dequeue(first);
+  mQueue.AdjustCost(team_name("long"), 300, 1);
   Push(4, "long");
   Push(5, "other");
   Push(6, "other");
@@ -104,9 +104,9 @@
   for (ticket each = 1; each <= 1000; ++each) {
     Push(each, "team-" + std::to_string(each));
   }
-  CHECK(mQueue.Teams() == 1000);
+  CHECK(mQueue.TrackedTeams() == 1000);
   Drain();
-  CHECK(mQueue.Teams() == 0);
+  CHECK(mQueue.TrackedTeams() == 0);
   CHECK(mQueue.TotalCost() == 0);
 }
 
--- a/thornhollow/policy/pool_queue.cc
+++ b/thornhollow/policy/pool_queue.cc
@@ -9,9 +9,9 @@
 namespace {
 
 // Stands for "longer than any deadline".
-constexpr duration kForever = std::chrono::hours(1);
+constexpr duration kUnboundedWait = std::chrono::hours(1);
 // Rounding of credits must not plan a wake for the present, again and again.
-constexpr duration kLeastStep = Milliseconds(1);
+constexpr duration kMinWakeDelay = Milliseconds(1);
 
 duration
 TimeFor(double aCost, double aRate)
@@ -19,19 +19,19 @@
   if (aCost <= 0) {
     return duration::zero();
   }
-  const double seconds = aRate > 0 ? aCost / aRate : ToSeconds(kForever);
-  return FromSeconds(std::min(seconds, ToSeconds(kForever)));
+  const double seconds = aRate > 0 ? aCost / aRate : ToSeconds(kUnboundedWait);
+  return FromSeconds(std::min(seconds, ToSeconds(kUnboundedWait)));
 }
 
 } // namespace
 
 pool_queue::class_queue::class_queue(const pool_queue_settings& aSettings,
-                                     const waiting_terms& aTerms)
-  : mTerms(aTerms)
+                                     const class_objectives& aObjectives)
+  : mObjectives(aObjectives)
   , mWaiting(aSettings.mFairTeams)
-  , mShare(aSettings.mMinimumShares ? aTerms.mMinimumShare : 0)
-  , mStanding(aSettings.mStanding, aTerms.mFirstTokenTarget)
-  , mReturns(aSettings.mReturns)
+  , mMinimumShare(aSettings.mMinimumShares ? aObjectives.mMinimumShare : 0)
+  , mStandingQueue(aSettings.mStandingQueue, aObjectives.mFirstTokenTarget)
+  , mRetrySchedule(aSettings.mRetrySchedule)
 {
 }
 
@@ -48,20 +48,21 @@
 }
 
 void
-pool_queue::SetTerms(const class_name& aClass, const waiting_terms& aTerms)
+pool_queue::SetObjectives(const class_name& aClass,
+                          const class_objectives& aObjectives)
 {
-  waiting_terms& known = mTerms[aClass];
-  if (known == aTerms) {
+  class_objectives& known = mObjectives[aClass];
+  if (known == aObjectives) {
     return;
   }
-  known = aTerms;
+  known = aObjectives;
   for (auto& [key, queue] : mClasses) {
     if (key.mClass == aClass) {
-      queue.mTerms = aTerms;
-      queue.mShare =
-        minimum_share(mSettings.mMinimumShares ? aTerms.mMinimumShare : 0);
-      queue.mStanding =
-        standing_queue(mSettings.mStanding, aTerms.mFirstTokenTarget);
+      queue.mObjectives = aObjectives;
+      queue.mMinimumShare =
+        minimum_share(mSettings.mMinimumShares ? aObjectives.mMinimumShare : 0);
+      queue.mStandingQueue =
+        standing_queue(mSettings.mStandingQueue, aObjectives.mFirstTokenTarget);
     }
   }
 }
@@ -80,12 +81,12 @@
   if (const auto found = mClasses.find(aKey); found != mClasses.end()) {
     return found->second;
   }
-  const auto terms = mTerms.find(aKey.mClass);
+  const auto objectives = mObjectives.find(aKey.mClass);
   return mClasses
-    .emplace(
-      aKey,
-      class_queue(mSettings,
-                  terms == mTerms.end() ? waiting_terms{} : terms->second))
+    .emplace(aKey,
+             class_queue(mSettings,
+                         objectives == mObjectives.end() ? class_objectives{}
+                                                         : objectives->second))
     .first->second;
 }
 
@@ -97,71 +98,72 @@
   }
   // Work that is held back says nothing about what the pool can do. What it
   // could have done meanwhile still counts for the shares.
-  mRate.Observe(mCount > 0 && !mHeld, aNow);
-  if (mHeld && aNow > mObserved) {
+  mRate.Observe(mCount > 0 && !mHeldBack, aNow);
+  if (mHeldBack && aNow > mLastObserved) {
     AccrueShares(mRate.LastPerSecond().value_or(0) *
-                 ToSeconds(aNow - mObserved));
+                 ToSeconds(aNow - mLastObserved));
   }
-  mObserved = std::max(mObserved, aNow);
+  mLastObserved = std::max(mLastObserved, aNow);
 }
 
 void
 pool_queue::AccrueShares(double aServed)
 {
   for (auto& [key, queue] : mClasses) {
-    queue.mShare.Accrue(aServed, queue.NextCost());
+    queue.mMinimumShare.Accrue(aServed, queue.NextCost());
   }
 }
 
 std::size_t
-pool_queue::OwnPlaces(const class_queue& aClass) const
+pool_queue::ReservedCapacity(const class_queue& aClass) const
 {
   return static_cast<std::size_t>(std::ceil(
-    aClass.mShare.Share() * static_cast<double>(mSettings.mMaxWaiting)));
+    aClass.mMinimumShare.Share() * static_cast<double>(mSettings.mMaxWaiting)));
 }
 
 std::size_t
-pool_queue::InCommon(const class_queue& aClass) const
+pool_queue::SharedCount(const class_queue& aClass) const
 {
-  const std::size_t own = OwnPlaces(aClass);
+  const std::size_t own = ReservedCapacity(aClass);
   return aClass.mWaiting.size() > own ? aClass.mWaiting.size() - own : 0;
 }
 
 std::size_t
-pool_queue::CommonTaken() const
+pool_queue::TotalSharedCount() const
 {
-  std::size_t taken = 0;
+  std::size_t count = 0;
   for (const auto& [key, queue] : mClasses) {
-    taken += InCommon(queue);
+    count += SharedCount(queue);
   }
-  return taken;
+  return count;
 }
 
 pool_queue::classes::value_type*
-pool_queue::LastInCommon()
+pool_queue::ShedCandidate()
 {
-  classes::value_type* last = nullptr;
+  classes::value_type* candidate = nullptr;
   for (auto& each : mClasses) {
-    const std::size_t taken = InCommon(each.second);
-    if (taken > 0 && (last == nullptr || each.first.mTier > last->first.mTier ||
-                      taken > InCommon(last->second))) {
-      last = &each;
+    const std::size_t count = SharedCount(each.second);
+    if (count > 0 &&
+        (candidate == nullptr || each.first.mTier > candidate->first.mTier ||
+         count > SharedCount(candidate->second))) {
+      candidate = &each;
     }
   }
-  return last;
+  return candidate;
 }
 
-pool_queue::arrival
+pool_queue::push_result
 pool_queue::Push(const waiting_request& aRequest,
                  double aTeamWeight,
                  std::mt19937_64& aRandom,
                  time_point aNow)
 {
   Observe(aNow);
-  arrival out;
+  push_result out;
   const class_key key = KeyOf(aRequest.mItem);
   class_queue& own = ClassOf(key);
-  if (IsTooLate(aRequest, own, aNow)) {
+  if (WouldMissDeadline(aRequest, own, aNow)) {
     out.mRefused.push_back(
       Refuse(aRequest, error_kind::kDeadlineUnmeetable, aRandom, aNow));
     return out;
@@ -172,13 +174,13 @@
       return out;
     }
   }
-  out.mPlace = place{ key, own.mWaiting.Push(aRequest, aTeamWeight) };
+  out.mHandle = queue_handle{ key, own.mWaiting.Push(aRequest, aTeamWeight) };
   ++mCount;
   return out;
 }
 
-pool_queue::place
-pool_queue::PushAgain(const waiting_request& aRequest, time_point aNow)
+pool_queue::queue_handle
+pool_queue::Requeue(const waiting_request& aRequest, time_point aNow)
 {
   Observe(aNow);
   const class_key key = KeyOf(aRequest.mItem);
@@ -187,9 +189,9 @@
 }
 
 bool
-pool_queue::IsTooLate(const waiting_request& aRequest,
-                      const class_queue& aClass,
-                      time_point aNow) const
+pool_queue::WouldMissDeadline(const waiting_request& aRequest,
+                              const class_queue& aClass,
+                              time_point aNow) const
 {
   const duration untilLatest = aRequest.LatestStart() - aNow;
   if (untilLatest <= duration::zero()) {
@@ -199,7 +201,7 @@
     return false;
   }
   return PredictedWait(aRequest.mItem, aNow) >
-         aClass.mStanding.Bound(untilLatest, aNow);
+         aClass.mStandingQueue.MaxWait(untilLatest, aNow);
 }
 
 std::optional<refuse>
@@ -209,22 +211,24 @@
                      time_point aNow)
 {
   class_queue& own = ClassOf(aKey);
-  if (own.mWaiting.size() < OwnPlaces(own) ||
-      CommonTaken() < mSettings.mMaxWaiting) {
+  if (own.mWaiting.size() < ReservedCapacity(own) ||
+      TotalSharedCount() < mSettings.mMaxWaiting) {
     return std::nullopt;
   }
-  classes::value_type* const last = LastInCommon();
-  const bool isLowerTier = last != nullptr && last->first.mTier > aKey.mTier;
+  classes::value_type* const candidate = ShedCandidate();
+  const bool isLowerTier =
+    candidate != nullptr && candidate->first.mTier > aKey.mTier;
   // Of one tier, the class with most requests in common places makes room, and
   // of one class the team that is furthest ahead of its share.
-  const bool isLonger = last != nullptr && last->first.mTier == aKey.mTier &&
-                        InCommon(last->second) > InCommon(own) + 1;
-  const bool isOtherTeams = last != nullptr && last->first == aKey &&
-                            own.mWaiting.GoesBeforeBack(aRequest.mItem.mTeam);
-  if (!isLowerTier && !isLonger && !isOtherTeams) {
+  const bool isLargerClass =
+    candidate != nullptr && candidate->first.mTier == aKey.mTier &&
+    SharedCount(candidate->second) > SharedCount(own) + 1;
+  const bool isOtherTeam = candidate != nullptr && candidate->first == aKey &&
+                           own.mWaiting.PrecedesBack(aRequest.mItem.mTeam);
+  if (!isLowerTier && !isLargerClass && !isOtherTeam) {
     return Refuse(aRequest, error_kind::kQueueFull, aRandom, aNow);
   }
-  class_queue& other = last->second;
+  class_queue& other = candidate->second;
   refuse refused = Refuse(*other.mWaiting.Back(),
                           isLowerTier ? error_kind::kShedForHigherTier
                                       : error_kind::kQueueFull,
@@ -238,25 +242,26 @@
 next_request
 pool_queue::Next(const peer_pressure& aPeers,
                  const pool_name& aPool,
-                 std::span<const class_name> aPassedOver,
+                 std::span<const class_name> aSkippedClasses,
                  time_point aNow)
 {
   Observe(aNow);
-  bool held = false;
-  const waiting_request* owed = nullptr;
+  bool heldBack = false;
+  const waiting_request* byMinimumShare = nullptr;
   const waiting_request* next = nullptr;
   int tier = kLowestTier;
   for (const auto& [key, queue] : mClasses) {
     const waiting_request* front = queue.mWaiting.Front();
-    if (front == nullptr ||
-        std::ranges::find(aPassedOver, key.mClass) != aPassedOver.end()) {
+    if (front == nullptr || std::ranges::find(aSkippedClasses, key.mClass) !=
+                              aSkippedClasses.end()) {
       continue;
     }
-    if (owed == nullptr && queue.mShare.IsOwed(front->mWork.mCost)) {
-      owed = front;
+    if (byMinimumShare == nullptr &&
+        queue.mMinimumShare.IsOwed(front->mWork.mCost)) {
+      byMinimumShare = front;
     }
     if (mRate.LastPerSecond() && aPeers.HoldsBack(aPool, key.mTier, aNow)) {
-      held = true;
+      heldBack = true;
       continue;
     }
     const bool isSooner =
@@ -267,60 +272,60 @@
       tier = key.mTier;
     }
   }
-  mHeld = held && next == nullptr;
-  if (owed != nullptr) {
-    return { &owed->mItem, true };
+  mHeldBack = heldBack && next == nullptr;
+  if (byMinimumShare != nullptr) {
+    return { &byMinimumShare->mItem, true };
   }
   return { next == nullptr ? nullptr : &next->mItem, false };
 }
 
 const waiting_request&
-pool_queue::At(const place& aPlace) const
+pool_queue::At(const queue_handle& aHandle) const
 {
-  return *mClasses.at(aPlace.mClass).mWaiting.Find(aPlace.mPosition);
+  return *mClasses.at(aHandle.mClass).mWaiting.Find(aHandle.mPosition);
 }
 
 void
-pool_queue::Start(const place& aPlace, time_point aNow)
+pool_queue::Start(const queue_handle& aHandle, time_point aNow)
 {
-  class_queue& from = mClasses.at(aPlace.mClass);
-  const waiting_request& started = At(aPlace);
+  class_queue& from = mClasses.at(aHandle.mClass);
+  const waiting_request& started = At(aHandle);
   const double cost = started.mWork.mCost;
   from.mRate.OnServed(cost);
-  from.mStanding.OnStarted(aNow - started.mQueuedAt, aNow);
-  from.mShare.Spend(cost);
-  if (!mHeld) {
+  from.mStandingQueue.OnStarted(aNow - started.mQueuedAt, aNow);
+  from.mMinimumShare.Spend(cost);
+  if (!mHeldBack) {
     mRate.OnServed(cost);
     AccrueShares(cost);
   }
-  from.mWaiting.Take(aPlace.mPosition);
+  from.mWaiting.Dequeue(aHandle.mPosition);
   --mCount;
   if (from.mWaiting.empty()) {
-    from.mStanding.OnEmpty();
+    from.mStandingQueue.OnEmpty();
   }
 }
 
 void
-pool_queue::Settle(const work_item& aItem,
-                   double aTeamWeight,
-                   double aExpected,
-                   double aActual)
+pool_queue::AdjustCost(const work_item& aItem,
+                       double aTeamWeight,
+                       double aExpected,
+                       double aActual)
 {
   const auto found = mClasses.find(KeyOf(aItem));
   if (found != mClasses.end()) {
-    found->second.mShare.Settle(aExpected, aActual);
-    found->second.mWaiting.Settle(
+    found->second.mMinimumShare.Settle(aExpected, aActual);
+    found->second.mWaiting.AdjustCost(
       aItem.mTeam, aActual - aExpected, aTeamWeight);
   }
 }
 
 void
-pool_queue::Remove(const place& aPlace, time_point aNow)
+pool_queue::Remove(const queue_handle& aHandle, time_point aNow)
 {
   Observe(aNow);
-  if (const auto found = mClasses.find(aPlace.mClass);
+  if (const auto found = mClasses.find(aHandle.mClass);
       found != mClasses.end() &&
-      found->second.mWaiting.Erase(aPlace.mPosition)) {
+      found->second.mWaiting.Erase(aHandle.mPosition)) {
     --mCount;
   }
 }
@@ -332,12 +337,12 @@
                    time_point aNow)
 {
   class_queue& own = ClassOf(KeyOf(aRequest.mItem));
-  const duration backlog =
-    PredictedWait(aRequest.mItem, aNow) - own.mStanding.Bound(kForever, aNow);
+  const duration backlog = PredictedWait(aRequest.mItem, aNow) -
+                           own.mStandingQueue.MaxWait(kUnboundedWait, aNow);
   return {
     aRequest.mItem.mTicket,
     aKind,
-    own.mReturns.ComeBackAfter(
+    own.mRetrySchedule.ScheduleRetry(
       backlog, aRequest.mWork.mCost, RateFor(own, aNow), aRandom, aNow)
   };
 }
@@ -355,7 +360,7 @@
   if (!measured) {
     return pool;
   }
-  return std::max(*measured, pool.value_or(0) * aClass.mShare.Share());
+  return std::max(*measured, pool.value_or(0) * aClass.mMinimumShare.Share());
 }
 
 duration
@@ -385,7 +390,7 @@
 
 pool_pressure
 pool_queue::Pressure(const pool_name& aPool,
-                     duration aLeastWait,
+                     duration aMinWait,
                      time_point aNow) const
 {
   pool_pressure out{ .mPool = aPool };
@@ -394,7 +399,7 @@
     if (next == nullptr || key.mTier > out.mLowestAdmitted) {
       continue;
     }
-    if (const duration wait = aNow - next->mQueuedAt; wait >= aLeastWait) {
+    if (const duration wait = aNow - next->mQueuedAt; wait >= aMinWait) {
       out.mLowestAdmitted = key.mTier;
       out.mHigherWait = std::max(out.mHigherWait, wait);
     }
@@ -403,20 +408,20 @@
 }
 
 std::optional<time_point>
-pool_queue::NextOwed(time_point aNow) const
+pool_queue::NextMinimumShareDue(time_point aNow) const
 {
   const auto rate = mRate.LastPerSecond();
-  if (!mHeld || !rate) {
+  if (!mHeldBack || !rate) {
     return std::nullopt;
   }
-  duration soonest = kForever;
+  duration soonest = kUnboundedWait;
   for (const auto& [key, queue] : mClasses) {
-    if (!queue.mWaiting.empty() && queue.mShare.Share() > 0) {
+    if (!queue.mWaiting.empty() && queue.mMinimumShare.Share() > 0) {
       soonest = std::min(
-        soonest, TimeFor(queue.mShare.Missing(queue.NextCost()), *rate));
+        soonest, TimeFor(queue.mMinimumShare.Missing(queue.NextCost()), *rate));
     }
   }
-  return aNow + std::max(soonest, kLeastStep);
+  return aNow + std::max(soonest, kMinWakeDelay);
 }
 
 } // namespace thornhollow
--- a/thornhollow/policy/pool_queue.h
+++ b/thornhollow/policy/pool_queue.h
@@ -28,7 +28,7 @@
 
 #include "thornhollow/policy/fair_queue.h"
 #include "thornhollow/policy/minimum_share.h"
-#include "thornhollow/policy/return_schedule.h"
+#include "thornhollow/policy/retry_schedule.h"
 #include "thornhollow/policy/service_rate.h"
 #include "thornhollow/policy/standing_queue.h"
 #include "thornhollow/policy/tier_pressure.h"
@@ -45,8 +45,8 @@
   // Refuses on arrival what the measured wait keeps from its deadline, and
   // before the start what can't finish any more.
   bool mDeadlineCheck = true;
-  standing_queue_settings mStanding;
-  return_schedule_settings mReturns;
+  standing_queue_settings mStandingQueue;
+  retry_schedule_settings mRetrySchedule;
 
   friend bool operator==(const pool_queue_settings&,
                          const pool_queue_settings&) = default;
@@ -58,16 +58,17 @@
   // Null where there is none.
   const work_item* mItem = nullptr;
   // It goes before higher tiers, by its class's minimum share.
-  bool mOwed = false;
+  bool mUsesMinimumShare = false;
 };
 
 // What a class is declared to get.
-struct waiting_terms
+struct class_objectives
 {
   double mMinimumShare = 0;
   duration mFirstTokenTarget{};
 
-  friend bool operator==(const waiting_terms&, const waiting_terms&) = default;
+  friend bool operator==(const class_objectives&,
+                         const class_objectives&) = default;
 };
 
 class pool_queue
@@ -86,55 +87,56 @@
     friend bool operator==(const class_key&, const class_key&) = default;
   };
   // Where a request waits.
-  struct place
+  struct queue_handle
   {
     class_key mClass;
     fair_queue::position mPosition;
   };
   // What came of an arrival: a place, or else a refusal of the arrival; and the
   // request that had to make room.
-  struct arrival
+  struct push_result
   {
-    std::optional<place> mPlace;
+    std::optional<queue_handle> mHandle;
     std::vector<refuse> mRefused;
   };
 
   explicit pool_queue(const pool_queue_settings& aSettings);
 
   // The class's terms; an unknown class has none.
-  void SetTerms(const class_name& aClass, const waiting_terms& aTerms);
+  void SetObjectives(const class_name& aClass,
+                     const class_objectives& aObjectives);
 
-  arrival Push(const waiting_request& aRequest,
-               double aTeamWeight,
-               std::mt19937_64& aRandom,
-               time_point aNow);
+  push_result Push(const waiting_request& aRequest,
+                   double aTeamWeight,
+                   std::mt19937_64& aRandom,
+                   time_point aNow);
 
   // A request that was started before and has to run again: goes next in its
   // class and is refused for nothing but its deadline.
-  place PushAgain(const waiting_request& aRequest, time_point aNow);
+  queue_handle Requeue(const waiting_request& aRequest, time_point aNow);
 
   // The request that gets the next place, or none where nothing waits or what
   // waits is held back for a higher tier elsewhere. Stays queued. Requests of
-  // the classes `aPassedOver` are left out.
+  // the classes `aSkippedClasses` are left out.
   next_request Next(const peer_pressure& aPeers,
                     const pool_name& aPool,
-                    std::span<const class_name> aPassedOver,
+                    std::span<const class_name> aSkippedClasses,
                     time_point aNow);
 
   // The request there; something must wait there.
-  const waiting_request& At(const place& aPlace) const;
+  const waiting_request& At(const queue_handle& aHandle) const;
 
   // The request that `Next` returned got a place.
-  void Start(const place& aPlace, time_point aNow);
+  void Start(const queue_handle& aHandle, time_point aNow);
 
   // A request that had a place cost `aActual` in place of `aExpected`.
-  void Settle(const work_item& aItem,
-              double aTeamWeight,
-              double aExpected,
-              double aActual);
+  void AdjustCost(const work_item& aItem,
+                  double aTeamWeight,
+                  double aExpected,
+                  double aActual);
 
   // Leaves without a place. Unknown places are ignored.
-  void Remove(const place& aPlace, time_point aNow);
+  void Remove(const queue_handle& aHandle, time_point aNow);
 
   // A refusal of this request, with when to come back.
   refuse Refuse(const waiting_request& aRequest,
@@ -148,11 +150,11 @@
 
   // For the other instances.
   pool_pressure Pressure(const pool_name& aPool,
-                         duration aLeastWait,
+                         duration aMinWait,
                          time_point aNow) const;
 
   // When a class that is held back is owed its share.
-  std::optional<time_point> NextOwed(time_point aNow) const;
+  std::optional<time_point> NextMinimumShareDue(time_point aNow) const;
 
   bool empty() const { return mCount == 0; }
   std::size_t size() const { return mCount; }
@@ -161,14 +163,14 @@
   struct class_queue
   {
     class_queue(const pool_queue_settings& aSettings,
-                const waiting_terms& aTerms);
+                const class_objectives& aObjectives);
 
-    waiting_terms mTerms;
+    class_objectives mObjectives;
     fair_queue mWaiting;
-    minimum_share mShare;
+    minimum_share mMinimumShare;
     service_rate mRate;
-    standing_queue mStanding;
-    return_schedule mReturns;
+    standing_queue mStandingQueue;
+    retry_schedule mRetrySchedule;
 
     double NextCost() const;
   };
@@ -179,33 +181,33 @@
   void Observe(time_point aNow);
   void AccrueShares(double aServed);
   // Places of its own that a class has.
-  std::size_t OwnPlaces(const class_queue& aClass) const;
+  std::size_t ReservedCapacity(const class_queue& aClass) const;
   // Waiting requests of a class in common places.
-  std::size_t InCommon(const class_queue& aClass) const;
-  std::size_t CommonTaken() const;
+  std::size_t SharedCount(const class_queue& aClass) const;
+  std::size_t TotalSharedCount() const;
   // The last class in order with requests in common places, and of one tier's
   // classes the one with most; null where there is none.
-  classes::value_type* LastInCommon();
+  classes::value_type* ShedCandidate();
   // Makes room for the request, or refuses it.
   std::optional<refuse> MakeRoom(const waiting_request& aRequest,
                                  const class_key& aKey,
                                  std::mt19937_64& aRandom,
                                  time_point aNow);
-  bool IsTooLate(const waiting_request& aRequest,
-                 const class_queue& aClass,
-                 time_point aNow) const;
+  bool WouldMissDeadline(const waiting_request& aRequest,
+                         const class_queue& aClass,
+                         time_point aNow) const;
   std::optional<double> RateFor(const class_queue& aClass,
                                 time_point aNow) const;
 
   pool_queue_settings mSettings;
-  std::unordered_map<class_name, waiting_terms> mTerms;
+  std::unordered_map<class_name, class_objectives> mObjectives;
   classes mClasses;
   std::size_t mCount = 0;
   service_rate mRate;
   // The last observation found work that was held back for a higher tier of
   // another instance.
-  bool mHeld = false;
-  time_point mObserved{};
+  bool mHeldBack = false;
+  time_point mLastObserved{};
 };
 
 } // namespace thornhollow
--- a/thornhollow/policy/pool_queue_test.cc
+++ b/thornhollow/policy/pool_queue_test.cc
@@ -18,13 +18,13 @@
   {
     pool_queue_settings settings;
     settings.mMaxWaiting = 8;
-    settings.mStanding.mEnabled = false;
+    settings.mStandingQueue.mEnabled = false;
     mQueue.emplace(settings);
-    mQueue->SetTerms(class_name("high"), { 0, Milliseconds(500) });
-    mQueue->SetTerms(class_name("low"), { 0.25, Seconds(5) });
+    mQueue->SetObjectives(class_name("high"), { 0, Milliseconds(500) });
+    mQueue->SetObjectives(class_name("low"), { 0.25, Seconds(5) });
   }
 
-  pool_queue::arrival Push(int aTier, const std::string& aTeam = "team")
+  pool_queue::push_result Push(int aTier, const std::string& aTeam = "team")
   {
     waiting_request request;
     request.mItem.mTicket = ++mLast;
@@ -34,14 +34,14 @@
     request.mItem.mDeadline = mNow + Seconds(60);
     request.mWork.mCost = 100;
     request.mQueuedAt = mNow;
-    pool_queue::arrival came = mQueue->Push(request, 1, mRandom, mNow);
-    for (const refuse& each : came.mRefused) {
-      mWhere.erase(each.mTicket);
+    pool_queue::push_result pushed = mQueue->Push(request, 1, mRandom, mNow);
+    for (const refuse& each : pushed.mRefused) {
+      mHandles.erase(each.mTicket);
     }
-    if (came.mPlace) {
-      mWhere.emplace(mLast, *came.mPlace);
+    if (pushed.mHandle) {
+      mHandles.emplace(mLast, *pushed.mHandle);
     }
-    return came;
+    return pushed;
   }
 
   // Starts the next request; its tier.
@@ -50,8 +50,8 @@
     const next_request next = mQueue->Next(mPeers, mPool, {}, mNow);
     REQUIRE(next.mItem != nullptr);
     const work_item item = *next.mItem;
-    mQueue->Start(mWhere.at(item.mTicket), mNow);
-    mWhere.erase(item.mTicket);
+    mQueue->Start(mHandles.at(item.mTicket), mNow);
+    mHandles.erase(item.mTicket);
     return item.mTier;
   }
 
@@ -60,7 +60,7 @@
   std::optional<pool_queue> mQueue;
   peer_pressure mPeers{ tier_pressure_settings{} };
   std::mt19937_64 mRandom{ 1 };
-  std::map<ticket, pool_queue::place> mWhere;
+  std::map<ticket, pool_queue::queue_handle> mHandles;
   ticket mLast = 0;
 };
 
@@ -74,15 +74,15 @@
   }
   // Eight common places and two of the class's own are taken.
   for (ticket victim = 10; victim >= 3; --victim) {
-    const pool_queue::arrival came = Push(1);
-    REQUIRE(came.mRefused.size() == 1);
-    CHECK(came.mRefused[0].mTicket == victim);
-    CHECK(came.mRefused[0].mKind == error_kind::kShedForHigherTier);
-    CHECK(came.mPlace.has_value());
+    const pool_queue::push_result pushed = Push(1);
+    REQUIRE(pushed.mRefused.size() == 1);
+    CHECK(pushed.mRefused[0].mTicket == victim);
+    CHECK(pushed.mRefused[0].mKind == error_kind::kShedForHigherTier);
+    CHECK(pushed.mHandle.has_value());
   }
   // All common places are the higher tier's: it is refused for its equals, and
   // the lower class still holds its own two places.
-  const pool_queue::arrival full = Push(1);
+  const pool_queue::push_result full = Push(1);
   REQUIRE(full.mRefused.size() == 1);
   CHECK(full.mRefused[0].mTicket == mLast);
   CHECK(full.mRefused[0].mKind == error_kind::kQueueFull);
@@ -97,7 +97,7 @@
   }
   CHECK(Push(4).mRefused.empty());
   CHECK(Push(4).mRefused.empty());
-  const pool_queue::arrival third = Push(4);
+  const pool_queue::push_result third = Push(4);
   REQUIRE(third.mRefused.size() == 1);
   CHECK(third.mRefused[0].mTicket == mLast);
   CHECK(third.mRefused[0].mKind == error_kind::kQueueFull);
@@ -110,11 +110,11 @@
   for (int i = 0; i < 8; ++i) {
     Push(1, "hot");
   }
-  const pool_queue::arrival came = Push(1, "light");
-  REQUIRE(came.mRefused.size() == 1);
-  CHECK(came.mRefused[0].mTicket == 8);
-  CHECK(came.mRefused[0].mKind == error_kind::kQueueFull);
-  CHECK(came.mPlace.has_value());
+  const pool_queue::push_result pushed = Push(1, "light");
+  REQUIRE(pushed.mRefused.size() == 1);
+  CHECK(pushed.mRefused[0].mTicket == 8);
+  CHECK(pushed.mRefused[0].mKind == error_kind::kQueueFull);
+  CHECK(pushed.mHandle.has_value());
 }
 
 TEST_CASE_FIXTURE(two_tiers, "pool_queue/high_tier_endless/share_is_served")
@@ -178,13 +178,13 @@
 
   waiting_request late{ item, { 100, Milliseconds(500) }, mNow };
   late.mItem.mDeadline = mNow + Seconds(1);
-  const pool_queue::arrival came = mQueue->Push(late, 1, mRandom, mNow);
-  REQUIRE(came.mRefused.size() == 1);
-  CHECK(came.mRefused[0].mKind == error_kind::kDeadlineUnmeetable);
-  CHECK(came.mRefused[0].mRetryAfter > Milliseconds(250));
+  const pool_queue::push_result pushed = mQueue->Push(late, 1, mRandom, mNow);
+  REQUIRE(pushed.mRefused.size() == 1);
+  CHECK(pushed.mRefused[0].mKind == error_kind::kDeadlineUnmeetable);
+  CHECK(pushed.mRefused[0].mRetryAfter > Milliseconds(250));
   StartNext();
   late.mItem.mDeadline = mNow + Seconds(3);
-  CHECK(mQueue->Push(late, 1, mRandom, mNow).mPlace.has_value());
+  CHECK(mQueue->Push(late, 1, mRandom, mNow).mHandle.has_value());
 }
 
 // Another instance is full of the high tier. This one has low work only: it may
--- a/thornhollow/policy/relay_admission.cc
+++ b/thornhollow/policy/relay_admission.cc
@@ -69,7 +69,7 @@
   }
   const duration backlog =
     std::max(wait - FromSeconds(longest), duration::zero());
-  const duration after = mReturns.ComeBackAfter(
+  const duration after = mReturns.ScheduleRetry(
     backlog, aRequest.mTokens, Rate(aNow), aRandom, aNow);
   return admission_refusal{
     inTime ? error_kind::kQueueFull : error_kind::kDeadlineUnmeetable,
--- a/thornhollow/policy/relay_admission.h
+++ b/thornhollow/policy/relay_admission.h
@@ -51,7 +51,7 @@
 #include "thornhollow/base/ids.h"
 #include "thornhollow/base/time.h"
 #include "thornhollow/policy/faded_rate.h"
-#include "thornhollow/policy/return_schedule.h"
+#include "thornhollow/policy/retry_schedule.h"
 #include "thornhollow/policy/tier_waits.h"
 
 namespace thornhollow {
@@ -80,8 +80,8 @@
   // requests where others have one are chance.
   double mMoreFrom = 2;
   // From a few prompts' reading to the third of 15 s that callers wait for.
-  return_schedule_settings mReturns = { .mLeast = Milliseconds(500),
-                                        .mMost = Seconds(5) };
+  retry_schedule_settings mReturns = { .mMinDelay = Milliseconds(500),
+                                       .mMaxDelay = Seconds(5) };
 
   friend bool operator==(const relay_admission_settings&,
                          const relay_admission_settings&) = default;
@@ -183,7 +183,7 @@
   faded_rate mAsked;
   std::map<team_name, faded_rate> mAskedByTeam;
   time_point mNextForget{};
-  return_schedule mReturns;
+  retry_schedule mReturns;
 };
 
 } // namespace thornhollow
--- a/thornhollow/policy/request_queue.cc
+++ b/thornhollow/policy/request_queue.cc
@@ -8,31 +8,31 @@
                              std::uint64_t aSeed)
   : mSettings(aSettings)
   , mRandom(aSeed)
-  , mPeers(aSettings.mPeers)
+  , mPeerPressure(aSettings.mPeerPressure)
 {
 }
 
 void
 request_queue::Configure(const declarations& aDeclared, time_point /*aNow*/)
 {
-  std::unordered_map<class_name, waiting_terms> terms;
+  std::unordered_map<class_name, class_objectives> objectives;
   for (const request_class& each : aDeclared.mClasses) {
     const service_level* level = FindLevel(aDeclared, each.mLevel);
-    terms[each.mName] = { each.mMinimumShare,
-                          level == nullptr ? duration::zero()
-                                           : level->mFirstTokenTarget };
+    objectives[each.mName] = { each.mMinimumShare,
+                               level == nullptr ? duration::zero()
+                                                : level->mFirstTokenTarget };
   }
   for (auto& [name, pool] : mPools) {
-    for (const auto& [gone, old] : mTerms) {
-      if (!terms.contains(gone)) {
-        pool.SetTerms(gone, {});
+    for (const auto& [removed, previous] : mObjectives) {
+      if (!objectives.contains(removed)) {
+        pool.SetObjectives(removed, {});
       }
     }
-    for (const auto& [each, next] : terms) {
-      pool.SetTerms(each, next);
+    for (const auto& [each, next] : objectives) {
+      pool.SetObjectives(each, next);
     }
   }
-  mTerms = std::move(terms);
+  mObjectives = std::move(objectives);
   mWeights.clear();
   for (const team& each : aDeclared.mTeams) {
     if (each.mWeight > 0 && each.mWeight != 1) {
@@ -46,8 +46,8 @@
 {
   const auto [found, isNew] = mPools.try_emplace(aPool, mSettings.mPool);
   if (isNew) {
-    for (const auto& [name, terms] : mTerms) {
-      found->second.SetTerms(name, terms);
+    for (const auto& [name, objectives] : mObjectives) {
+      found->second.SetObjectives(name, objectives);
     }
   }
   return found->second;
@@ -66,21 +66,21 @@
                     time_point aNow)
 {
   const waiting_request request{ aItem, aWork, aNow };
-  const pool_queue::arrival came =
+  const pool_queue::push_result pushed =
     PoolOf(aItem.mPool).Push(request, WeightOf(aItem.mTeam), mRandom, aNow);
-  for (const refuse& each : came.mRefused) {
-    Take(each.mTicket);
+  for (const refuse& each : pushed.mRefused) {
+    Extract(each.mTicket);
   }
-  if (came.mPlace) {
-    Add(request, *came.mPlace);
+  if (pushed.mHandle) {
+    Add(request, *pushed.mHandle);
   }
-  return came.mRefused;
+  return pushed.mRefused;
 }
 
 std::vector<refuse>
-request_queue::PushAgain(const work_item& aItem,
-                         const work_estimate& aWork,
-                         time_point aNow)
+request_queue::Requeue(const work_item& aItem,
+                       const work_estimate& aWork,
+                       time_point aNow)
 {
   const waiting_request request{ aItem, aWork, aNow };
   pool_queue& pool = PoolOf(aItem.mPool);
@@ -88,66 +88,68 @@
     return { pool.Refuse(
       request, error_kind::kDeadlineUnmeetable, mRandom, aNow) };
   }
-  Add(request, pool.PushAgain(request, aNow));
+  Add(request, pool.Requeue(request, aNow));
   return {};
 }
 
 void
 request_queue::Add(const waiting_request& aRequest,
-                   const pool_queue::place& aPlace)
+                   const pool_queue::queue_handle& aHandle)
 {
   const ticket id = aRequest.mItem.mTicket;
   const time_point latest = aRequest.LatestStart();
-  mWhere.emplace(id, location{ aRequest.mItem.mPool, aPlace, latest });
+  mLocations.emplace(id, location{ aRequest.mItem.mPool, aHandle, latest });
   mLatestStarts.emplace(latest, id);
 }
 
 std::optional<request_queue::location>
-request_queue::Take(ticket aTicket)
+request_queue::Extract(ticket aTicket)
 {
-  const auto found = mWhere.find(aTicket);
-  if (found == mWhere.end()) {
+  const auto found = mLocations.find(aTicket);
+  if (found == mLocations.end()) {
     return std::nullopt;
   }
-  location taken = std::move(found->second);
-  mLatestStarts.erase({ taken.mLatestStart, aTicket });
-  mWhere.erase(found);
-  return taken;
+  location extracted = std::move(found->second);
+  mLatestStarts.erase({ extracted.mLatestStart, aTicket });
+  mLocations.erase(found);
+  return extracted;
 }
 
 next_request
 request_queue::Next(const pool_name& aPool,
-                    std::span<const class_name> aPassedOver,
+                    std::span<const class_name> aSkippedClasses,
                     time_point aNow)
 {
   const auto found = mPools.find(aPool);
   if (found == mPools.end()) {
     return {};
   }
-  return found->second.Next(mPeers, aPool, aPassedOver, aNow);
+  return found->second.Next(mPeerPressure, aPool, aSkippedClasses, aNow);
 }
 
 void
 request_queue::Start(ticket aTicket, time_point aNow)
 {
-  if (const auto taken = Take(aTicket)) {
-    mPools.at(taken->mPool).Start(taken->mPlace, aNow);
+  if (const auto extracted = Extract(aTicket)) {
+    mPools.at(extracted->mPool).Start(extracted->mHandle, aNow);
   }
 }
 
 void
-request_queue::Settle(const work_item& aItem, double aExpected, double aActual)
+request_queue::AdjustCost(const work_item& aItem,
+                          double aExpected,
+                          double aActual)
 {
   if (const auto pool = mPools.find(aItem.mPool); pool != mPools.end()) {
-    pool->second.Settle(aItem, WeightOf(aItem.mTeam), aExpected, aActual);
+    pool->second.AdjustCost(aItem, WeightOf(aItem.mTeam), aExpected, aActual);
   }
 }
 
 void
 request_queue::Remove(ticket aTicket, time_point aNow)
 {
-  if (const auto taken = Take(aTicket)) {
-    mPools.at(taken->mPool).Remove(taken->mPlace, aNow);
+  if (const auto extracted = Extract(aTicket)) {
+    mPools.at(extracted->mPool).Remove(extracted->mHandle, aNow);
   }
 }
 
@@ -160,17 +162,17 @@
 std::vector<refuse>
 request_queue::Expire(time_point aNow)
 {
-  mPeers.Expire(aNow);
+  mPeerPressure.Expire(aNow);
   std::vector<refuse> refused;
   while (!mLatestStarts.empty() && mLatestStarts.begin()->first <= aNow) {
-    const location taken = *Take(mLatestStarts.begin()->second);
-    pool_queue& pool = mPools.at(taken.mPool);
-    const waiting_request late = pool.At(taken.mPlace);
-    pool.Remove(taken.mPlace, aNow);
-    const error_kind kind = late.mItem.mDeadline <= aNow
+    const location extracted = *Extract(mLatestStarts.begin()->second);
+    pool_queue& pool = mPools.at(extracted.mPool);
+    const waiting_request expired = pool.At(extracted.mHandle);
+    pool.Remove(extracted.mHandle, aNow);
+    const error_kind kind = expired.mItem.mDeadline <= aNow
                               ? error_kind::kDeadlineExpiredWaiting
                               : error_kind::kDeadlineUnmeetable;
-    refused.push_back(pool.Refuse(late, kind, mRandom, aNow));
+    refused.push_back(pool.Refuse(expired, kind, mRandom, aNow));
   }
   return refused;
 }
@@ -191,19 +193,20 @@
 request_queue::NextDue(time_point aNow) const
 {
   std::optional<time_point> due;
-  const auto take = [&due](std::optional<time_point> aNext) {
+  const auto keepEarlier = [&due](std::optional<time_point> aNext) {
     if (aNext && (!due || *aNext < *due)) {
       due = aNext;
     }
   };
   if (!mLatestStarts.empty()) {
-    take(mLatestStarts.begin()->first);
+    keepEarlier(mLatestStarts.begin()->first);
   }
   for (const auto& [name, pool] : mPools) {
     if (!pool.empty()) {
-      if (const auto until = mPeers.HeldUntil(name); until && *until > aNow) {
-        take(until);
-        take(pool.NextOwed(aNow));
+      if (const auto until = mPeerPressure.HeldUntil(name);
+          until && *until > aNow) {
+        keepEarlier(until);
+        keepEarlier(pool.NextMinimumShareDue(aNow));
       }
     }
   }
@@ -219,11 +222,11 @@
 }
 
 duration
-request_queue::TargetOf(const class_name& aClass) const
+request_queue::FirstTokenTarget(const class_name& aClass) const
 {
-  const auto found = mTerms.find(aClass);
-  return found == mTerms.end() ? duration::zero()
-                               : found->second.mFirstTokenTarget;
+  const auto found = mObjectives.find(aClass);
+  return found == mObjectives.end() ? duration::zero()
+                                    : found->second.mFirstTokenTarget;
 }
 
 std::vector<pool_pressure>
@@ -231,7 +234,8 @@
 {
   std::vector<pool_pressure> out;
   for (const auto& [name, pool] : mPools) {
-    pool_pressure next = pool.Pressure(name, mSettings.mPeers.mLeastWait, aNow);
+    pool_pressure next =
+      pool.Pressure(name, mSettings.mPeerPressure.mLeastWait, aNow);
     if (next.mHigherWait > duration::zero()) {
       out.push_back(std::move(next));
     }
@@ -244,7 +248,7 @@
                               const pool_pressure& aPressure,
                               time_point aNow)
 {
-  mPeers.OnReport(aFrom, aPressure, aNow);
+  mPeerPressure.OnReport(aFrom, aPressure, aNow);
 }
 
 } // namespace thornhollow
--- a/thornhollow/policy/request_queue.h
+++ b/thornhollow/policy/request_queue.h
@@ -32,7 +32,7 @@
 struct request_queue_settings
 {
   pool_queue_settings mPool;
-  tier_pressure_settings mPeers;
+  tier_pressure_settings mPeerPressure;
 
   friend bool operator==(const request_queue_settings&,
                          const request_queue_settings&) = default;
@@ -55,25 +55,25 @@
 
   // Queues a request that ran before without its answer, ahead of its class;
   // refused only where it can't finish any more.
-  std::vector<refuse> PushAgain(const work_item& aItem,
-                                const work_estimate& aWork,
-                                time_point aNow);
+  std::vector<refuse> Requeue(const work_item& aItem,
+                              const work_estimate& aWork,
+                              time_point aNow);
 
   // The request of `aPool` that gets the next place, or none. Stays queued.
-  // Requests of the classes `aPassedOver` are left out.
+  // Requests of the classes `aSkippedClasses` are left out.
   next_request Next(const pool_name& aPool,
-                    std::span<const class_name> aPassedOver,
+                    std::span<const class_name> aSkippedClasses,
                     time_point aNow);
 
   // Whether the request waits here.
-  bool Holds(ticket aTicket) const { return mWhere.contains(aTicket); }
+  bool Contains(ticket aTicket) const { return mLocations.contains(aTicket); }
 
   // The request got a place. Unknown tickets are ignored.
   void Start(ticket aTicket, time_point aNow);
 
   // A request that got a place cost `aActual` in place of `aExpected`: its
   // class and its team are charged the difference.
-  void Settle(const work_item& aItem, double aExpected, double aActual);
+  void AdjustCost(const work_item& aItem, double aExpected, double aActual);
 
   // The request's caller left. Unknown tickets are ignored.
   void Remove(ticket aTicket, time_point aNow);
@@ -94,7 +94,7 @@
   duration PredictedWait(const work_item& aItem, time_point aNow) const;
 
   // The declared first-token target of a class; zero where it has none.
-  duration TargetOf(const class_name& aClass) const;
+  duration FirstTokenTarget(const class_name& aClass) const;
 
   // What other instances should know; one entry for each pool under load.
   std::vector<pool_pressure> Pressure(time_point aNow) const;
@@ -102,33 +102,34 @@
                       const pool_pressure& aPressure,
                       time_point aNow);
 
-  std::size_t size() const { return mWhere.size(); }
+  std::size_t size() const { return mLocations.size(); }
 
 private:
   struct location
   {
     pool_name mPool;
-    pool_queue::place mPlace;
+    pool_queue::queue_handle mHandle;
     time_point mLatestStart{};
   };
   using latest_starts = std::set<std::pair<time_point, ticket>>;
 
   pool_queue& PoolOf(const pool_name& aPool);
   double WeightOf(const team_name& aTeam) const;
-  void Add(const waiting_request& aRequest, const pool_queue::place& aPlace);
+  void Add(const waiting_request& aRequest,
+           const pool_queue::queue_handle& aHandle);
   // Forgets where a ticket waits; nothing where it doesn't.
-  std::optional<location> Take(ticket aTicket);
+  std::optional<location> Extract(ticket aTicket);
 
   request_queue_settings mSettings;
   std::mt19937_64 mRandom;
-  std::unordered_map<class_name, waiting_terms> mTerms;
+  std::unordered_map<class_name, class_objectives> mObjectives;
   // Only weights other than 1: most of 11,000 teams have none.
   std::unordered_map<team_name, double> mWeights;
   // Ordered, so that two runs visit pools in the same order.
   std::map<pool_name, pool_queue> mPools;
-  std::unordered_map<ticket, location> mWhere;
+  std::unordered_map<ticket, location> mLocations;
   latest_starts mLatestStarts;
-  peer_pressure mPeers;
+  peer_pressure mPeerPressure;
 };
 
 } // namespace thornhollow
--- a/thornhollow/policy/return_schedule.h
+++ b/thornhollow/policy/retry_schedule.h
@@ -16,8 +16,8 @@
 // queue takes; never later than 30 s, because capacity may be back by then and
 // a caller that waits for nothing is lost work, too. Beyond that the returns
 // spread over the upper half of the 30 s.
-#ifndef THORNHOLLOW_POLICY_RETURN_SCHEDULE_H_
-#define THORNHOLLOW_POLICY_RETURN_SCHEDULE_H_
+#ifndef THORNHOLLOW_POLICY_RETRY_SCHEDULE_H_
+#define THORNHOLLOW_POLICY_RETRY_SCHEDULE_H_
 
 #include <optional>
 #include <random>
@@ -26,39 +26,39 @@
 
 namespace thornhollow {
 
-struct return_schedule_settings
+struct retry_schedule_settings
 {
   // False: everybody is told `mLeast` times four, as a fixed delay.
   bool mSpread = true;
-  duration mLeast = Milliseconds(250);
-  duration mMost = Seconds(30);
+  duration mMinDelay = Milliseconds(250);
+  duration mMaxDelay = Seconds(30);
   // Part of the measured rate that is given to returning callers; the rest is
   // for those who come for the first time.
-  double mPartOfRate = 0.5;
+  double mRateFraction = 0.5;
 
-  friend bool operator==(const return_schedule_settings&,
-                         const return_schedule_settings&) = default;
+  friend bool operator==(const retry_schedule_settings&,
+                         const retry_schedule_settings&) = default;
 };
 
-class return_schedule
+class retry_schedule
 {
 public:
-  explicit return_schedule(const return_schedule_settings& aSettings);
+  explicit retry_schedule(const retry_schedule_settings& aSettings);
 
   // When a request of this cost should come back: `aBacklog` is the time until
   // the queue is short enough again, `aRate` the measured cost served a second.
-  duration ComeBackAfter(duration aBacklog,
+  duration ScheduleRetry(duration aBacklog,
                          double aCost,
                          std::optional<double> aRate,
                          std::mt19937_64& aRandom,
                          time_point aNow);
 
 private:
-  return_schedule_settings mSettings;
+  retry_schedule_settings mSettings;
   // Up to when returning callers are booked.
-  time_point mBooked{};
+  time_point mReservedUntil{};
 };
 
 } // namespace thornhollow
 
-#endif // THORNHOLLOW_POLICY_RETURN_SCHEDULE_H_
+#endif // THORNHOLLOW_POLICY_RETRY_SCHEDULE_H_
--- a/thornhollow/policy/scenario/catalog.cc
+++ b/thornhollow/policy/scenario/catalog.cc
@@ -293,16 +293,16 @@
     aOf.mRunTimes.mQuantile = 0;
   });
   without("standing", [](scheduler_settings& aOf) {
-    aOf.mQueue.mPool.mStanding.mEnabled = false;
+    aOf.mQueue.mPool.mStandingQueue.mEnabled = false;
   });
   without("spread", [](scheduler_settings& aOf) {
-    aOf.mQueue.mPool.mReturns.mSpread = false;
+    aOf.mQueue.mPool.mRetrySchedule.mSpread = false;
   });
   without("endpoint_queues", [](scheduler_settings& aOf) {
     aOf.mEndpointQueues.mEnabled = false;
   });
   scheduler_settings pressure;
-  pressure.mPressureAtEngines = true;
+  pressure.mApplyPressureToTieredPools = true;
   all.push_back({ "with_pressure", pressure });
   all.push_back({ "waiting_off", off });
   AddEndpointPolicies(all);
--- a/thornhollow/policy/scenario/comparison_test.cc
+++ b/thornhollow/policy/scenario/comparison_test.cc
@@ -65,7 +65,7 @@
 {
   const deployment site = GraniteRelay();
   scheduler_settings off;
-  off.mQueue.mPool.mStanding.mEnabled = false;
+  off.mQueue.mPool.mStandingQueue.mEnabled = false;
   CHECK(
     Attainment(RunAll(site, "burst_tier_1", scheduler_settings{}, kSeeds), 1) >
     Attainment(RunAll(site, "burst_tier_1", off, kSeeds), 1) + 0.04);
@@ -77,7 +77,7 @@
 {
   const deployment site = GraniteRelay();
   scheduler_settings off;
-  off.mQueue.mPool.mReturns.mSpread = false;
+  off.mQueue.mPool.mRetrySchedule.mSpread = false;
   CHECK(2 *
           Refusals(RunAll(site, "all_retrying", scheduler_settings{}, kSeeds)) <
         Refusals(RunAll(site, "all_retrying", off, kSeeds)));
--- a/thornhollow/policy/scheduler.cc
+++ b/thornhollow/policy/scheduler.cc
@@ -10,9 +10,9 @@
   : mSettings(aSettings)
   , mEndpoints(aSettings.mEndpoints, aSeed)
   , mQueue(aSettings.mQueue, aSeed)
-  , mRetries(aSettings.mRetries)
+  , mRetryBudget(aSettings.mRetryBudget)
   , mRunTimes(aSettings.mRunTimes)
-  , mClock(aSettings.mClockGap)
+  , mClockGap(aSettings.mClockGap)
 {
 }
 
@@ -22,14 +22,14 @@
                      time_point aNow)
 {
   decisions out;
-  Begin(aNow, out);
+  BeginEvent(aNow, out);
   mEndpoints.Configure(aDeclared, aOwnDomain, aNow);
   mQueue.Configure(aDeclared, aNow);
-  mRetries.Configure(aDeclared);
+  mRetryBudget.Configure(aDeclared);
   mRunTimes.Configure(aDeclared);
-  mTeams.Configure(aDeclared);
+  mTeamInFlight.Configure(aDeclared);
   RefuseUndeclared(aDeclared, aNow, out);
-  StartWhatFits(aNow, out);
+  StartWaiting(aNow, out);
   return out;
 }
 
@@ -47,9 +47,9 @@
     teams.insert(each.mName);
   }
   std::vector<refuse> refused;
-  for (const auto& [id, each] : mInProgress) {
+  for (const auto& [id, each] : mRequests) {
     const work_item& item = each.mItem;
-    if (each.mPlace || !mQueue.Holds(id)) {
+    if (each.mEndpoint || !mQueue.Contains(id)) {
       continue;
     }
     if (!item.mClass.empty() && !classes.contains(item.mClass)) {
@@ -79,20 +79,20 @@
 scheduler::Submit(const work_item& aItem, time_point aNow)
 {
   decisions out;
-  Begin(aNow, out);
+  BeginEvent(aNow, out);
   if (!mEndpoints.Serves(aItem.mPool)) {
     out.emplace_back(mQueue.Refuse(aItem, error_kind::kNoEndpoint, aNow));
     return out;
   }
-  if (!mTeams.Add(aItem.mTeam, aItem.mTier)) {
+  if (!mTeamInFlight.TryAdd(aItem.mTeam, aItem.mTier)) {
     out.emplace_back(mQueue.Refuse(aItem, error_kind::kTeamOverLimit, aNow));
     return out;
   }
-  mInProgress[aItem.mTicket].mItem = aItem;
+  mRequests[aItem.mTicket].mItem = aItem;
   for (const refuse& each : mQueue.Push(aItem, Estimate(aItem), aNow)) {
     Refuse(each, out);
   }
-  StartWhatFits(aItem.mPool, aNow, out);
+  StartWaiting(aItem.mPool, aNow, out);
   return out;
 }
 
@@ -100,9 +100,9 @@
 scheduler::Resubmit(ticket aTicket, time_point aNow)
 {
   decisions out;
-  Begin(aNow, out);
-  const auto found = mInProgress.find(aTicket);
-  if (found == mInProgress.end()) {
+  BeginEvent(aNow, out);
+  const auto found = mRequests.find(aTicket);
+  if (found == mRequests.end()) {
     return out;
   }
   const work_item item = found->second.mItem;
@@ -110,32 +110,33 @@
     Refuse(mQueue.Refuse(item, error_kind::kNoEndpoint, aNow), out);
     return out;
   }
-  if (!found->second.mTried.empty() &&
-      !mRetries.Spend(item.mClass, found->second.mTried.back(), aNow)) {
+  if (!found->second.mTriedEndpoints.empty() &&
+      !mRetryBudget.Spend(
+        item.mClass, found->second.mTriedEndpoints.back(), aNow)) {
     Refuse(mQueue.Refuse(item, error_kind::kRetryBudgetSpent, aNow), out);
     return out;
   }
-  for (const refuse& each : mQueue.PushAgain(item, Estimate(item), aNow)) {
+  for (const refuse& each : mQueue.Requeue(item, Estimate(item), aNow)) {
     Refuse(each, out);
   }
-  StartWhatFits(item.mPool, aNow, out);
+  StartWaiting(item.mPool, aNow, out);
   return out;
 }
 
 void
 scheduler::OnFirstToken(ticket aTicket, time_point aNow)
 {
-  const auto found = mInProgress.find(aTicket);
-  if (found == mInProgress.end() || !found->second.mPlace) {
+  const auto found = mRequests.find(aTicket);
+  if (found == mRequests.end() || !found->second.mEndpoint) {
     return;
   }
-  progress& started = found->second;
-  const duration wait = aNow - started.mStarted;
-  if (std::exchange(started.mBeyond, false)) {
-    WindowFor(started.mItem, started.mOwed)
-      ->OnFirstToken(wait, mQueue.TargetOf(started.mItem.mClass), aNow);
+  request_state& started = found->second;
+  const duration wait = aNow - started.mStartedAt;
+  if (std::exchange(started.mInEndpointQueue, false)) {
+    WindowFor(started.mItem, started.mUsesMinimumShare)
+      ->OnFirstToken(wait, mQueue.FirstTokenTarget(started.mItem.mClass), aNow);
   }
-  mEndpoints.OnFirstToken(*started.mPlace, started.mItem, wait, aNow);
+  mEndpoints.OnFirstToken(*started.mEndpoint, started.mItem, wait, aNow);
 }
 
 decisions
@@ -145,12 +146,11 @@
                           time_point aNow)
 {
   decisions out;
-  Begin(aNow, out);
-  if (const auto found = mInProgress.find(aTicket);
-      found != mInProgress.end()) {
-    ReleasePlace(found->second, aHow, aTokens, aNow);
+  BeginEvent(aNow, out);
+  if (const auto found = mRequests.find(aTicket); found != mRequests.end()) {
+    ReleaseSlot(found->second, aHow, aTokens, aNow);
   }
-  StartWhatFits(aNow, out);
+  StartWaiting(aNow, out);
   return out;
 }
 
@@ -159,14 +159,13 @@
 {
   decisions out;
   // First, so that what falls due now is no decision about this ticket.
-  if (const auto found = mInProgress.find(aTicket);
-      found != mInProgress.end()) {
-    ReleasePlace(found->second, attempt_end::kCancelled, 0, aNow);
+  if (const auto found = mRequests.find(aTicket); found != mRequests.end()) {
+    ReleaseSlot(found->second, attempt_end::kCancelled, 0, aNow);
     mQueue.Remove(aTicket, aNow);
-    Drop(found);
+    Erase(found);
   }
-  Begin(aNow, out);
-  StartWhatFits(aNow, out);
+  BeginEvent(aNow, out);
+  StartWaiting(aNow, out);
   return out;
 }
 
@@ -176,9 +175,9 @@
                         time_point aNow)
 {
   decisions out;
-  Begin(aNow, out);
+  BeginEvent(aNow, out);
   mEndpoints.OnLoadReport(aEndpoint, aReport, aNow);
-  StartWhatFits(aNow, out);
+  StartWaiting(aNow, out);
   return out;
 }
 
@@ -188,9 +187,9 @@
                            time_point aNow)
 {
   decisions out;
-  Begin(aNow, out);
+  BeginEvent(aNow, out);
   mEndpoints.SetState(aEndpoint, aState, aNow);
-  StartWhatFits(aNow, out);
+  StartWaiting(aNow, out);
   return out;
 }
 
@@ -206,12 +205,12 @@
                           time_point aNow)
 {
   decisions out;
-  Begin(aNow, out);
-  if (mSettings.mPressureAtEngines ||
+  BeginEvent(aNow, out);
+  if (mSettings.mApplyPressureToTieredPools ||
       !mEndpoints.HonoursTiers(aPressure.mPool)) {
     mQueue.OnPeerPressure(aFrom, aPressure, aNow);
   }
-  StartWhatFits(aPressure.mPool, aNow, out);
+  StartWaiting(aPressure.mPool, aNow, out);
   return out;
 }
 
@@ -238,8 +237,8 @@
 scheduler::Advance(time_point aNow)
 {
   decisions out;
-  Begin(aNow, out);
-  StartWhatFits(aNow, out);
+  BeginEvent(aNow, out);
+  StartWaiting(aNow, out);
   return out;
 }
 
@@ -266,10 +265,10 @@
 // of any more: the callers are gone and the work is wasted. So every event
 // first lets the deadlines pass, and tells the endpoint side of the gap.
 void
-scheduler::Begin(time_point aNow, decisions& aOut)
+scheduler::BeginEvent(time_point aNow, decisions& aOut)
 {
   mNow = aNow;
-  if (mTicking && mClock.Tick(aNow)) {
+  if (mTicking && mClockGap.Tick(aNow)) {
     mEndpoints.OnClockGap(aNow);
   }
   for (const refuse& each : mQueue.Expire(aNow)) {
@@ -279,31 +278,32 @@
 }
 
 void
-scheduler::StartWhatFits(time_point aNow, decisions& aOut)
+scheduler::StartWaiting(time_point aNow, decisions& aOut)
 {
   for (const pool_name& pool : mQueue.WaitingPools()) {
-    StartWhatFits(pool, aNow, aOut);
+    StartWaiting(pool, aNow, aOut);
   }
 }
 
 void
-scheduler::StartWhatFits(const pool_name& aPool,
-                         time_point aNow,
-                         decisions& aOut)
+scheduler::StartWaiting(const pool_name& aPool,
+                        time_point aNow,
+                        decisions& aOut)
 {
   // Classes whose next request finds no place while another class's may: long
   // work, which is bounded at each endpoint, and what may not wait there.
-  std::vector<class_name> passedOver;
+  std::vector<class_name> skippedClasses;
   for (;;) {
-    const next_request next = mQueue.Next(aPool, passedOver, aNow);
+    const next_request next = mQueue.Next(aPool, skippedClasses, aNow);
     if (next.mItem == nullptr) {
       return;
     }
-    progress& found = mInProgress.at(next.mItem->mTicket);
-    if (const auto chosen = Choose(found, next.mOwed, aNow)) {
-      Start(found, *chosen, next.mOwed, aNow, aOut);
-    } else if (next.mOwed || mEndpoints.IsLong(found.mItem)) {
-      passedOver.push_back(found.mItem.mClass);
+    request_state& found = mRequests.at(next.mItem->mTicket);
+    if (const auto chosen =
+          ChooseEndpoint(found, next.mUsesMinimumShare, aNow)) {
+      Start(found, *chosen, next.mUsesMinimumShare, aNow, aOut);
+    } else if (next.mUsesMinimumShare || mEndpoints.IsLong(found.mItem)) {
+      skippedClasses.push_back(found.mItem.mClass);
     } else {
       return;
     }
@@ -316,99 +316,105 @@
 }
 
 endpoint_queue_window*
-scheduler::WindowFor(const work_item& aItem, bool aOwed)
+scheduler::WindowFor(const work_item& aItem, bool aUsesMinimumShare)
 {
-  if (!aOwed && aItem.mTier > mSettings.mLowestBeyond) {
+  if (!aUsesMinimumShare && aItem.mTier > mSettings.mLowestEndpointQueueTier) {
     return nullptr;
   }
   pool_windows& pool =
     mWindows.try_emplace(aItem.mPool, mSettings.mEndpointQueues).first->second;
   const int tier = std::clamp(aItem.mTier, kHighestTier, kLowestTier);
-  return aOwed ? &pool.mWindows.back() : &pool.mWindows[tier - kHighestTier];
+  return aUsesMinimumShare ? &pool.mWindows.back()
+                           : &pool.mWindows[tier - kHighestTier];
 }
 
 std::optional<endpoint_name>
-scheduler::Choose(progress& aProgress, bool aOwed, time_point aNow)
+scheduler::ChooseEndpoint(request_state& aState,
+                          bool aUsesMinimumShare,
+                          time_point aNow)
 {
-  const work_item& item = aProgress.mItem;
-  aProgress.mBeyond = false;
-  if (auto free = mEndpoints.Choose(item, aProgress.mTried, aNow)) {
+  const work_item& item = aState.mItem;
+  aState.mInEndpointQueue = false;
+  if (auto free = mEndpoints.Choose(item, aState.mTriedEndpoints, aNow)) {
     return free;
   }
-  endpoint_queue_window* window = WindowFor(item, aOwed);
+  endpoint_queue_window* window = WindowFor(item, aUsesMinimumShare);
   if (window == nullptr || !window->HasRoom()) {
     return std::nullopt;
   }
-  auto queue = mEndpoints.ChooseBeyond(item,
-                                       aProgress.mTried,
-                                       aOwed ? mSettings.mMostOwedBeyond
-                                             : mSettings.mMostBeyond,
-                                       aNow);
-  aProgress.mBeyond = queue.has_value();
-  return queue;
+  auto queued = mEndpoints.ChooseBeyond(
+    item,
+    aState.mTriedEndpoints,
+    aUsesMinimumShare ? mSettings.mMaxMinimumSharePerEndpoint
+                      : mSettings.mMaxQueuedPerEndpoint,
+    aNow);
+  aState.mInEndpointQueue = queued.has_value();
+  return queued;
 }
 
 void
-scheduler::Start(progress& aProgress,
+scheduler::Start(request_state& aState,
                  const endpoint_name& aEndpoint,
-                 bool aOwed,
+                 bool aUsesMinimumShare,
                  time_point aNow,
                  decisions& aOut)
 {
-  aProgress.mCost = Estimate(aProgress.mItem).mCost;
-  mQueue.Start(aProgress.mItem.mTicket, aNow);
-  mEndpoints.OnSent(aEndpoint, aProgress.mItem, aNow);
-  aProgress.mPlace = aEndpoint;
-  aProgress.mOwed = aOwed;
-  if (aProgress.mBeyond) {
-    WindowFor(aProgress.mItem, aOwed)->OnSent();
+  aState.mChargedCost = Estimate(aState.mItem).mCost;
+  mQueue.Start(aState.mItem.mTicket, aNow);
+  mEndpoints.OnSent(aEndpoint, aState.mItem, aNow);
+  aState.mEndpoint = aEndpoint;
+  aState.mUsesMinimumShare = aUsesMinimumShare;
+  if (aState.mInEndpointQueue) {
+    WindowFor(aState.mItem, aUsesMinimumShare)->OnSent();
   }
-  aProgress.mStarted = aNow;
-  aProgress.mTried.push_back(aEndpoint);
-  aOut.emplace_back(start{ aProgress.mItem.mTicket, aEndpoint, aOwed });
+  aState.mStartedAt = aNow;
+  aState.mTriedEndpoints.push_back(aEndpoint);
+  aOut.emplace_back(
+    start{ aState.mItem.mTicket, aEndpoint, aUsesMinimumShare });
 }
 
 void
 scheduler::Refuse(const refuse& aRefusal, decisions& aOut)
 {
-  if (const auto found = mInProgress.find(aRefusal.mTicket);
-      found != mInProgress.end()) {
-    Drop(found);
+  if (const auto found = mRequests.find(aRefusal.mTicket);
+      found != mRequests.end()) {
+    Erase(found);
   }
   aOut.emplace_back(aRefusal);
 }
 
 void
-scheduler::Drop(in_progress::iterator aProgress)
+scheduler::Erase(request_states::iterator aState)
 {
-  mTeams.Remove(aProgress->second.mItem.mTeam, aProgress->second.mItem.mTier);
-  mInProgress.erase(aProgress);
+  mTeamInFlight.Remove(aState->second.mItem.mTeam, aState->second.mItem.mTier);
+  mRequests.erase(aState);
 }
 
 void
-scheduler::ReleasePlace(progress& aProgress,
-                        attempt_end aHow,
-                        std::uint32_t aTokens,
-                        time_point aNow)
+scheduler::ReleaseSlot(request_state& aState,
+                       attempt_end aHow,
+                       std::uint32_t aTokens,
+                       time_point aNow)
 {
-  if (!aProgress.mPlace) {
+  if (!aState.mEndpoint) {
     return;
   }
-  if (std::exchange(aProgress.mBeyond, false)) {
-    WindowFor(aProgress.mItem, aProgress.mOwed)->OnLost();
+  if (std::exchange(aState.mInEndpointQueue, false)) {
+    WindowFor(aState.mItem, aState.mUsesMinimumShare)->OnLost();
   }
-  const endpoint_name place = *std::exchange(aProgress.mPlace, std::nullopt);
-  const work_item& item = aProgress.mItem;
-  const duration length = aNow - aProgress.mStarted;
+  const endpoint_name endpoint = *std::exchange(aState.mEndpoint, std::nullopt);
+  const work_item& item = aState.mItem;
+  const duration length = aNow - aState.mStartedAt;
   if (aHow == attempt_end::kCompleted) {
-    mRetries.OnSuccess(item.mClass, place, aNow);
+    mRetryBudget.OnSuccess(item.mClass, endpoint, aNow);
     mRunTimes.Learn(item, length);
   }
   if (aTokens > 0) {
-    mQueue.Settle(
-      item, aProgress.mCost, aTokens + kPromptTokenCost * item.mPromptTokens);
+    mQueue.AdjustCost(item,
+                      aState.mChargedCost,
+                      aTokens + kPromptTokenCost * item.mPromptTokens);
   }
-  mEndpoints.OnEnded(place, item, aHow, aTokens, length, aNow);
+  mEndpoints.OnEnded(endpoint, item, aHow, aTokens, length, aNow);
 }
 
 } // namespace thornhollow
--- a/thornhollow/policy/scheduler.h
+++ b/thornhollow/policy/scheduler.h
@@ -40,22 +40,22 @@
 {
   endpoint_table_settings mEndpoints;
   request_queue_settings mQueue;
-  retry_budget_settings mRetries;
+  retry_budget_settings mRetryBudget;
   run_time_settings mRunTimes;
   clock_gap_settings mClockGap;
   endpoint_queue_settings mEndpointQueues;
   // Whether other instances' pressure counts also for pools whose endpoints
   // order their queues by tier: there it costs the middle tiers more than it
   // brings the highest (docs/design/decisions_under_load.md).
-  bool mPressureAtEngines = false;
+  bool mApplyPressureToTieredPools = false;
   // The lowest tier whose requests may wait in endpoints' own queues without
   // being owed their class's share.
-  int mLowestBeyond = 2;
+  int mLowestEndpointQueueTier = 2;
   // Requests of this instance that may wait in one endpoint's queue: as many as
   // an ordinary batch, so that its next batch is not wholly decided here.
-  std::uint32_t mMostBeyond = 8;
+  std::uint32_t mMaxQueuedPerEndpoint = 8;
   // The same of those that take their class's share: long work, mostly.
-  std::uint32_t mMostOwedBeyond = 1;
+  std::uint32_t mMaxMinimumSharePerEndpoint = 1;
 
   friend bool operator==(const scheduler_settings&,
                          const scheduler_settings&) = default;
@@ -132,21 +132,21 @@
   std::optional<time_point> NextDue() const;
 
   std::size_t Waiting() const { return mQueue.size(); }
-  std::size_t InProgress() const { return mInProgress.size(); }
+  std::size_t InProgress() const { return mRequests.size(); }
 
 private:
-  struct progress
+  struct request_state
   {
     work_item mItem;
-    std::vector<endpoint_name> mTried;
+    std::vector<endpoint_name> mTriedEndpoints;
     // Set while an attempt holds a place.
-    std::optional<endpoint_name> mPlace;
-    bool mOwed = false;
-    time_point mStarted{};
+    std::optional<endpoint_name> mEndpoint;
+    bool mUsesMinimumShare = false;
+    time_point mStartedAt{};
     // Charged when it started.
-    double mCost = 0;
+    double mChargedCost = 0;
     // It was sent to wait in the endpoint's own queue, and no token came yet.
-    bool mBeyond = false;
+    bool mInEndpointQueue = false;
   };
   struct pool_windows
   {
@@ -155,44 +155,45 @@
     // By tier, highest first; the last is for what takes its minimum share.
     std::vector<endpoint_queue_window> mWindows;
   };
-  using in_progress = std::unordered_map<ticket, progress>;
+  using request_states = std::unordered_map<ticket, request_state>;
 
-  endpoint_queue_window* WindowFor(const work_item& aItem, bool aOwed);
-  std::optional<endpoint_name> Choose(progress& aProgress,
-                                      bool aOwed,
-                                      time_point aNow);
+  endpoint_queue_window* WindowFor(const work_item& aItem,
+                                   bool aUsesMinimumShare);
+  std::optional<endpoint_name> ChooseEndpoint(request_state& aState,
+                                              bool aUsesMinimumShare,
+                                              time_point aNow);
   work_estimate Estimate(const work_item& aItem) const;
   // Every call starts here: notices a gap in the clock, and refuses what can't
   // finish any more before anything is started.
-  void Begin(time_point aNow, decisions& aOut);
-  void StartWhatFits(time_point aNow, decisions& aOut);
-  void StartWhatFits(const pool_name& aPool, time_point aNow, decisions& aOut);
-  void Start(progress& aProgress,
+  void BeginEvent(time_point aNow, decisions& aOut);
+  void StartWaiting(time_point aNow, decisions& aOut);
+  void StartWaiting(const pool_name& aPool, time_point aNow, decisions& aOut);
+  void Start(request_state& aState,
              const endpoint_name& aEndpoint,
-             bool aOwed,
+             bool aUsesMinimumShare,
              time_point aNow,
              decisions& aOut);
   void Refuse(const refuse& aRefusal, decisions& aOut);
   void RefuseUndeclared(const declarations& aDeclared,
                         time_point aNow,
                         decisions& aOut);
-  void Drop(in_progress::iterator aProgress);
-  void ReleasePlace(progress& aProgress,
-                    attempt_end aHow,
-                    std::uint32_t aTokens,
-                    time_point aNow);
+  void Erase(request_states::iterator aState);
+  void ReleaseSlot(request_state& aState,
+                   attempt_end aHow,
+                   std::uint32_t aTokens,
+                   time_point aNow);
 
   scheduler_settings mSettings;
   endpoint_table mEndpoints;
   request_queue mQueue;
-  retry_budget mRetries;
+  retry_budget mRetryBudget;
   run_time_estimate mRunTimes;
-  team_in_flight mTeams;
-  clock_gap mClock;
+  team_in_flight mTeamInFlight;
+  clock_gap mClockGap;
   // Whether the owner calls `Tick`.
   bool mTicking = false;
   time_point mNow{};
-  in_progress mInProgress;
+  request_states mRequests;
   std::unordered_map<pool_name, pool_windows> mWindows;
 };
 
--- a/thornhollow/policy/scheduler_benchmark.cc
+++ b/thornhollow/policy/scheduler_benchmark.cc
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr int kEndpoints = 77;
-constexpr std::size_t kMostWaiting = 20000;
+constexpr std::size_t kMaxWaiting = 20000;
 
 // A scheduler with every place taken and some requests waiting.
 class loaded_scheduler
@@ -46,7 +46,7 @@
           { pool_name("m") },
           8 });
     }
-    Take(mScheduler.Configure(declared, domain_name("d0"), mNow));
+    Apply(mScheduler.Configure(declared, domain_name("d0"), mNow));
     while (mScheduler.Waiting() < static_cast<std::size_t>(aWaiting)) {
       Submit();
     }
@@ -65,7 +65,7 @@
     item.mArrival = mNow;
     item.mDeadline = mNow + Seconds(100000);
     item.mIdempotent = true;
-    Take(mScheduler.Submit(item, mNow));
+    Apply(mScheduler.Submit(item, mNow));
   }
 
   // The oldest running request ends, and its place goes to a waiting one.
@@ -75,8 +75,8 @@
     mRunning.pop_front();
     mNow += Milliseconds(1);
     mScheduler.OnFirstToken(ended, mNow);
-    Take(mScheduler.OnAttemptEnded(ended, attempt_end::kCompleted, 100, mNow));
-    Take(mScheduler.Forget(ended, mNow));
+    Apply(mScheduler.OnAttemptEnded(ended, attempt_end::kCompleted, 100, mNow));
+    Apply(mScheduler.Forget(ended, mNow));
   }
 
   std::size_t Waiting() const { return mScheduler.Waiting(); }
@@ -85,14 +85,14 @@
   static scheduler_settings Settings()
   {
     scheduler_settings settings;
-    settings.mQueue.mPool.mMaxWaiting = kMostWaiting;
+    settings.mQueue.mPool.mMaxWaiting = kMaxWaiting;
     // Nothing may be refused, or the number that waits would change.
     settings.mQueue.mPool.mDeadlineCheck = false;
-    settings.mQueue.mPool.mStanding.mEnabled = false;
+    settings.mQueue.mPool.mStandingQueue.mEnabled = false;
     return settings;
   }
 
-  void Take(const decisions& aDecisions)
+  void Apply(const decisions& aDecisions)
   {
     for (const decision& each : aDecisions) {
       if (const auto* started = std::get_if<start>(&each)) {
--- a/thornhollow/policy/scheduler_search_test.cc
+++ b/thornhollow/policy/scheduler_search_test.cc
@@ -28,10 +28,10 @@
 constexpr int kEvents = 150;
 constexpr int kEndpoints = 4;
 constexpr std::uint32_t kSlots = 2;
-constexpr std::size_t kMostWaiting = 6;
+constexpr std::size_t kMaxWaiting = 6;
 constexpr duration kDeadline = Seconds(20);
 // By then an idle scheduler must have come back to every endpoint.
-constexpr duration kSettle = Seconds(120);
+constexpr duration kSettleTime = Seconds(120);
 
 enum class search_kind : std::uint8_t
 {
@@ -59,8 +59,8 @@
 EventsOf(std::uint64_t aSeed)
 {
   std::mt19937_64 random(aSeed);
-  const auto upTo = [&random](std::uint32_t aMost) {
-    return std::uniform_int_distribution<std::uint32_t>(0, aMost)(random);
+  const auto upTo = [&random](std::uint32_t aMax) {
+    return std::uniform_int_distribution<std::uint32_t>(0, aMax)(random);
   };
   // Submissions and ends make up most of it.
   constexpr std::array kKinds{
@@ -147,25 +147,26 @@
     Configure(kEndpoints);
     while (const auto found = Pick(true, 0)) {
       mStates.at(*found).mEndpoint.reset();
-      Take(mScheduler.OnAttemptEnded(*found, attempt_end::kCompleted, 9, mNow));
+      Apply(
+        mScheduler.OnAttemptEnded(*found, attempt_end::kCompleted, 9, mNow));
       Drop(*found);
     }
     while (const auto found = Pick(false, 0)) {
       Drop(*found);
     }
     if (mScheduler.InProgress() != 0 || mScheduler.Waiting() != 0) {
-      Broken("something is left after all ended");
+      ReportFault("something is left after all ended");
     }
     for (std::uint32_t each = 0; each < kEndpoints; ++each) {
       SetState(EndpointOf(each), endpoint_state::kGone);
       SetState(EndpointOf(each), endpoint_state::kLive);
     }
-    const time_point end = mNow + kSettle;
+    const time_point end = mNow + kSettleTime;
     while (mNow < end) {
       mNow += Milliseconds(500);
       ServeOne();
     }
-    CheckAllPlaces();
+    CheckAllSlots();
   }
 
   const std::string& Fault() const { return mFault; }
@@ -181,11 +182,11 @@
   static scheduler_settings Settings()
   {
     scheduler_settings settings;
-    settings.mQueue.mPool.mMaxWaiting = kMostWaiting;
+    settings.mQueue.mPool.mMaxWaiting = kMaxWaiting;
     return settings;
   }
 
-  void Broken(const std::string& aWhat)
+  void ReportFault(const std::string& aWhat)
   {
     if (mFault.empty()) {
       mFault = aWhat;
@@ -204,7 +205,7 @@
                                       kSlots });
     }
     mDeclared = static_cast<std::uint32_t>(aEndpoints);
-    Take(mScheduler.Configure(declared, domain_name("d0"), mNow));
+    Apply(mScheduler.Configure(declared, domain_name("d0"), mNow));
   }
 
   work_item NextItem(int aTier, bool aIdempotent)
@@ -225,7 +226,7 @@
     const work_item item = NextItem(1 + static_cast<int>(aEvent.mFirst % 4),
                                     aEvent.mSecond % 2 == 0);
     mStates[item.mTicket].mItem = item;
-    Take(mScheduler.Submit(item, mNow));
+    Apply(mScheduler.Submit(item, mNow));
   }
 
   void End(const search_event& aEvent)
@@ -237,18 +238,18 @@
     const auto how = static_cast<attempt_end>(aEvent.mSecond % 6);
     ticket_state& state = mStates.at(*found);
     if (how == attempt_end::kDeclinedLeaving) {
-      mSaidLeaving[*state.mEndpoint] = mNow;
+      mReportedLeaving[*state.mEndpoint] = mNow;
     }
     const bool isOver = state.mItem.mDeadline <= mNow;
     state.mEndpoint.reset();
-    Take(mScheduler.OnAttemptEnded(*found, how, 9, mNow));
+    Apply(mScheduler.OnAttemptEnded(*found, how, 9, mNow));
     // The owner runs nothing again after its deadline.
     if (how == attempt_end::kCompleted || how == attempt_end::kCancelled ||
         isOver || aEvent.mSecond % 5 == 0) {
       Drop(*found);
       return;
     }
-    Take(mScheduler.Resubmit(*found, mNow));
+    Apply(mScheduler.Resubmit(*found, mNow));
   }
 
   void Forget(const search_event& aEvent)
@@ -261,7 +262,7 @@
   void Drop(ticket aTicket)
   {
     mStates.erase(aTicket);
-    Take(mScheduler.Forget(aTicket, mNow));
+    Apply(mScheduler.Forget(aTicket, mNow));
   }
 
   void Report(const search_event& aEvent)
@@ -274,30 +275,31 @@
     report.mLeaving = aEvent.mSecond % 17 == 0;
     report.mTakenAt = mNow - Milliseconds(aEvent.mFirst);
     if (report.mLeaving) {
-      mSaidLeaving[endpoint] = mNow;
-    } else if (const auto said = mSaidLeaving.find(endpoint);
-               said != mSaidLeaving.end() && report.mTakenAt > said->second) {
-      mSaidLeaving.erase(said);
+      mReportedLeaving[endpoint] = mNow;
+    } else if (const auto reported = mReportedLeaving.find(endpoint);
+               reported != mReportedLeaving.end() &&
+               report.mTakenAt > reported->second) {
+      mReportedLeaving.erase(reported);
     }
-    Take(mScheduler.OnLoadReport(endpoint, report, mNow));
+    Apply(mScheduler.OnLoadReport(endpoint, report, mNow));
   }
 
   void SetState(const endpoint_name& aEndpoint, endpoint_state aState)
   {
     if (mListed[aEndpoint] == endpoint_state::kGone &&
         aState == endpoint_state::kLive) {
-      mSaidLeaving.erase(aEndpoint);
+      mReportedLeaving.erase(aEndpoint);
     }
     mListed[aEndpoint] = aState;
-    Take(mScheduler.OnEndpointState(aEndpoint, aState, mNow));
+    Apply(mScheduler.OnEndpointState(aEndpoint, aState, mNow));
   }
 
   void Advance()
   {
-    Take(mScheduler.Advance(mNow));
+    Apply(mScheduler.Advance(mNow));
     // What was due is done: the next time lies ahead.
     if (const auto due = mScheduler.NextDue(); due && *due <= mNow) {
-      Broken("NextDue makes no progress");
+      ReportFault("NextDue makes no progress");
     }
   }
 
@@ -314,7 +316,7 @@
                        : std::optional(fit[aNumber % fit.size()]);
   }
 
-  void Take(const decisions& aDecisions)
+  void Apply(const decisions& aDecisions)
   {
     for (const decision& each : aDecisions) {
       if (const auto* started = std::get_if<start>(&each)) {
@@ -329,17 +331,17 @@
   {
     const auto found = mStates.find(aStart.mTicket);
     if (found == mStates.end()) {
-      Broken("a ticket that ended was started");
+      ReportFault("a ticket that ended was started");
       return;
     }
     if (found->second.mEndpoint) {
-      Broken("a ticket got two places");
+      ReportFault("a ticket got two places");
     }
     if (!MayTakeWork(aStart.mEndpoint)) {
-      Broken("a leaving endpoint got a start");
+      ReportFault("a leaving endpoint got a start");
     }
     if (found->second.mItem.mDeadline <= mNow) {
-      Broken("a ticket was started after its deadline");
+      ReportFault("a ticket was started after its deadline");
     }
     found->second.mEndpoint = aStart.mEndpoint;
   }
@@ -348,11 +350,11 @@
   {
     const auto found = mStates.find(aRefuse.mTicket);
     if (found == mStates.end()) {
-      Broken("a ticket got a second final decision");
+      ReportFault("a ticket got a second final decision");
       return;
     }
     if (found->second.mEndpoint) {
-      Broken("a ticket that runs was refused");
+      ReportFault("a ticket that runs was refused");
     }
     const int tier = found->second.mItem.mTier;
     mStates.erase(found);
@@ -361,7 +363,8 @@
     // Every other ticket without a place waits in the same pool.
     for (const auto& [id, state] : mStates) {
       if (forRoom && !state.mEndpoint && state.mItem.mTier > tier) {
-        Broken("a lower tier waits while a higher one was refused for room");
+        ReportFault(
+          "a lower tier waits while a higher one was refused for room");
       }
     }
   }
@@ -372,17 +375,18 @@
     if (listed != mListed.end() && listed->second != endpoint_state::kLive) {
       return false;
     }
-    const auto said = mSaidLeaving.find(aEndpoint);
-    return said == mSaidLeaving.end() ||
-           mNow - said->second >=
+    const auto reported = mReportedLeaving.find(aEndpoint);
+    return reported == mReportedLeaving.end() ||
+           mNow - reported->second >=
              internal::endpoint_record_settings{}.mOwnWordLife;
   }
 
   void CheckCounts()
   {
     if (mScheduler.InProgress() != mStates.size()) {
-      Broken("the scheduler knows " + std::to_string(mScheduler.InProgress()) +
-             " tickets, its owner " + std::to_string(mStates.size()));
+      ReportFault("the scheduler knows " +
+                  std::to_string(mScheduler.InProgress()) +
+                  " tickets, its owner " + std::to_string(mStates.size()));
     }
   }
 
@@ -391,11 +395,12 @@
   {
     const work_item item = NextItem(2, true);
     mStates[item.mTicket].mItem = item;
-    Take(mScheduler.Submit(item, mNow));
+    Apply(mScheduler.Submit(item, mNow));
     while (const auto found = Pick(true, 0)) {
       mScheduler.OnFirstToken(*found, mNow);
       mStates.at(*found).mEndpoint.reset();
-      Take(mScheduler.OnAttemptEnded(*found, attempt_end::kCompleted, 9, mNow));
+      Apply(
+        mScheduler.OnAttemptEnded(*found, attempt_end::kCompleted, 9, mNow));
       Drop(*found);
     }
     while (const auto found = Pick(false, 0)) {
@@ -403,20 +408,21 @@
     }
   }
 
-  void CheckAllPlaces()
+  void CheckAllSlots()
   {
     std::uint32_t running = 0;
     for (std::uint32_t i = 0; i < kSlots * kEndpoints; ++i) {
       const work_item item = NextItem(kLowestTier, true);
       mStates[item.mTicket].mItem = item;
-      Take(mScheduler.Submit(item, mNow));
+      Apply(mScheduler.Submit(item, mNow));
     }
     for (const auto& [id, state] : mStates) {
       running += state.mEndpoint ? 1 : 0;
     }
     // An endpoint that left as an outlier may still have part of its share.
     if (running < kEndpoints) {
-      Broken("only " + std::to_string(running) + " places after all ended");
+      ReportFault("only " + std::to_string(running) +
+                  " places after all ended");
     }
   }
 
@@ -426,7 +432,7 @@
   scheduler mScheduler;
   std::map<ticket, ticket_state> mStates;
   std::unordered_map<endpoint_name, endpoint_state> mListed;
-  std::unordered_map<endpoint_name, time_point> mSaidLeaving;
+  std::unordered_map<endpoint_name, time_point> mReportedLeaving;
   std::string mFault;
 };
 
@@ -448,12 +454,12 @@
 
   static std::string Describe(std::uint64_t aSeed)
   {
-    const auto fewest = Shorten(EventsOf(aSeed), [aSeed](const auto& aSome) {
-      return !Run(aSome, aSeed).empty();
+    const auto minimal = Shorten(EventsOf(aSeed), [aSeed](const auto& aEvents) {
+      return !Run(aEvents, aSeed).empty();
     });
     std::string out =
-      "seed " + std::to_string(aSeed) + ": " + Run(fewest, aSeed);
-    for (const search_event& each : fewest) {
+      "seed " + std::to_string(aSeed) + ": " + Run(minimal, aSeed);
+    for (const search_event& each : minimal) {
       out += " [+" + std::to_string(ToMilliseconds(each.mAfter)) + "ms kind " +
              std::to_string(static_cast<int>(each.mKind)) + " " +
              std::to_string(each.mFirst) + " " + std::to_string(each.mSecond) +
--- a/thornhollow/policy/standing_queue.cc
+++ b/thornhollow/policy/standing_queue.cc
@@ -7,14 +7,14 @@
 standing_queue::standing_queue(const standing_queue_settings& aSettings,
                                duration aTarget)
   : mSettings(aSettings)
-  , mTarget(FromSeconds(ToSeconds(aTarget) * aSettings.mPartOfTarget))
+  , mWaitTarget(FromSeconds(ToSeconds(aTarget) * aSettings.mTargetFraction))
 {
 }
 
 void
 standing_queue::OnStarted(duration aWait, time_point aNow)
 {
-  if (aWait <= mTarget) {
+  if (aWait <= mWaitTarget) {
     mAboveSince.reset();
   } else if (!mAboveSince) {
     mAboveSince = aNow;
@@ -22,16 +22,17 @@
 }
 
 bool
-standing_queue::Stands(time_point aNow) const
+standing_queue::IsStanding(time_point aNow) const
 {
-  return mSettings.mEnabled && mTarget > duration::zero() && mAboveSince &&
+  return mSettings.mEnabled && mWaitTarget > duration::zero() && mAboveSince &&
          aNow - *mAboveSince >= mSettings.mWindow;
 }
 
 duration
-standing_queue::Bound(duration aUntilDeadline, time_point aNow) const
+standing_queue::MaxWait(duration aUntilDeadline, time_point aNow) const
 {
-  return Stands(aNow) ? std::min(aUntilDeadline, mTarget) : aUntilDeadline;
+  return IsStanding(aNow) ? std::min(aUntilDeadline, mWaitTarget)
+                          : aUntilDeadline;
 }
 
 } // namespace thornhollow
--- a/thornhollow/policy/standing_queue.h
+++ b/thornhollow/policy/standing_queue.h
@@ -33,7 +33,7 @@
   duration mWindow = Milliseconds(500);
   // The part of the first token's target that may pass in the queue; the rest
   // is for the endpoint.
-  double mPartOfTarget = 0.3;
+  double mTargetFraction = 0.3;
 
   friend bool operator==(const standing_queue_settings&,
                          const standing_queue_settings&) = default;
@@ -49,14 +49,14 @@
   // Nothing waits any more.
   void OnEmpty() { mAboveSince.reset(); }
 
-  bool Stands(time_point aNow) const;
+  bool IsStanding(time_point aNow) const;
 
   // The longest predicted wait with which a request is taken.
-  duration Bound(duration aUntilDeadline, time_point aNow) const;
+  duration MaxWait(duration aUntilDeadline, time_point aNow) const;
 
 private:
   standing_queue_settings mSettings;
-  duration mTarget;
+  duration mWaitTarget;
   std::optional<time_point> mAboveSince;
 };
 
--- a/thornhollow/policy/team_in_flight.cc
+++ b/thornhollow/policy/team_in_flight.cc
@@ -7,8 +7,8 @@
 void
 team_in_flight::Configure(const declarations& aDeclared)
 {
-  for (auto& [name, known] : mTeams) {
-    known.mLimit = 0;
+  for (auto& [name, limits] : mTeams) {
+    limits.mLimit = 0;
   }
   for (const team& each : aDeclared.mTeams) {
     if (each.mMaxInFlight > 0) {
@@ -20,13 +20,13 @@
 }
 
 bool
-team_in_flight::Add(const team_name& aTeam, int aTier)
+team_in_flight::TryAdd(const team_name& aTeam, int aTier)
 {
-  entry& known = mTeams[aTeam];
-  if (known.mLimit > 0 && known.HeldUpTo(aTier) >= known.mLimit) {
+  entry& limits = mTeams[aTeam];
+  if (limits.mLimit > 0 && limits.InFlightUpTo(aTier) >= limits.mLimit) {
     return false;
   }
-  ++known.mHeld[aTier - kHighestTier];
+  ++limits.mInFlight[aTier - kHighestTier];
   return true;
 }
 
@@ -37,8 +37,8 @@
   if (found == mTeams.end()) {
     return;
   }
-  std::uint32_t& held = found->second.mHeld[aTier - kHighestTier];
-  held -= held > 0 ? 1 : 0;
+  std::uint32_t& inFlight = found->second.mInFlight[aTier - kHighestTier];
+  inFlight -= inFlight > 0 ? 1 : 0;
   if (found->second.IsUnused()) {
     mTeams.erase(found);
   }
@@ -47,14 +47,14 @@
 bool
 team_in_flight::entry::IsUnused() const
 {
-  return mLimit == 0 && HeldUpTo(kLowestTier) == 0;
+  return mLimit == 0 && InFlightUpTo(kLowestTier) == 0;
 }
 
 std::uint32_t
-team_in_flight::entry::HeldUpTo(int aTier) const
+team_in_flight::entry::InFlightUpTo(int aTier) const
 {
-  const auto end = mHeld.begin() + (aTier - kHighestTier + 1);
-  return std::accumulate(mHeld.begin(), end, std::uint32_t{ 0 });
+  const auto end = mInFlight.begin() + (aTier - kHighestTier + 1);
+  return std::accumulate(mInFlight.begin(), end, std::uint32_t{ 0 });
 }
 
 } // namespace thornhollow
--- a/thornhollow/policy/team_in_flight.h
+++ b/thornhollow/policy/team_in_flight.h
@@ -35,7 +35,7 @@
 
   // Counts one more request of the team; false, and nothing counted, where the
   // team holds as many of this tier and higher ones as it may.
-  bool Add(const team_name& aTeam, int aTier);
+  bool TryAdd(const team_name& aTeam, int aTier);
 
   // One request of the team got its final answer.
   void Remove(const team_name& aTeam, int aTier);
@@ -49,10 +49,10 @@
     // 0: none.
     std::uint32_t mLimit = 0;
     // By tier, the highest first.
-    std::array<std::uint32_t, kLowestTier - kHighestTier + 1> mHeld{};
+    std::array<std::uint32_t, kLowestTier - kHighestTier + 1> mInFlight{};
 
     bool IsUnused() const;
-    std::uint32_t HeldUpTo(int aTier) const;
+    std::uint32_t InFlightUpTo(int aTier) const;
   };
 
   std::unordered_map<team_name, entry> mTeams;
--- a/thornhollow/policy/waiting_modules_test.cc
+++ b/thornhollow/policy/waiting_modules_test.cc
@@ -5,7 +5,7 @@
 #include <doctest/doctest.h>
 
 #include "thornhollow/policy/endpoint_queue_window.h"
-#include "thornhollow/policy/return_schedule.h"
+#include "thornhollow/policy/retry_schedule.h"
 #include "thornhollow/policy/run_time_estimate.h"
 #include "thornhollow/policy/service_rate.h"
 #include "thornhollow/policy/standing_queue.h"
@@ -50,12 +50,12 @@
 // served. Told the same delay they would all come back within one second.
 TEST_CASE("return_schedule/many_refused_at_once/come_back_spread")
 {
-  return_schedule returns{ return_schedule_settings{} };
+  retry_schedule schedule{ retry_schedule_settings{} };
   std::mt19937_64 random(7);
   std::vector<int> bySecond(40);
   for (int i = 0; i < 500; ++i) {
     const duration after =
-      returns.ComeBackAfter(Seconds(2), 100, 2000, random, kStart);
+      schedule.ScheduleRetry(Seconds(2), 100, 2000, random, kStart);
     CHECK(after >= Milliseconds(250));
     CHECK(after <= Seconds(30));
     ++bySecond[static_cast<std::size_t>(ToSeconds(after))];
@@ -68,12 +68,12 @@
   standing_queue queue(standing_queue_settings{}, Seconds(1));
   const duration deadline = Seconds(30);
   queue.OnStarted(Seconds(2), kStart);
-  CHECK(queue.Bound(deadline, kStart) == deadline);
+  CHECK(queue.MaxWait(deadline, kStart) == deadline);
   const time_point later = kStart + Seconds(1);
   queue.OnStarted(Seconds(2), later);
-  CHECK(queue.Bound(deadline, later) < Seconds(1));
+  CHECK(queue.MaxWait(deadline, later) < Seconds(1));
   queue.OnStarted(Milliseconds(100), later);
-  CHECK(queue.Bound(deadline, later) == deadline);
+  CHECK(queue.MaxWait(deadline, later) == deadline);
 }
 
 TEST_CASE("endpoint_queue_window/late_answers/window_falls_once_a_bound")
@@ -103,15 +103,15 @@
   // driver's note, of a higher tier, must not be refused for them.
   declarations declared;
   declared.mTeams = { { team_name("a"), {}, {}, 1, 2 } };
-  team_in_flight held;
-  held.Configure(declared);
-  CHECK(held.Add(team_name("a"), 4));
-  CHECK(held.Add(team_name("a"), 4));
-  CHECK_FALSE(held.Add(team_name("a"), 4));
-  CHECK(held.Add(team_name("a"), 1));
-  CHECK(held.Add(team_name("a"), 1));
-  CHECK_FALSE(held.Add(team_name("a"), 1));
-  CHECK_FALSE(held.Add(team_name("a"), 2));
+  team_in_flight inFlight;
+  inFlight.Configure(declared);
+  CHECK(inFlight.TryAdd(team_name("a"), 4));
+  CHECK(inFlight.TryAdd(team_name("a"), 4));
+  CHECK_FALSE(inFlight.TryAdd(team_name("a"), 4));
+  CHECK(inFlight.TryAdd(team_name("a"), 1));
+  CHECK(inFlight.TryAdd(team_name("a"), 1));
+  CHECK_FALSE(inFlight.TryAdd(team_name("a"), 1));
+  CHECK_FALSE(inFlight.TryAdd(team_name("a"), 2));
 }
 
 TEST_CASE("team_in_flight/limit_reached/refuses_until_one_ends")
@@ -119,32 +119,32 @@
   declarations declared;
   declared.mTeams = { { team_name("a"), {}, {}, 1, 2 },
                       { team_name("b"), {}, {}, 1, 0 } };
-  team_in_flight held;
-  held.Configure(declared);
-  CHECK(held.Add(team_name("a"), kTier));
-  CHECK(held.Add(team_name("a"), kTier));
-  CHECK(!held.Add(team_name("a"), kTier));
+  team_in_flight inFlight;
+  inFlight.Configure(declared);
+  CHECK(inFlight.TryAdd(team_name("a"), kTier));
+  CHECK(inFlight.TryAdd(team_name("a"), kTier));
+  CHECK(!inFlight.TryAdd(team_name("a"), kTier));
   for (int i = 0; i < 100; ++i) {
-    CHECK(held.Add(team_name("b"), kTier));
+    CHECK(inFlight.TryAdd(team_name("b"), kTier));
   }
-  held.Remove(team_name("a"), kTier);
-  CHECK(held.Add(team_name("a"), kTier));
+  inFlight.Remove(team_name("a"), kTier);
+  CHECK(inFlight.TryAdd(team_name("a"), kTier));
 }
 
 TEST_CASE("team_in_flight/limit_lowered/what_is_held_stays_counted")
 {
   declarations declared;
   declared.mTeams = { { team_name("a"), {}, {}, 1, 3 } };
-  team_in_flight held;
-  held.Configure(declared);
-  held.Add(team_name("a"), kTier);
-  held.Add(team_name("a"), kTier);
+  team_in_flight inFlight;
+  inFlight.Configure(declared);
+  inFlight.TryAdd(team_name("a"), kTier);
+  inFlight.TryAdd(team_name("a"), kTier);
   declared.mTeams[0].mMaxInFlight = 1;
-  held.Configure(declared);
-  held.Remove(team_name("a"), kTier);
-  CHECK(!held.Add(team_name("a"), kTier));
-  held.Remove(team_name("a"), kTier);
-  CHECK(held.Add(team_name("a"), kTier));
+  inFlight.Configure(declared);
+  inFlight.Remove(team_name("a"), kTier);
+  CHECK(!inFlight.TryAdd(team_name("a"), kTier));
+  inFlight.Remove(team_name("a"), kTier);
+  CHECK(inFlight.TryAdd(team_name("a"), kTier));
 }
 
 TEST_CASE("run_time_estimate/few_runs/says_nothing")
--- a/thornhollow/policy/waiting_request.h
+++ b/thornhollow/policy/waiting_request.h
@@ -19,7 +19,7 @@
   // Expected output tokens and `kPromptTokenCost` for each prompt token.
   double mCost = 1;
   // A run shorter than this is unlikely; zero where nothing is known.
-  duration mShortestRun{};
+  duration mMinRunTime{};
 
   friend bool operator==(const work_estimate&, const work_estimate&) = default;
 };
@@ -31,10 +31,7 @@
   time_point mQueuedAt{};
 
   // When it must have started, or it can't finish before its deadline.
-  time_point LatestStart() const
-  {
-    return mItem.mDeadline - mWork.mShortestRun;
-  }
+  time_point LatestStart() const { return mItem.mDeadline - mWork.mMinRunTime; }
 
   friend bool operator==(const waiting_request&,
                          const waiting_request&) = default;
