--- a/thornhollow/policy/relay_admission.cc
+++ b/thornhollow/policy/relay_admission.cc
@@ -71,7 +71,7 @@
   }
   const duration backlog =
     std::max(wait - FromSeconds(maxWait), duration::zero());
-  const duration after = mRetrySchedule.ComeBackAfter(
+  const duration after = mRetrySchedule.ScheduleRetry(
     backlog, aRequest.mTokens, PrefillTokensPerSecond(aNow), aRandom, aNow);
   return admission_refusal{
     meetsDeadline ? error_kind::kQueueFull : error_kind::kDeadlineUnmeetable,
--- a/thornhollow/policy/relay_admission.h
+++ b/thornhollow/policy/relay_admission.h
@@ -55,7 +55,7 @@
 #include "thornhollow/base/ids.h"
 #include "thornhollow/base/time.h"
 #include "thornhollow/policy/decaying_rate.h"
-#include "thornhollow/policy/return_schedule.h"
+#include "thornhollow/policy/retry_schedule.h"
 #include "thornhollow/policy/tier_waits.h"
 
 namespace thornhollow {
@@ -85,8 +85,8 @@
   double mAboveShareThreshold = 2;
   // From the prefill time of a few prompts to a third of the 15 s for which
   // callers wait.
-  return_schedule_settings mRetrySchedule = { .mLeast = Milliseconds(500),
-                                              .mMost = Seconds(5) };
+  retry_schedule_settings mRetrySchedule = { .mMinDelay = Milliseconds(500),
+                                             .mMaxDelay = Seconds(5) };
 
   friend bool operator==(const relay_admission_settings&,
                          const relay_admission_settings&) = default;
@@ -190,7 +190,7 @@
   decaying_rate mRequests;
   std::map<team_name, decaying_rate> mRequestsByTeam;
   time_point mNextEviction{};
-  return_schedule mRetrySchedule;
+  retry_schedule mRetrySchedule;
 };
 
 } // namespace thornhollow
