--- a/thornhollow/policy/endpoint_load.cc
+++ b/thornhollow/policy/endpoint_load.cc
@@ -34,13 +34,14 @@
     return;
   }
   const double total = static_cast<double>(aReport.mRunning) + aReport.mWaiting;
-  const double seen = std::max(0.0, total - InFlightAt(taken));
+  const double observed = std::max(0.0, total - InFlightAt(taken));
   if (!mReportTaken) {
-    mOthersInFlight = seen;
+    mOthersInFlight = observed;
   } else {
-    const double passed = ToSeconds(taken - *mReportTaken);
-    const double kept = std::exp(-passed / ToSeconds(mSettings.mSmoothingTime));
-    mOthersInFlight = seen + (mOthersInFlight - seen) * kept;
+    const double elapsed = ToSeconds(taken - *mReportTaken);
+    const double decay =
+      std::exp(-elapsed / ToSeconds(mSettings.mSmoothingTime));
+    mOthersInFlight = observed + (mOthersInFlight - observed) * decay;
   }
   mReportTaken = taken;
 }
@@ -62,10 +63,10 @@
   if (age >= mSettings.mZeroWeightAge) {
     return 0;
   }
-  const double faded =
+  const double fadedFraction =
     ToSeconds(age - mSettings.mFullWeightAge) /
     ToSeconds(mSettings.mZeroWeightAge - mSettings.mFullWeightAge);
-  return mOthersInFlight * (1 - std::max(0.0, faded));
+  return mOthersInFlight * (1 - std::max(0.0, fadedFraction));
 }
 
 void
--- a/thornhollow/policy/endpoint_subset_test.cc
+++ b/thornhollow/policy/endpoint_subset_test.cc
@@ -47,10 +47,10 @@
 {
   std::vector<int> covered(mPool.size());
   for (int router = 0; router < 38; ++router) {
-    const auto mine = Of(router);
-    CHECK(mine.size() >= endpoint_subset_settings{}.mMinPerPool);
-    CHECK(mine.size() <= endpoint_subset_settings{}.mMaxPerPool);
-    for (const std::size_t each : mine) {
+    const auto subset = Of(router);
+    CHECK(subset.size() >= endpoint_subset_settings{}.mMinPerPool);
+    CHECK(subset.size() <= endpoint_subset_settings{}.mMaxPerPool);
+    for (const std::size_t each : subset) {
       CHECK(mPool[each].mDomain == domain_name("d0"));
       ++covered[each];
     }
@@ -65,9 +65,9 @@
                   "endpoint_subset/own_domain_small/others_fill_up")
 {
   mPool.resize(35);
-  const auto mine = Of(0);
-  CHECK(mine.size() == endpoint_subset_settings{}.mMaxPerPool);
-  CHECK(std::ranges::count_if(mine, [this](std::size_t aEach) {
+  const auto subset = Of(0);
+  CHECK(subset.size() == endpoint_subset_settings{}.mMaxPerPool);
+  CHECK(std::ranges::count_if(subset, [this](std::size_t aEach) {
           return mPool[aEach].mDomain == domain_name("d0");
         }) == 4);
 }
--- a/thornhollow/policy/endpoint_table.cc
+++ b/thornhollow/policy/endpoint_table.cc
@@ -321,9 +321,9 @@
   const work_item& item = aSearch.mItem;
   const std::optional<time_point> due =
     aEntry.mRecord.Health().NextProbe(aEntry.mRecord.InFlight());
-  const bool waitedLong =
+  const bool isOverdue =
     due && aSearch.mNow - *due >= mSettings.mProbeFallbackDelay;
-  return (item.mIdempotent && item.mTier > kHighestTier) || waitedLong ||
+  return (item.mIdempotent && item.mTier > kHighestTier) || isOverdue ||
          aSearch.mPool.mIndex.Serving() == 0;
 }
 
@@ -373,7 +373,7 @@
   const pool_index& index = pool->second.mIndex;
   const std::size_t first = RandomIndex(index.size());
   const std::size_t maxScan = std::min(index.size(), mSettings.mMaxScan);
-  std::uint32_t shortest = 0;
+  std::uint32_t shortestQueue = 0;
   for (std::size_t i = 0; i < maxScan; ++i) {
     const endpoint_number number =
       index.EndpointOf(static_cast<std::uint32_t>((first + i) % index.size()));
@@ -392,10 +392,10 @@
     const std::uint32_t queued = inFlight > capacity ? inFlight - capacity : 0;
     const double cost = Cost(number, query);
     if (!query.mBest ||
-        std::pair(queued, cost) < std::pair(shortest, query.mBestCost)) {
+        std::pair(queued, cost) < std::pair(shortestQueue, query.mBestCost)) {
       query.mBest = number;
       query.mBestCost = cost;
-      shortest = queued;
+      shortestQueue = queued;
     }
   }
   return query.mBest
--- a/thornhollow/policy/endpoint_table_benchmark.cc
+++ b/thornhollow/policy/endpoint_table_benchmark.cc
@@ -19,10 +19,10 @@
 
 struct benchmark_table
 {
-  // With `aWhole` the table has every endpoint, which shows how the time grows
-  // with their number. Otherwise it has the default subset.
-  benchmark_table(std::int64_t aEndpoints, bool aWhole)
-    : mTable(Settings(aWhole), 1)
+  // With `aAllEndpoints` the table has every endpoint, which shows how the time
+  // grows with their number. Otherwise it has the default subset.
+  benchmark_table(std::int64_t aEndpoints, bool aAllEndpoints)
+    : mTable(Settings(aAllEndpoints), 1)
   {
     declarations declared;
     for (std::int64_t i = 0; i < aEndpoints; ++i) {
@@ -39,10 +39,10 @@
     mItem.mPromptTokens = 500;
   }
 
-  static endpoint_table_settings Settings(bool aWhole)
+  static endpoint_table_settings Settings(bool aAllEndpoints)
   {
     endpoint_table_settings settings;
-    settings.mSubset.mMaxPerPool = aWhole ? 1000 : 16;
+    settings.mSubset.mMaxPerPool = aAllEndpoints ? 1000 : 16;
     return settings;
   }
 
