--- a/thornhollow/policy/popular_prefix_blocks_test.cc
+++ b/thornhollow/policy/popular_prefix_blocks_test.cc
@@ -38,8 +38,8 @@
 TEST_CASE_FIXTURE(blocks_on_eighteen_engines,
                   "popular_parts/many_parts/popular_one_finds_a_place")
 {
-  for (std::uint64_t part = 1; part <= 1'000; ++part) {
-    mSubject.OnRequested(part, mNow);
+  for (std::uint64_t block = 1; block <= 1'000; ++block) {
+    mSubject.OnRequested(block, mNow);
     mNow += Milliseconds(10);
   }
   mNow += Seconds(30);
--- a/thornhollow/policy/relay_admission_test.cc
+++ b/thornhollow/policy/relay_admission_test.cc
@@ -28,7 +28,7 @@
     time_point mStarts{};
   };
   std::deque<prompt> mQueue;
-  time_point mFree{};
+  time_point mFreeAt{};
 
   int mInTime = 0;
   int mLate = 0;
@@ -36,9 +36,9 @@
 
   fifo_engines() { mAdmission.SetCapacity(kRate); }
 
-  admission_request From(const team_name& aTeam) const
+  admission_request MakeRequest(const team_name& aTeam) const
   {
-    const duration queue = std::max(mFree - mNow, duration::zero());
+    const duration queue = std::max(mFreeAt - mNow, duration::zero());
     return { .mTeam = aTeam,
              .mTokens = kPrompt,
              .mTarget = Seconds(2),
@@ -58,20 +58,20 @@
     mNow = aNow;
   }
 
-  void Take()
+  void Admit()
   {
-    mFree = std::max(mFree, mNow) + FromSeconds(kPrompt / kRate);
-    mQueue.push_back({ mNow, mFree });
+    mFreeAt = std::max(mFreeAt, mNow) + FromSeconds(kPrompt / kRate);
+    mQueue.push_back({ mNow, mFreeAt });
     mAdmission.OnSent({ 0, kPrompt });
   }
 
   bool Offer(const team_name& aTeam)
   {
-    if (mAdmission.Decide(From(aTeam), mRandom, mNow)) {
+    if (mAdmission.Decide(MakeRequest(aTeam), mRandom, mNow)) {
       ++mRefused;
       return false;
     }
-    Take();
+    Admit();
     return true;
   }
 
@@ -119,12 +119,12 @@
   int small = 0;
   for (int tick = 0; tick < 600; ++tick) {
     admission_request request =
-      From(team_name("team" + std::to_string(tick * 7 % 5)));
+      MakeRequest(team_name("team" + std::to_string(tick * 7 % 5)));
     const bool isLarge = tick % 10 == 0;
     request.mTokens = isLarge ? 6 * kPrompt : kPrompt / 2;
     const bool taken = !mAdmission.Decide(request, mRandom, mNow);
     if (taken) {
-      Take();
+      Admit();
     }
     (isLarge ? large : small) += 1;
     (isLarge ? largeTaken : smallTaken) += taken ? 1 : 0;
@@ -205,14 +205,14 @@
 {
   Load(15, Seconds(6));
   for (int each = 0; each < 5; ++each) {
-    Take();
+    Admit();
   }
   duration minDelay = Seconds(60);
   duration maxDelay{};
   int refused = 0;
   for (int each = 0; each < 50; ++each) {
     if (const auto refusal =
-          mAdmission.Decide(From(team_name("office")), mRandom, mNow)) {
+          mAdmission.Decide(MakeRequest(team_name("office")), mRandom, mNow)) {
       ++refused;
       CHECK(refusal->mKind == error_kind::kQueueFull);
       minDelay = std::min(minDelay, refusal->mRetryAfter);
@@ -229,7 +229,7 @@
                   "relay_admission/caller_leaves_before_its_turn/is_told_so")
 {
   Load(15, Seconds(6));
-  admission_request request = From(team_name("office"));
+  admission_request request = MakeRequest(team_name("office"));
   request.mTimeLeft = Milliseconds(600);
   const auto result = mAdmission.Decide(request, mRandom, mNow);
   REQUIRE(result.has_value());
@@ -246,7 +246,7 @@
     mQueue.pop_front();
     mAdmission.OnAborted({ 0, kPrompt });
   }
-  mFree = mNow;
+  mFreeAt = mNow;
   CHECK(mAdmission.ObservedWait(mNow) == duration::zero());
   CHECK(Offer(team_name("office")));
 }
@@ -261,7 +261,8 @@
   int taken = 0;
   int returned = 0;
   for (int each = 0; each < 2'000; ++each) {
-    admission_request request = From(team_name("t" + std::to_string(each % 7)));
+    admission_request request =
+      MakeRequest(team_name("t" + std::to_string(each % 7)));
     request.mExpectedWait = Milliseconds(100);
     request.mOverload = 4;
     taken += mAdmission.Decide(request, mRandom, mNow) ? 0 : 1;
@@ -278,7 +279,7 @@
                   "relay_admission/target_of_zero/is_no_reason_to_refuse")
 {
   Load(15, Seconds(6));
-  admission_request request = From(team_name("office"));
+  admission_request request = MakeRequest(team_name("office"));
   request.mTarget = duration::zero();
   request.mOverload = 4;
   CHECK_FALSE(mAdmission.Decide(request, mRandom, mNow));
@@ -288,7 +289,7 @@
                   "relay_admission/overload_unclear/engines_decide")
 {
   for (int each = 0; each < 500; ++each) {
-    admission_request request = From(team_name("office"));
+    admission_request request = MakeRequest(team_name("office"));
     request.mOverload = 1.4;
     CHECK_FALSE(mAdmission.Decide(request, mRandom, mNow));
   }
@@ -301,9 +302,9 @@
 {
   Load(15, Seconds(6));
   for (int each = 0; each < 5; ++each) {
-    Take();
+    Admit();
   }
-  admission_request request = From(team_name("office"));
+  admission_request request = MakeRequest(team_name("office"));
   REQUIRE(mAdmission.Decide(request, mRandom, mNow));
   request.mIsRetry = true;
   CHECK_FALSE(mAdmission.Decide(request, mRandom, mNow));
@@ -333,31 +334,31 @@
   time_point mNow = time_point() + Seconds(100);
   bool mByTier = true;
   std::deque<prompt> mQueue;
-  time_point mFree{};
-  std::array<count, 2> mOf{};
+  time_point mFreeAt{};
+  std::array<count, 2> mCounts{};
 
   two_tier_engines() { mAdmission.SetCapacity(kRate); }
 
   void Read()
   {
-    while (!mQueue.empty() && mFree <= mNow) {
+    while (!mQueue.empty() && mFreeAt <= mNow) {
       auto next = mQueue.begin();
       if (mByTier) {
         next = std::ranges::min_element(mQueue, {}, &prompt::mTier);
       }
       const prompt one = *next;
       mQueue.erase(next);
-      mFree = std::max(mFree, one.mSent) + FromSeconds(kPrompt / kRate);
-      const duration wait = mFree - one.mSent;
+      mFreeAt = std::max(mFreeAt, one.mSent) + FromSeconds(kPrompt / kRate);
+      const duration wait = mFreeAt - one.mSent;
       mAdmission.OnStarted({ one.mTier, kPrompt }, wait, mNow);
-      ++(wait <= Seconds(2) ? mOf.at(one.mTier).mInTime
-                            : mOf.at(one.mTier).mLate);
+      ++(wait <= Seconds(2) ? mCounts.at(one.mTier).mInTime
+                            : mCounts.at(one.mTier).mLate);
     }
   }
 
   void Offer(std::uint32_t aTier)
   {
-    ++mOf.at(aTier).mRequests;
+    ++mCounts.at(aTier).mRequests;
     const double queued = static_cast<double>(mQueue.size()) * kPrompt / kRate;
     const admission_request request{ .mTeam = team_name("office"),
                                      .mTier = aTier,
@@ -366,7 +367,7 @@
                                      .mTimeLeft = Seconds(15),
                                      .mExpectedWait = FromSeconds(queued) };
     if (mAdmission.Decide(request, mRandom, mNow)) {
-      ++mOf.at(aTier).mRefused;
+      ++mCounts.at(aTier).mRefused;
       return;
     }
     mQueue.push_back({ aTier, mNow });
@@ -395,9 +396,9 @@
                   "relay_admission/twice_the_capacity/lower_tier_is_shed_first")
 {
   Load(10, Seconds(10));
-  CHECK(mOf[0].mRefused == 0);
-  CHECK(mOf[0].mInTime == mOf[0].mRequests);
-  CHECK(mOf[1].mRefused >= 20);
+  CHECK(mCounts[0].mRefused == 0);
+  CHECK(mCounts[0].mInTime == mCounts[0].mRequests);
+  CHECK(mCounts[1].mRefused >= 20);
 }
 
 // Guards against admitting the whole first tier when engines ignore tiers: it
@@ -407,7 +408,7 @@
 {
   mByTier = false;
   Load(10, Seconds(10));
-  CHECK(mOf[0].mRefused >= mOf[0].mRequests / 4);
+  CHECK(mCounts[0].mRefused >= mCounts[0].mRequests / 4);
 }
 
 } // namespace
--- a/thornhollow/policy/relay_pool.cc
+++ b/thornhollow/policy/relay_pool.cc
@@ -42,8 +42,8 @@
 {
   constexpr double kChunkOverhead = 0.125;
   constexpr double kTokensPerPair = 18.3e-6;
-  const double pairs = aUncached * (aCached + aUncached / 2);
-  return aUncached * (1 + kChunkOverhead) + pairs * kTokensPerPair;
+  const double attentionPairs = aUncached * (aCached + aUncached / 2);
+  return aUncached * (1 + kChunkOverhead) + attentionPairs * kTokensPerPair;
 }
 
 // Nothing is refused while the demand is below this fraction of the prefill
@@ -120,12 +120,12 @@
   // Refused requests count towards the demand as well.
   mMeter.OnAsked(KindOf(aRequest), pick->mPrefillTokens, aNow);
   mPopularBlocks.OnRequested(aRequest.mFirstBlock, aNow);
-  const double room =
+  const double capacity =
     static_cast<double>(mPartition.Bulk()) * mPrefillTokensPerSecond;
-  const duration forSlot = SlotWait();
-  const bool full =
-    mBulkDemand >= room * kSaturationThreshold || forSlot > duration::zero();
-  if (!pick->mBulk || !full) {
+  const duration slotWait = SlotWait();
+  const bool saturated = mBulkDemand >= capacity * kSaturationThreshold ||
+                         slotWait > duration::zero();
+  if (!pick->mBulk || !saturated) {
     return pick;
   }
   // While slots are short, retries get no preference: most of them have missed
@@ -136,9 +136,9 @@
       .mTokens = aRequest.mPromptTokens - aRequest.mSharedTokens,
       .mTarget = aRequest.mTarget,
       .mTimeLeft = aTimeLeft,
-      .mExpectedWait = pick->mExpectedWait + forSlot,
-      .mIsRetry = aRequest.mIsRetry && forSlot <= duration::zero(),
-      .mOverload = mBulkDemand / room },
+      .mExpectedWait = pick->mExpectedWait + slotWait,
+      .mIsRetry = aRequest.mIsRetry && slotWait <= duration::zero(),
+      .mOverload = mBulkDemand / capacity },
     mRandom,
     aNow);
   if (refused) {
@@ -185,17 +185,17 @@
                        time_point aNow)
 {
   std::vector<record*> healthy;
-  std::vector<record*> doubtful;
+  std::vector<record*> unhealthy;
   for (auto& [name, each] : mRecords) {
     if (each.mEndpoint.mDraining || std::ranges::count(aTried, name) > 0) {
       continue;
     }
-    (TakesNewWork(each, aNow) ? healthy : doubtful).push_back(&each);
+    (TakesNewWork(each, aNow) ? healthy : unhealthy).push_back(&each);
   }
   // If no healthy endpoint is left, an unhealthy one is worth the attempt,
   // since refusing the request is certain to fail.
   if (healthy.empty()) {
-    return doubtful;
+    return unhealthy;
   }
   healthy = Reachable(std::move(healthy), aNow);
   return mEngines ? OnSide(aRequest, healthy, aNow) : healthy;
@@ -209,13 +209,13 @@
   if (!mReach.AnyDoubted(aNow)) {
     return aHealthy;
   }
-  std::vector<record*> within;
-  within.reserve(aHealthy.size());
+  std::vector<record*> reachable;
+  reachable.reserve(aHealthy.size());
   std::ranges::copy_if(
-    aHealthy, std::back_inserter(within), [&](record* aRecord) {
+    aHealthy, std::back_inserter(reachable), [&](record* aRecord) {
       return !mReach.Doubted(aRecord->mEndpoint.mDomain, aNow);
     });
-  return within.empty() ? std::move(aHealthy) : within;
+  return reachable.empty() ? std::move(aHealthy) : reachable;
 }
 
 void
@@ -231,18 +231,19 @@
   if (!mPartition.Separates() || healthy.size() < 2) {
     healthy.clear();
   }
-  const double part = static_cast<double>(mPartition.Bulk()) /
-                      static_cast<double>(std::max<std::size_t>(size(), 1));
+  const double bulkFraction =
+    static_cast<double>(mPartition.Bulk()) /
+    static_cast<double>(std::max<std::size_t>(size(), 1));
   const auto bulk = static_cast<std::size_t>(
-    std::lround(part * static_cast<double>(healthy.size())));
+    std::lround(bulkFraction * static_cast<double>(healthy.size())));
   mHealthyBulkEngines = healthy.empty() ? size() : bulk;
-  const std::size_t most = healthy.empty() ? 0 : healthy.size() - 1;
+  const std::size_t maxBulk = healthy.empty() ? 0 : healthy.size() - 1;
   mAdmission.SetCapacity(
     static_cast<double>(mHealthyBulkEngines) * PrefillTokensPerSecond() /
     static_cast<double>(std::max<std::size_t>(mInstances, 1)));
   mSides.Observe(
     std::move(healthy),
-    std::clamp<std::size_t>(bulk, std::min<std::size_t>(most, 1), most),
+    std::clamp<std::size_t>(bulk, std::min<std::size_t>(maxBulk, 1), maxBulk),
     aDemand.empty(),
     aNow);
 }
@@ -269,9 +270,10 @@
       }
     }
   }
-  const double room = static_cast<double>(clear.size()) *
-                      PrefillTokensPerSecond() * mSettings.mAvoidClearingBelow;
-  if (side == engine_side::kBulk && mBulkDemand < room) {
+  const double capacity = static_cast<double>(clear.size()) *
+                          PrefillTokensPerSecond() *
+                          mSettings.mAvoidClearingBelow;
+  if (side == engine_side::kBulk && mBulkDemand < capacity) {
     return clear;
   }
   return all.empty() ? aHealthy : all;
@@ -281,18 +283,18 @@
 relay_pool::ChoosePlain(const std::vector<record*>& aCandidates)
 {
   const auto cost = [this](const record* aRecord) {
-    const bool own = aRecord->mEndpoint.mDomain == mOwnDomain;
-    return 2 * aRecord->mInFlight + (own ? 0 : 1);
+    const bool sameDomain = aRecord->mEndpoint.mDomain == mOwnDomain;
+    return 2 * aRecord->mInFlight + (sameDomain ? 0 : 1);
   };
   std::uint32_t least = std::numeric_limits<std::uint32_t>::max();
   std::vector<record*> best;
   for (record* each : aCandidates) {
-    const std::uint32_t its = cost(each);
-    if (its < least) {
+    const std::uint32_t candidateCost = cost(each);
+    if (candidateCost < least) {
       best.clear();
-      least = its;
+      least = candidateCost;
     }
-    if (its == least) {
+    if (candidateCost == least) {
       best.push_back(each);
     }
   }
@@ -305,11 +307,11 @@
                          time_point aNow,
                          relay_pick& aPick)
 {
-  const auto holders = mAffinity.Holders(aRequest.mSharedPrefix, aNow);
+  const auto cachedOn = mAffinity.Holders(aRequest.mSharedPrefix, aNow);
   const auto first = PreferredEngines(aRequest, aCandidates, kPreferredRanks);
-  const double own = PrefillCost(
+  const double uncached = PrefillCost(
     aRequest.mPromptTokens - aRequest.mSharedTokens, aRequest.mSharedTokens);
-  const double session =
+  const double sharedTokens =
     aRequest.mSharedTokens -
     (mPopularBlocks.CachedOnAll(
        aRequest.mFirstBlock, aCandidates.size(), mInstances, aNow)
@@ -318,36 +320,38 @@
   record* best = nullptr;
   double bestCost = 0;
   for (record* each : aCandidates) {
-    const bool holds = std::ranges::count(holders, each->mNumber) > 0;
+    const bool sentBefore = std::ranges::count(cachedOn, each->mNumber) > 0;
     const auto rank =
       static_cast<std::size_t>(std::ranges::find(first, each) - first.begin());
-    const bool prefixCached = holds || rank == 0;
-    const double missing = session * MissProbability(holds, rank);
+    const bool prefixCached = sentBefore || rank == 0;
+    const double missing = sharedTokens * MissProbability(sentBefore, rank);
     const double penalty =
       rank == first.size()
         ? mSettings.mMissPenalty
         : std::min(mSettings.mMissPenalty,
                    mSettings.mMissPenaltyStep * static_cast<double>(rank));
-    const double waiting =
+    const double backlog =
       static_cast<double>(each->mPrefillTokens + each->mRemotePrefillTokens);
-    const double pace = SecondsPerToken(*each, aNow);
-    const double cost = (waiting + own + missing * penalty) * pace +
-                        OccupancySeconds(*each, aRequest);
+    const double secondsPerToken = SecondsPerToken(*each, aNow);
+    const double cost =
+      (backlog + uncached + missing * penalty) * secondsPerToken +
+      OccupancySeconds(*each, aRequest);
     if (best == nullptr || cost < bestCost) {
       best = each;
       bestCost = cost;
-      aPick.mPrefillTokens = static_cast<std::uint32_t>(own + missing);
+      aPick.mPrefillTokens = static_cast<std::uint32_t>(uncached + missing);
       aPick.mPrefixCached = prefixCached;
-      aPick.mSentBefore = holds;
-      aPick.mKnownPrefix = holders.front() != prefix_affinity::kNobody;
+      aPick.mSentBefore = sentBefore;
+      aPick.mKnownPrefix = cachedOn.front() != prefix_affinity::kNobody;
       aPick.mBacklogTokens = each->mPrefillTokens + each->mRemotePrefillTokens;
-      aPick.mExpectedWait = mSettings.mFirstEventOverhead +
-                            FromSeconds((waiting + own + missing) * pace);
+      aPick.mExpectedWait =
+        mSettings.mFirstEventOverhead +
+        FromSeconds((backlog + uncached + missing) * secondsPerToken);
     }
   }
   if (mSettings.mCopyFromTokens > 0 &&
       aRequest.mSharedTokens >= mSettings.mCopyFromTokens) {
-    if (const record* from = CopySource(aRequest, holders, *best, aNow)) {
+    if (const record* from = CopySource(aRequest, cachedOn, *best, aNow)) {
       aPick.mCopyFrom = from->mEndpoint.mAddress;
     }
   }
@@ -398,20 +402,20 @@
 // cached; nothing if they are estimated to be cached on `aChosen`.
 const relay_pool::record*
 relay_pool::CopySource(const request_profile& aRequest,
-                       const prefix_affinity::holders& aHolders,
+                       const prefix_affinity::holders& aCachedOn,
                        const record& aChosen,
                        time_point aNow) const
 {
-  if (std::ranges::count(aHolders, aChosen.mNumber) > 0) {
+  if (std::ranges::count(aCachedOn, aChosen.mNumber) > 0) {
     return nullptr;
   }
-  for (const std::uint32_t each : aHolders) {
+  for (const std::uint32_t each : aCachedOn) {
     if (const record* found = ByNumber(each); found && CanServeCopy(*found)) {
       return found;
     }
   }
-  const record* earlier = PreviousPreferredEngine(aRequest, aNow);
-  return earlier == &aChosen ? nullptr : earlier;
+  const record* previous = PreviousPreferredEngine(aRequest, aNow);
+  return previous == &aChosen ? nullptr : previous;
 }
 
 // Returns the engine to which all instances sent the session before engines
@@ -421,18 +425,18 @@
                                     time_point aNow) const
 {
   const engine_side side = SideOf(aRequest);
-  const record* home = nullptr;
+  const record* preferred = nullptr;
   std::uint64_t highest = 0;
   for (const auto& [name, each] : mRecords) {
     const std::uint64_t weight =
       CombineHash(aRequest.mSharedPrefix, each.mRank);
     if (CanServeCopy(each) && mSides.Earlier(each.mNumber, aNow) == side &&
-        (home == nullptr || weight > highest)) {
-      home = &each;
+        (preferred == nullptr || weight > highest)) {
+      preferred = &each;
       highest = weight;
     }
   }
-  return home;
+  return preferred;
 }
 
 // A failing engine may not answer the engine that requests a copy, and the
@@ -516,13 +520,13 @@
     // another instance's requests. Such a sample would show too short a time
     // for the tokens counted, so only requests with a cached prefix are used.
     if (mEngines && aPick.mPrefixCached) {
-      const double read =
+      const double prefilled =
         PrefillCost(aRequest.mPromptTokens - aRequest.mSharedTokens,
                     aRequest.mSharedTokens);
-      found->mPrefillTime.OnPrefill(read, aWait, aNow);
+      found->mPrefillTime.OnPrefill(prefilled, aWait, aNow);
       if (aPick.mSentBefore) {
-        mPrefillRate.OnPrefill(read + static_cast<double>(aPick.mBacklogTokens),
-                               aWait);
+        mPrefillRate.OnPrefill(
+          prefilled + static_cast<double>(aPick.mBacklogTokens), aWait);
       }
     }
   }
@@ -532,11 +536,11 @@
 relay_pool::OnEnded(const relay_pick& aPick,
                     const request_profile& aRequest,
                     attempt_end aHow,
-                    bool aBegun,
+                    bool aStarted,
                     duration aLength,
                     time_point aNow)
 {
-  if (aPick.mBulk && !aBegun) {
+  if (aPick.mBulk && !aStarted) {
     mAdmission.OnAborted({ aRequest.mTier, aPick.mPrefillTokens });
   }
   if (aHow == attempt_end::kDeclined) {
@@ -551,7 +555,7 @@
     return;
   }
   found->mInFlight -= std::min(found->mInFlight, 1U);
-  if (!aBegun) {
+  if (!aStarted) {
     found->mPrefillTokens -=
       std::min<std::uint64_t>(found->mPrefillTokens, aPick.mPrefillTokens);
   }
@@ -561,8 +565,8 @@
     std::ranges::count_if(mRecords, [](const auto& aEntry) {
       return aEntry.second.mHealth.Kind() == health_kind::kFailing;
     }));
-  const bool mayLeave = 2 * (failing + 1) <= mRecords.size();
-  found->mHealth.OnEnded(aHow, aLength, mayLeave, aNow);
+  const bool mayEject = 2 * (failing + 1) <= mRecords.size();
+  found->mHealth.OnEnded(aHow, aLength, mayEject, aNow);
 }
 
 bool
@@ -594,36 +598,37 @@
 {
   double fastest = 0;
   for (const auto& [name, each] : mRecords) {
-    const double pace = each.mPrefillTime.Nanoseconds(aNow);
-    if (pace > 0 && (fastest == 0 || pace < fastest)) {
-      fastest = pace;
+    const double nanoseconds = each.mPrefillTime.Nanoseconds(aNow);
+    if (nanoseconds > 0 && (fastest == 0 || nanoseconds < fastest)) {
+      fastest = nanoseconds;
     }
   }
   for (auto& [name, each] : mRecords) {
-    const double pace = each.mPrefillTime.Nanoseconds(aNow);
-    if (pace > 0 && !each.mPrefillTimeKnownSince) {
+    const double nanoseconds = each.mPrefillTime.Nanoseconds(aNow);
+    if (nanoseconds > 0 && !each.mPrefillTimeKnownSince) {
       each.mPrefillTimeKnownSince = aNow;
     }
     const double bound =
       each.mSlow ? mSettings.mSlowExitThreshold : mSettings.mSlowThreshold;
     each.mSlow = each.mPrefillTimeKnownSince &&
                  aNow - *each.mPrefillTimeKnownSince >= mSettings.mWarmup &&
-                 pace > fastest * bound;
+                 nanoseconds > fastest * bound;
   }
 }
 
 double
 relay_pool::SecondsPerToken(const record& aRecord, time_point aNow) const
 {
-  const double its = aRecord.mPrefillTime.Nanoseconds(aNow);
-  const bool judged =
+  const double nanoseconds = aRecord.mPrefillTime.Nanoseconds(aNow);
+  const bool warmedUp =
     aRecord.mPrefillTimeKnownSince &&
     aNow - *aRecord.mPrefillTimeKnownSince >= mSettings.mWarmup;
-  const double relative = judged && its > 0 && mMeanPrefillNanoseconds > 0
-                            ? std::clamp(its / mMeanPrefillNanoseconds,
-                                         1 / kMaxSpeedRatio,
-                                         kMaxSpeedRatio)
-                            : 1;
+  const double relative =
+    warmedUp && nanoseconds > 0 && mMeanPrefillNanoseconds > 0
+      ? std::clamp(nanoseconds / mMeanPrefillNanoseconds,
+                   1 / kMaxSpeedRatio,
+                   kMaxSpeedRatio)
+      : 1;
   return relative / mPrefillTokensPerSecond;
 }
 
@@ -633,8 +638,9 @@
   double sum = 0;
   std::size_t known = 0;
   for (const auto& [name, each] : mRecords) {
-    if (const double pace = each.mPrefillTime.Nanoseconds(aNow); pace > 0) {
-      sum += pace;
+    if (const double nanoseconds = each.mPrefillTime.Nanoseconds(aNow);
+        nanoseconds > 0) {
+      sum += nanoseconds;
       ++known;
     }
   }
--- a/thornhollow/policy/relay_pool.h
+++ b/thornhollow/policy/relay_pool.h
@@ -185,11 +185,11 @@
                    const request_profile& aRequest,
                    duration aWait,
                    time_point aNow);
-  // The attempt ended. `aBegun`: its first byte had arrived.
+  // The attempt ended. `aStarted`: its first byte had arrived.
   void OnEnded(const relay_pick& aPick,
                const request_profile& aRequest,
                attempt_end aHow,
-               bool aBegun,
+               bool aStarted,
                duration aLength,
                time_point aNow);
 
@@ -265,7 +265,7 @@
                           const request_profile& aRequest) const;
   duration SlotWait() const;
   const record* CopySource(const request_profile& aRequest,
-                           const prefix_affinity::holders& aHolders,
+                           const prefix_affinity::holders& aCachedOn,
                            const record& aChosen,
                            time_point aNow) const;
   const record* PreviousPreferredEngine(const request_profile& aRequest,
