--- a/thornhollow/policy/fair_queue.cc
+++ b/thornhollow/policy/fair_queue.cc
@@ -132,7 +132,8 @@
   }
   mWaiting.erase(aEntry);
   if (mWaiting.empty()) {
-    // Nobody is owed anything in an empty queue; this also bounds rounding.
+    // An empty queue has no outstanding claims. The reset also limits the
+    // accumulation of rounding errors.
     mTeams.clear();
     mVirtualTime = 0;
     mTotalCost = 0;
@@ -146,8 +147,9 @@
   if (mWaiting.empty()) {
     return 0;
   }
-  // Until virtual time reaches the tag, every active team is served its weight;
-  // and each may have one more request that starts before the tag.
+  // Until the virtual time reaches the start tag, every active team is served
+  // in proportion to its weight, and each may have one more request that starts
+  // before the tag.
   const double mean = mTotalCost / static_cast<double>(mWaiting.size());
   const double ahead = (StartTag(aTeam) - mVirtualTime) * mActiveWeight +
                        mean * static_cast<double>(mActiveTeams);
--- a/thornhollow/policy/fair_queue.h
+++ b/thornhollow/policy/fair_queue.h
@@ -1,21 +1,23 @@
-// The waiting requests of one class, in an order that is fair over teams by the
-// cost of their work (start-time fair queueing).
+// Start-time fair queue: orders the waiting requests of one class fairly across
+// teams by the cost of their work.
 //
 //   fair_queue queue;
-//   const fair_queue::position at = queue.Push(request, weight);
+//   const fair_queue::position position = queue.Push(request, weight);
 //   const waiting_request* next = queue.Front();
-//   queue.Take(at);
+//   queue.Dequeue(position);
 //
-// Load pattern: one team sends many requests, or few that cost much, while
-// others send their usual handful. In order of arrival everybody then waits
-// behind the hot team's backlog, and is refused because of it. Here each
-// request gets a start tag: the later of the queue's virtual time and the end
-// of its team's previous request, cost divided by weight. The lowest tag goes
-// first, so that a hot team's backlog moves its own tags into the future only.
+// Load pattern: one team sends many requests, or a few expensive ones, while
+// the others send their usual few. In order of arrival, all teams would wait
+// behind the heavy team's backlog and have requests refused because of it.
+// Here each request gets a start tag: the maximum of the queue's virtual time
+// and the finish tag of its team's previous request. The finish tag is the
+// start tag plus cost divided by weight. The request with the lowest start tag
+// is served first, so a team's backlog delays only that team's own requests.
 //
-// Each operation costs the logarithm of what waits, whatever the number of
-// teams. A team is remembered only while its last tag lies ahead of the virtual
-// time, and all are forgotten when the queue runs empty.
+// Each operation takes logarithmic time in the number of waiting requests and
+// does not depend on the number of teams. A team's state is kept only while its
+// last finish tag exceeds the virtual time, and all state is discarded when the
+// queue becomes empty.
 #ifndef THORNHOLLOW_POLICY_FAIR_QUEUE_H_
 #define THORNHOLLOW_POLICY_FAIR_QUEUE_H_
 
@@ -32,7 +34,7 @@
 class fair_queue
 {
 public:
-  // A place in the order; stays valid until that request is taken or erased.
+  // Position in the queue. Valid until its request is dequeued or erased.
   struct position
   {
     double mStartTag = 0;
@@ -46,68 +48,70 @@
     // NOLINTEND(modernize-use-nullptr)
   };
 
-  // With `aByTeam` false all requests count as one team's: order of arrival.
+  // If `aByTeam` is false, all requests are attributed to a single team, which
+  // results in order of arrival.
   explicit fair_queue(bool aByTeam = true)
     : mByTeam(aByTeam)
   {
   }
 
-  // Queues a request of a team of this weight (above 0).
+  // Queues a request. `aWeight` is its team's weight and must be positive.
   position Push(const waiting_request& aRequest, double aWeight);
 
-  // Queues a request that was started before: next in line, not charged again.
+  // Queues a request that was started before at the front, without charging its
+  // cost again.
   position PushFront(const waiting_request& aRequest);
 
-  // The next in order; the last in order. Null where nothing waits.
+  // The first and the last request in queue order; null if the queue is empty.
   const waiting_request* Front() const;
   const waiting_request* Back() const;
 
-  // Where the next in order is; something must wait.
+  // Position of the first request. The queue must not be empty.
   position FrontPosition() const { return mWaiting.begin()->first; }
 
-  // The request there; null where there is none.
+  // The request at this position; null if there is none.
   const waiting_request* Find(const position& aPosition) const;
 
-  // The request there was started: virtual time goes on.
+  // Removes a request that was started and advances the virtual time.
   void Dequeue(const position& aPosition);
 
-  // The request there leaves without being started; its cost is given back
-  // where it is its team's last. False where there is none.
+  // Removes a request that was not started. Its cost is refunded if it is its
+  // team's last. Returns false if there is no request at this position.
   bool Erase(const position& aPosition);
 
-  // The same with the last in order; something must wait.
+  // The same for the last request. The queue must not be empty.
   void EraseBack();
 
-  // A request of `aTeam` that was taken cost this much more than expected, or
-  // less: its later requests wait accordingly. Not remembered for a team that
-  // has nothing waiting.
+  // Adds `aCostDelta`, the actual minus the expected cost of a dequeued
+  // request, to what `aTeam` is charged. This delays or advances only the
+  // team's later requests. Ignored for a team whose state is not kept.
   void AdjustCost(const team_name& aTeam, double aCostDelta, double aWeight);
 
-  // Cost of what would go before a new request of `aTeam`: an upper estimate
-  // that assumes that all other teams keep their backlog.
+  // Upper estimate of the cost served before a new request of `aTeam`, assuming
+  // that all other teams keep their backlog.
   double CostAhead(const team_name& aTeam) const;
 
-  // Whether a new request of `aTeam` would go before the last in order.
+  // Whether a new request of `aTeam` would precede the last request.
   bool PrecedesBack(const team_name& aTeam) const;
 
   double TotalCost() const { return mTotalCost; }
   std::size_t size() const { return mWaiting.size(); }
   bool empty() const { return mWaiting.empty(); }
-  // Teams remembered, for memory figures.
+  // Number of teams whose state is kept, for memory measurements.
   std::size_t TrackedTeams() const { return mTeams.size(); }
 
 private:
   struct entry
   {
     waiting_request mRequest;
-    // End of the request in virtual time; its start where not charged.
+    // Virtual finish time; equals the start tag if the cost is not charged.
     double mFinishTag = 0;
     double mWeight = 1;
   };
   struct team_state
   {
     double mFinishTag = 0;
-    // Its part of `mActiveWeight`.
+    // Contribution to `mActiveWeight`.
     double mWeight = 0;
     std::uint32_t mWaiting = 0;
   };
@@ -123,7 +127,7 @@
   double mVirtualTime = 0;
   std::uint64_t mSequence = 0;
   double mTotalCost = 0;
-  // Sum over teams with something waiting.
+  // Sum of the weights of teams with waiting requests.
   double mActiveWeight = 0;
   std::size_t mActiveTeams = 0;
   entries mWaiting;
--- a/thornhollow/policy/fair_queue_test.cc
+++ b/thornhollow/policy/fair_queue_test.cc
@@ -42,8 +42,8 @@
   fair_queue mQueue;
 };
 
-// A coordinator's script sends five requests at once; a driver's one comes
-// last. In order of arrival the driver would wait for all five.
+// One team sends five requests at once before another team sends its only one.
+// In order of arrival, the latter would wait for all five.
 TEST_CASE_FIXTURE(two_teams, "fair_queue/hot_team/queues_behind_itself")
 {
   for (ticket each = 1; each <= 5; ++each) {
@@ -62,7 +62,7 @@
   for (ticket each = 3; each <= 12; ++each) {
     Push(each, "short", 100);
   }
-  // Ten short answers cost as much as one long one.
+  // Ten short requests cost as much as one long request.
   CHECK(Drain() ==
         std::vector<ticket>{ 1, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 2 });
 }
--- a/thornhollow/policy/pool_queue.cc
+++ b/thornhollow/policy/pool_queue.cc
@@ -8,9 +8,10 @@
 namespace thornhollow {
 namespace {
 
-// Stands for "longer than any deadline".
+// Longer than any deadline.
 constexpr duration kUnboundedWait = std::chrono::hours(1);
-// Rounding of credits must not plan a wake for the present, again and again.
+// Prevents a busy loop: because of rounding, a credit could otherwise be due
+// immediately, again and again.
 constexpr duration kMinWakeDelay = Milliseconds(1);
 
 duration
@@ -70,8 +71,8 @@
 pool_queue::class_key
 pool_queue::KeyOf(const work_item& aItem) const
 {
-  // Without tier order all classes are of one tier, and without fair teams and
-  // shares then in order of arrival.
+  // Without tier order, all classes have the same tier. If fair queueing and
+  // minimum shares are also off, this results in order of arrival.
   return { mSettings.mTierOrder ? aItem.mTier : kHighestTier, aItem.mClass };
 }
 
@@ -96,8 +97,9 @@
   for (auto& [key, queue] : mClasses) {
     queue.mRate.Observe(!queue.mWaiting.empty(), aNow);
   }
-  // Work that is held back says nothing about what the pool can do. What it
-  // could have done meanwhile still counts for the shares.
+  // While work is held back, the rate at which it starts does not reflect the
+  // pool's capacity. The capacity of that period still accrues to the minimum
+  // shares.
   mRate.Observe(mCount > 0 && !mHeldBack, aNow);
   if (mHeldBack && aNow > mLastObserved) {
     AccrueShares(mRate.LastPerSecond().value_or(0) *
@@ -218,8 +220,8 @@
   classes::value_type* const candidate = ShedCandidate();
   const bool isLowerTier =
     candidate != nullptr && candidate->first.mTier > aKey.mTier;
-  // Of one tier, the class with most requests in common places makes room, and
-  // of one class the team that is furthest ahead of its share.
+  // Within a tier, the class that uses most shared capacity makes room, and
+  // within a class the team whose last request has the latest start tag.
   const bool isLargerClass =
     candidate != nullptr && candidate->first.mTier == aKey.mTier &&
     SharedCount(candidate->second) > SharedCount(own) + 1;
@@ -347,7 +349,8 @@
   };
 }
 
-// What a class is served, measured; at least its share of the pool.
+// Measured service rate of a class, or its minimum share of the pool's rate if
+// that is higher.
 std::optional<double>
 pool_queue::RateFor(const class_queue& aClass, time_point aNow) const
 {
--- a/thornhollow/policy/pool_queue.h
+++ b/thornhollow/policy/pool_queue.h
@@ -1,20 +1,21 @@
-// The requests that wait for one pool: which goes next, which is refused when
-// room is needed, and how long a new one would wait.
+// Queue of the requests that wait for one pool. Selects the request to start
+// next, sheds requests when the queue is full, and predicts the wait of a new
+// request.
 //
 //   pool_queue queue(settings);
-//   if (const auto wait = queue.PredictedWait(request, now)) { ... }
-//   queue.Push(request, weight, now);
+//   const auto pushed = queue.Push(request, weight, random, now);
 //   if (queue.Next(peers, pool, {}, now).mItem != nullptr) {
-//     queue.Start(place, now);
+//     queue.Start(*pushed.mHandle, now);
 //   }
 //
-// Load pattern: demand of several classes exceeds the pool. Order of service:
-// a class that is owed its minimum share, else the highest tier; inside a class
-// teams by fair queueing. Room is divided in the same way: each class has
-// places of its own, in proportion to its share, beside the common ones, and
-// the common ones go by tier. So the lowest tier's last request makes room
-// first, and no tier can be pushed out of its own places. See
-// docs/design/tiers_and_shares.md for why both promises hold at once.
+// Load pattern: several classes together demand more than the pool can serve.
+// A class that is below its minimum share is served first, then the highest
+// tier; within a class, teams are served by fair queueing. Queue capacity is
+// divided in the same way: each class has reserved capacity in proportion to
+// its minimum share, and the rest is shared and allocated by tier. The most
+// recent request of the lowest tier is therefore shed first, and no tier can
+// be displaced from its reserved capacity. docs/design/tiers_and_shares.md
+// explains why tier order and minimum shares hold at the same time.
 #ifndef THORNHOLLOW_POLICY_POOL_QUEUE_H_
 #define THORNHOLLOW_POLICY_POOL_QUEUE_H_
 
@@ -37,13 +38,13 @@
 
 struct pool_queue_settings
 {
-  // Requests that wait in the pool's common places.
+  // Capacity of the pool's queue that is shared by all classes, in requests.
   std::size_t mMaxWaiting = 1024;
   bool mTierOrder = true;
   bool mMinimumShares = true;
   bool mFairTeams = true;
-  // Refuses on arrival what the measured wait keeps from its deadline, and
-  // before the start what can't finish any more.
+  // Refuses a request on arrival if the predicted wait exceeds its deadline,
+  // and before it starts if it can no longer finish in time.
   bool mDeadlineCheck = true;
   standing_queue_settings mStandingQueue;
   retry_schedule_settings mRetrySchedule;
@@ -52,16 +53,16 @@
                          const pool_queue_settings&) = default;
 };
 
-// The request that gets the next place.
+// The request that gets the next slot.
 struct next_request
 {
-  // Null where there is none.
+  // Null if there is none.
   const work_item* mItem = nullptr;
-  // It goes before higher tiers, by its class's minimum share.
+  // It precedes higher tiers because its class is below its minimum share.
   bool mUsesMinimumShare = false;
 };
 
-// What a class is declared to get.
+// The declared service objectives of a class.
 struct class_objectives
 {
   double mMinimumShare = 0;
@@ -74,7 +75,7 @@
 class pool_queue
 {
 public:
-  // Classes in order of service: by tier, then by name.
+  // Orders classes by tier, then by name.
   struct class_key
   {
     int mTier = kLowestTier;
@@ -86,14 +87,14 @@
     // NOLINTEND(modernize-use-nullptr)
     friend bool operator==(const class_key&, const class_key&) = default;
   };
-  // Where a request waits.
+  // Identifies a queued request.
   struct queue_handle
   {
     class_key mClass;
     fair_queue::position mPosition;
   };
-  // What came of an arrival: a place, or else a refusal of the arrival; and the
-  // request that had to make room.
+  // Result of `Push`: the handle of the queued request, or the refusal of that
+  // request. Also contains the refusal of a request that was shed to make room.
   struct push_result
   {
     std::optional<queue_handle> mHandle;
@@ -102,7 +103,8 @@
 
   explicit pool_queue(const pool_queue_settings& aSettings);
 
-  // The class's terms; an unknown class has none.
+  // Sets the objectives of a class. A class without them has neither a minimum
+  // share nor a first-token target.
   void SetObjectives(const class_name& aClass,
                      const class_objectives& aObjectives);
 
@@ -111,49 +113,50 @@
                    std::mt19937_64& aRandom,
                    time_point aNow);
 
-  // A request that was started before and has to run again: goes next in its
-  // class and is refused for nothing but its deadline.
+  // Queues a retry of a request that was started before, at the front of its
+  // class. It is not refused for lack of capacity; only its deadline applies.
   queue_handle Requeue(const waiting_request& aRequest, time_point aNow);
 
-  // The request that gets the next place, or none where nothing waits or what
-  // waits is held back for a higher tier elsewhere. Stays queued. Requests of
-  // the classes `aSkippedClasses` are left out.
+  // Returns the request that gets the next slot, without removing it. Returns
+  // none if nothing waits or if all waiting requests are held back for a higher
+  // tier at another instance. Ignores the classes in `aSkippedClasses`.
   next_request Next(const peer_pressure& aPeers,
                     const pool_name& aPool,
                     std::span<const class_name> aSkippedClasses,
                     time_point aNow);
 
-  // The request there; something must wait there.
+  // The queued request with this handle, which must exist.
   const waiting_request& At(const queue_handle& aHandle) const;
 
-  // The request that `Next` returned got a place.
+  // Removes a request returned by `Next` that was given a slot.
   void Start(const queue_handle& aHandle, time_point aNow);
 
-  // A request that had a place cost `aActual` in place of `aExpected`.
+  // Corrects the charge of a started request from `aExpected` to `aActual`.
   void AdjustCost(const work_item& aItem,
                   double aTeamWeight,
                   double aExpected,
                   double aActual);
 
-  // Leaves without a place. Unknown places are ignored.
+  // Removes a request that was not started. Unknown handles are ignored.
   void Remove(const queue_handle& aHandle, time_point aNow);
 
-  // A refusal of this request, with when to come back.
+  // Creates a refusal of the request that includes the retry delay.
   refuse Refuse(const waiting_request& aRequest,
                 error_kind aKind,
                 std::mt19937_64& aRandom,
                 time_point aNow);
 
-  // How long a new request would wait, by what was measured; zero where nothing
-  // waits.
+  // Expected queueing time of a new request, from the measured service rate;
+  // zero if nothing waits.
   duration PredictedWait(const work_item& aItem, time_point aNow) const;
 
-  // For the other instances.
+  // Load report for the other instances. Only waits of at least `aMinWait` are
+  // reported.
   pool_pressure Pressure(const pool_name& aPool,
                          duration aMinWait,
                          time_point aNow) const;
 
-  // When a class that is held back is owed its share.
+  // When a class that is held back next becomes eligible by its minimum share.
   std::optional<time_point> NextMinimumShareDue(time_point aNow) const;
 
   bool empty() const { return mCount == 0; }
@@ -180,15 +183,17 @@
   class_queue& ClassOf(const class_key& aKey);
   void Observe(time_point aNow);
   void AccrueShares(double aServed);
-  // Places of its own that a class has.
+  // Number of queue entries reserved for a class.
   std::size_t ReservedCapacity(const class_queue& aClass) const;
-  // Waiting requests of a class in common places.
+  // Number of waiting requests of a class that use shared capacity.
   std::size_t SharedCount(const class_queue& aClass) const;
   std::size_t TotalSharedCount() const;
-  // The last class in order with requests in common places, and of one tier's
-  // classes the one with most; null where there is none.
+  // The class whose request is shed next: the one of the lowest tier that uses
+  // shared capacity, and within a tier the one that uses most of it. Null if no
+  // class uses shared capacity.
   classes::value_type* ShedCandidate();
-  // Makes room for the request, or refuses it.
+  // Ensures capacity for the request. Returns the refusal of the request that
+  // is shed for it, or of the request itself.
   std::optional<refuse> MakeRoom(const waiting_request& aRequest,
                                  const class_key& aKey,
                                  std::mt19937_64& aRandom,
@@ -204,8 +209,8 @@
   classes mClasses;
   std::size_t mCount = 0;
   service_rate mRate;
-  // The last observation found work that was held back for a higher tier of
-  // another instance.
+  // The last call of `Next` found only work that is held back for a higher tier
+  // of another instance.
   bool mHeldBack = false;
   time_point mLastObserved{};
 };
--- a/thornhollow/policy/pool_queue_test.cc
+++ b/thornhollow/policy/pool_queue_test.cc
@@ -11,7 +11,8 @@
 
 constexpr time_point kStart{ Seconds(100) };
 
-// Tier 1 "high" without a share, tier 4 "low" with a share of a quarter.
+// Tier 1 "high" without a minimum share, tier 4 "low" with a minimum share of
+// 25%.
 struct two_tiers
 {
   two_tiers()
@@ -44,7 +45,7 @@
     return pushed;
   }
 
-  // Starts the next request; its tier.
+  // Starts the next request and returns its tier.
   int StartNext()
   {
     const next_request next = mQueue->Next(mPeers, mPool, {}, mNow);
@@ -64,15 +65,15 @@
   ticket mLast = 0;
 };
 
-// A burst of drivers' route notes fills the queue while pallet plans wait. The
-// plan that came last has to make room, and only as long as a plan waits in a
-// place that isn't its class's own.
+// A burst of the highest tier fills the queue while requests of the lowest tier
+// wait. The most recent of the latter are shed, but only as long as their class
+// uses shared capacity.
 TEST_CASE_FIXTURE(two_tiers, "pool_queue/full/lowest_tiers_youngest_goes_first")
 {
   for (int i = 0; i < 10; ++i) {
     CHECK(Push(4).mRefused.empty());
   }
-  // Eight common places and two of the class's own are taken.
+  // All eight shared entries and the two reserved for the class are in use.
   for (ticket victim = 10; victim >= 3; --victim) {
     const pool_queue::push_result pushed = Push(1);
     REQUIRE(pushed.mRefused.size() == 1);
@@ -80,8 +81,8 @@
     CHECK(pushed.mRefused[0].mKind == error_kind::kShedForHigherTier);
     CHECK(pushed.mHandle.has_value());
   }
-  // All common places are the higher tier's: it is refused for its equals, and
-  // the lower class still holds its own two places.
+  // The higher tier now uses all shared capacity, so its next request is
+  // refused as queue-full. The lower class keeps its two reserved entries.
   const pool_queue::push_result full = Push(1);
   REQUIRE(full.mRefused.size() == 1);
   CHECK(full.mRefused[0].mTicket == mLast);
@@ -103,8 +104,8 @@
   CHECK(third.mRefused[0].mKind == error_kind::kQueueFull);
 }
 
-// One team fills the common places of a class; another team's first request
-// comes. Refusing the latter would let the hot team decide who is served.
+// One team fills the shared capacity when another team's first request arrives.
+// Refusing that request would let the first team crowd out all others.
 TEST_CASE_FIXTURE(two_tiers, "pool_queue/full_of_hot_team/its_last_makes_room")
 {
   for (int i = 0; i < 8; ++i) {
@@ -128,15 +129,15 @@
     Push(tier);
     mNow += Milliseconds(10);
   }
-  // A quarter, short of what the first request had to save up.
+  // A quarter, less the credit that had to accrue for the first request.
   CHECK(served[4] >= 98);
   CHECK(served[4] <= 100);
 }
 
 TEST_CASE_FIXTURE(two_tiers, "pool_queue/little_low_work/goes_by_tier")
 {
-  // A class that had nothing waiting has saved nothing: its first request goes
-  // after the higher tier's.
+  // A class accrues no credit while it has no waiting requests, so its first
+  // request is served after the higher tier's.
   for (int i = 0; i < 4; ++i) {
     Push(1);
     CHECK(StartNext() == 1);
@@ -155,9 +156,9 @@
   CHECK(mQueue->PredictedWait(item, mNow) == duration::zero());
 }
 
-// The queue was served 10 requests a second while others waited. One more that
-// would wait for 20 of them has a second: it is refused on arrival, and told to
-// come back no sooner than the backlog lasts.
+// Waiting requests were served at 10 per second. A new request whose predicted
+// wait does not fit its deadline is refused on arrival, with a retry delay
+// above the minimum.
 TEST_CASE_FIXTURE(two_tiers,
                   "pool_queue/measured_wait_too_long/refused_at_once")
 {
@@ -187,8 +188,9 @@
   CHECK(mQueue->Push(late, 1, mRandom, mNow).mHandle.has_value());
 }
 
-// Another instance is full of the high tier. This one has low work only: it may
-// start its class's share, no more, and all of it once the report has aged.
+// Another instance reports waiting requests of the high tier. This one has only
+// low-tier work and must start no more of it than the class's minimum share
+// until the report has expired.
 TEST_CASE_FIXTURE(two_tiers, "pool_queue/peer_waits/low_tier_gets_its_share")
 {
   for (int i = 0; i < 8; ++i) {
@@ -209,8 +211,8 @@
       ++started;
     }
   }
-  // Sixteen seconds at ten a second would be 160; a quarter of that is its own,
-  // less what it took beyond its share before.
+  // 16 s at 10 per second are 160 requests. The class may start a quarter of
+  // them, less what it was served beyond its minimum share before.
   CHECK(started >= 32);
   CHECK(started <= 40);
   mNow += Seconds(2);
--- a/thornhollow/policy/request_queue.h
+++ b/thornhollow/policy/request_queue.h
@@ -1,4 +1,4 @@
-// The requests of one entry instance that wait for a place at an endpoint, over
+// All requests of one entry instance that wait for a slot at an endpoint, over
 // all pools, and the order in which they get one.
 //
 //   request_queue queue(request_queue_settings{}, 1);
@@ -7,8 +7,8 @@
 //     queue.Start(next->mTicket, now);
 //   }
 //
-// What waits for one pool is ordered and bounded by `pool_queue`; here are the
-// pools, the deadlines and the pressure told by other instances.
+// `pool_queue` orders and bounds the requests of each pool. This class manages
+// the set of pools, the deadlines and the pressure reported by other instances.
 #ifndef THORNHOLLOW_POLICY_REQUEST_QUEUE_H_
 #define THORNHOLLOW_POLICY_REQUEST_QUEUE_H_
 
@@ -41,62 +41,64 @@
 class request_queue
 {
 public:
-  // `aSeed` drives the jitter of when to come back.
+  // `aSeed` seeds the jitter of retry delays.
   request_queue(const request_queue_settings& aSettings, std::uint64_t aSeed);
 
-  // Takes the declared classes, shares and teams. Requests that wait stay.
+  // Applies the declared classes, minimum shares and teams. Queued requests are
+  // kept.
   void Configure(const declarations& aDeclared, time_point aNow);
 
-  // Queues `aItem`. Returns the refusals that this causes: of `aItem` itself,
-  // or of a request of a lower tier whose place it takes.
+  // Queues `aItem`. Returns the refusals that this causes: of `aItem` itself or
+  // of a request that was shed to make room for it.
   std::vector<refuse> Push(const work_item& aItem,
                            const work_estimate& aWork,
                            time_point aNow);
 
-  // Queues a request that ran before without its answer, ahead of its class;
-  // refused only where it can't finish any more.
+  // Queues a retry of a request that ran without producing its answer, at the
+  // front of its class. Refused only if it can no longer meet its deadline.
   std::vector<refuse> Requeue(const work_item& aItem,
                               const work_estimate& aWork,
                               time_point aNow);
 
-  // The request of `aPool` that gets the next place, or none. Stays queued.
-  // Requests of the classes `aSkippedClasses` are left out.
+  // Returns the request of `aPool` that gets the next slot, or none, without
+  // removing it. Ignores the classes in `aSkippedClasses`.
   next_request Next(const pool_name& aPool,
                     std::span<const class_name> aSkippedClasses,
                     time_point aNow);
 
-  // Whether the request waits here.
+  // Whether the request is queued.
   bool Contains(ticket aTicket) const { return mLocations.contains(aTicket); }
 
-  // The request got a place. Unknown tickets are ignored.
+  // Removes a request that was given a slot. Unknown tickets are ignored.
   void Start(ticket aTicket, time_point aNow);
 
-  // A request that got a place cost `aActual` in place of `aExpected`: its
-  // class and its team are charged the difference.
+  // Charges a started request's class and team the difference between its
+  // actual and its expected cost.
   void AdjustCost(const work_item& aItem, double aExpected, double aActual);
 
-  // The request's caller left. Unknown tickets are ignored.
+  // Removes a request that was not started. Unknown tickets are ignored.
   void Remove(ticket aTicket, time_point aNow);
 
-  // A refusal of a request that waits here or not, with when to come back.
+  // Creates a refusal that includes the retry delay. The request need not be
+  // queued.
   refuse Refuse(const work_item& aItem, error_kind aKind, time_point aNow);
 
-  // Refuses what can't finish before its deadline any more.
+  // Removes and refuses all requests that can no longer meet their deadline.
   std::vector<refuse> Expire(time_point aNow);
 
-  // Pools for which something waits.
+  // Pools that have queued requests.
   std::vector<pool_name> WaitingPools() const;
 
-  // When `Expire` or `Next` may have something to do without another event.
+  // When `Expire` or `Next` may next have a new result without another event.
   std::optional<time_point> NextDue(time_point aNow) const;
 
-  // How long a new request would wait, by what was measured.
+  // Expected queueing time of a new request, from the measured service rate.
   duration PredictedWait(const work_item& aItem, time_point aNow) const;
 
-  // The declared first-token target of a class; zero where it has none.
+  // The declared first-token target of a class; zero if it has none.
   duration FirstTokenTarget(const class_name& aClass) const;
 
-  // What other instances should know; one entry for each pool under load.
+  // Load reports for the other instances, one for each pool under load.
   std::vector<pool_pressure> Pressure(time_point aNow) const;
   void OnPeerPressure(const instance_name& aFrom,
                       const pool_pressure& aPressure,
@@ -117,15 +119,15 @@
   double WeightOf(const team_name& aTeam) const;
   void Add(const waiting_request& aRequest,
            const pool_queue::queue_handle& aHandle);
-  // Forgets where a ticket waits; nothing where it doesn't.
+  // Removes and returns the location of a ticket; nothing if it is not queued.
   std::optional<location> Extract(ticket aTicket);
 
   request_queue_settings mSettings;
   std::mt19937_64 mRandom;
   std::unordered_map<class_name, class_objectives> mObjectives;
-  // Only weights other than 1: most of 11,000 teams have none.
+  // Only weights other than 1, because most of the 11,000 teams have none.
   std::unordered_map<team_name, double> mWeights;
-  // Ordered, so that two runs visit pools in the same order.
+  // Ordered, so that runs with the same input visit pools in the same order.
   std::map<pool_name, pool_queue> mPools;
   std::unordered_map<ticket, location> mLocations;
   latest_starts mLatestStarts;
--- a/thornhollow/policy/retry_schedule.h
+++ b/thornhollow/policy/retry_schedule.h
@@ -1,21 +1,22 @@
-// Tells refused callers when to come back, so that they find room and don't
-// come together.
+// Assigns retry delays to refused callers so that their retries arrive spread
+// out and find capacity.
 //
-//   return_schedule returns(settings);
-//   const duration after = returns.ComeBackAfter(backlog, cost, rate, random,
-//                                                now);
+//   retry_schedule schedule(settings);
+//   const duration after =
+//     schedule.ScheduleRetry(backlog, cost, rate, random, now);
 //
-// Load pattern: an overload refuses thousands within a second. Told the same
-// delay, they return within the same second and overload the router again, for
-// as long as they keep trying. Here each refused request books the service time
-// that its work needs, after the backlog and after those told before it: the
-// returns arrive at most as fast as they can be served. Jitter of a quarter
-// either way hides what is left of the pattern, such as refusals in one batch.
+// Load pattern: an overload refuses thousands of requests within a second. If
+// all callers were given the same delay, they would retry within the same
+// second and overload the router again, for as long as they keep retrying.
+// Here each refused request reserves the service time of its work, after the
+// backlog and after the reservations of earlier refusals, so that retries
+// arrive no faster than they can be served. Jitter of 25% in both directions
+// breaks up the remaining pattern, such as refusals issued in one batch.
 //
-// Grounds for the figures: never sooner than 0.25 s, a few times what a healthy
-// queue takes; never later than 30 s, because capacity may be back by then and
-// a caller that waits for nothing is lost work, too. Beyond that the returns
-// spread over the upper half of the 30 s.
+// Choice of the limits: 0.25 s is a few times the wait in a healthy queue. 30 s
+// is the maximum because capacity may be available again by then, and a caller
+// that waits without need is lost work, too. Delays that would exceed the
+// maximum are spread over its upper half.
 #ifndef THORNHOLLOW_POLICY_RETRY_SCHEDULE_H_
 #define THORNHOLLOW_POLICY_RETRY_SCHEDULE_H_
 
@@ -28,12 +29,12 @@
 
 struct retry_schedule_settings
 {
-  // False: everybody is told `mLeast` times four, as a fixed delay.
+  // If false, all callers get the same delay of four times `mMinDelay`.
   bool mSpread = true;
   duration mMinDelay = Milliseconds(250);
   duration mMaxDelay = Seconds(30);
-  // Part of the measured rate that is given to returning callers; the rest is
-  // for those who come for the first time.
+  // Fraction of the measured rate that is reserved for retries; the rest is
+  // left for first attempts.
   double mRateFraction = 0.5;
 
   friend bool operator==(const retry_schedule_settings&,
@@ -45,8 +46,9 @@
 public:
   explicit retry_schedule(const retry_schedule_settings& aSettings);
 
-  // When a request of this cost should come back: `aBacklog` is the time until
-  // the queue is short enough again, `aRate` the measured cost served a second.
+  // Returns the delay after which a request of cost `aCost` should be retried.
+  // `aBacklog` is the time until the queue is short enough again, `aRate` the
+  // measured cost served per second.
   duration ScheduleRetry(duration aBacklog,
                          double aCost,
                          std::optional<double> aRate,
@@ -55,7 +57,7 @@
 
 private:
   retry_schedule_settings mSettings;
-  // Up to when returning callers are booked.
+  // End of the service time reserved for retries so far.
   time_point mReservedUntil{};
 };
 
--- a/thornhollow/policy/scheduler.cc
+++ b/thornhollow/policy/scheduler.cc
@@ -158,7 +158,8 @@
 scheduler::Forget(ticket aTicket, time_point aNow)
 {
   decisions out;
-  // First, so that what falls due now is no decision about this ticket.
+  // Removed before `BeginEvent`, which otherwise might return a refusal of this
+  // ticket.
   if (const auto found = mRequests.find(aTicket); found != mRequests.end()) {
     ReleaseSlot(found->second, attempt_end::kCancelled, 0, aNow);
     mQueue.Remove(aTicket, aNow);
@@ -260,10 +261,11 @@
   return due;
 }
 
-// A process that stood still wakes with requests whose time is over. Whichever
-// event it handles first would start them, at endpoints that it knows nothing
-// of any more: the callers are gone and the work is wasted. So every event
-// first lets the deadlines pass, and tells the endpoint side of the gap.
+// After a pause of the process, queued requests may be past their deadlines and
+// the known endpoint state is outdated. Whichever event comes first could start
+// such requests, although their callers have disconnected and the work would be
+// wasted. Every event therefore first refuses expired requests and reports the
+// gap to the endpoint table.
 void
 scheduler::BeginEvent(time_point aNow, decisions& aOut)
 {
@@ -290,8 +292,10 @@
                         time_point aNow,
                         decisions& aOut)
 {
-  // Classes whose next request finds no place while another class's may: long
-  // work, which is bounded at each endpoint, and what may not wait there.
+  // Classes whose next request finds no slot although another class's request
+  // may find one: long requests, whose number is limited per endpoint, and
+  // requests that use their class's minimum share, which are limited in
+  // endpoint queues.
   std::vector<class_name> skippedClasses;
   for (;;) {
     const next_request next = mQueue.Next(aPool, skippedClasses, aNow);
--- a/thornhollow/policy/scheduler.h
+++ b/thornhollow/policy/scheduler.h
@@ -1,21 +1,23 @@
-// Decides for every request of one entry instance whether it is sent, waits or
-// is refused, and to which endpoint it goes. No network, no clock: each call
-// takes the present and returns what is to be done now.
+// Decides whether each request of one entry instance is sent to an endpoint,
+// queued or refused. It performs no I/O and reads no clock: every call takes
+// the current time and returns the decisions to carry out now.
 //
-//   scheduler decide(scheduler_settings{}, 1);
-//   decide.Configure(declared, domain_name("worcester-hall"), now);
-//   Apply(decide.Submit(item, now));
+//   scheduler scheduling(scheduler_settings{}, 1);
+//   scheduling.Configure(declared, domain_name("worcester-hall"), now);
+//   Apply(scheduling.Submit(item, now));
 //   ...
-//   Apply(decide.OnAttemptEnded(ticket, attempt_end::kCompleted, 200, now));
+//   Apply(scheduling.OnAttemptEnded(
+//     ticket, attempt_end::kCompleted, 200, now));
 //
-// The life of a ticket: `Submit`; then a `start` or a `refuse` comes back, from
-// that call or a later one. After a `start`, the owner reports `OnFirstToken`
-// and `OnAttemptEnded`; to run it once more it calls `Resubmit`, which either
-// starts it elsewhere, lets it wait, or refuses. `Forget` ends a ticket whose
-// caller left while it waited.
+// Life cycle of a ticket: `Submit` or a later call returns a `start` or a
+// `refuse` for it. After a `start` the caller reports `OnFirstToken` and
+// `OnAttemptEnded`. To retry the request it calls `Resubmit`, which starts it
+// on another endpoint, queues it or refuses it. `Forget` ends the ticket of a
+// request that is complete or whose caller has disconnected.
 //
-// Instances tell each other about their load: what `Pressure` returns goes to
-// the others, a few times a second, and theirs comes in by `OnPeerPressure`.
+// Instances exchange their load: the caller sends the result of `Pressure` to
+// the other instances several times per second and passes the reports received
+// from them to `OnPeerPressure`.
 #ifndef THORNHOLLOW_POLICY_SCHEDULER_H_
 #define THORNHOLLOW_POLICY_SCHEDULER_H_
 
@@ -44,17 +46,20 @@
   run_time_settings mRunTimes;
   clock_gap_settings mClockGap;
   endpoint_queue_settings mEndpointQueues;
-  // Whether other instances' pressure counts also for pools whose endpoints
-  // order their queues by tier: there it costs the middle tiers more than it
-  // brings the highest (docs/design/decisions_under_load.md).
+  // Whether pressure reports from other instances also apply to pools whose
+  // endpoints order their queues by tier. Off by default: in such pools the
+  // middle tiers lose more than the highest tier gains
+  // (docs/design/decisions_under_load.md).
   bool mApplyPressureToTieredPools = false;
   // The lowest tier whose requests may wait in endpoints' own queues without
-  // being owed their class's share.
+  // using their class's minimum share.
   int mLowestEndpointQueueTier = 2;
-  // Requests of this instance that may wait in one endpoint's queue: as many as
-  // an ordinary batch, so that its next batch is not wholly decided here.
+  // Limit on this instance's requests waiting in one endpoint's queue. It is
+  // the size of an ordinary batch, so that this instance alone does not
+  // determine the endpoint's next batch.
   std::uint32_t mMaxQueuedPerEndpoint = 8;
-  // The same of those that take their class's share: long work, mostly.
+  // The same limit for requests that use their class's minimum share. These
+  // are mostly long requests.
   std::uint32_t mMaxMinimumSharePerEndpoint = 1;
 
   friend bool operator==(const scheduler_settings&,
@@ -64,34 +69,34 @@
 class scheduler
 {
 public:
-  // `aSeed` drives every random choice, so that a run can be repeated.
+  // `aSeed` seeds all random choices, which makes runs reproducible.
   scheduler(const scheduler_settings& aSettings, std::uint64_t aSeed);
 
-  // Takes a configuration in force. Requests that wait for something that is no
-  // longer declared are refused; those in progress go on.
+  // Applies the configuration in force. Queued requests whose class, team or
+  // pool is no longer declared are refused; running requests continue.
   decisions Configure(const declarations& aDeclared,
                       const domain_name& aOwnDomain,
                       time_point aNow);
 
-  // A new request.
+  // Accepts a new request.
   decisions Submit(const work_item& aItem, time_point aNow);
 
-  // Runs a request again after an attempt that ended without its answer. The
-  // endpoints already tried are avoided where others are to be had.
+  // Retries a request after an attempt that ended without its answer. Endpoints
+  // that were already tried are avoided if others are available.
   decisions Resubmit(ticket aTicket, time_point aNow);
 
-  // The first token of the present attempt came.
+  // The current attempt produced its first token.
   void OnFirstToken(ticket aTicket, time_point aNow);
 
-  // The present attempt ended; its place is free. `aTokens` counts the answer's
-  // tokens of this attempt.
+  // The current attempt ended, which releases its slot. `aTokens` is the number
+  // of output tokens that this attempt produced.
   decisions OnAttemptEnded(ticket aTicket,
                            attempt_end aHow,
                            std::uint32_t aTokens,
                            time_point aNow);
 
-  // The request got its final answer, or its caller left: its ticket is no
-  // longer known. A place still held is freed.
+  // Discards a ticket whose request has its final answer or whose caller has
+  // disconnected. Releases the slot if the request still holds one.
   decisions Forget(ticket aTicket, time_point aNow);
 
   decisions OnLoadReport(const endpoint_name& aEndpoint,
@@ -101,34 +106,34 @@
                             endpoint_state aState,
                             time_point aNow);
 
-  // How each pool under load fares here, for the other instances.
+  // Load of each pool on this instance, to be sent to the other instances.
   std::vector<pool_pressure> Pressure(time_point aNow) const;
-  // The same of another instance, as it came in.
+  // Handles such a report received from instance `aFrom`.
   decisions OnPeerPressure(const instance_name& aFrom,
                            const pool_pressure& aPressure,
                            time_point aNow);
 
-  // Who this instance is and which entry instances its domain has; takes effect
-  // with the next `Configure`.
+  // Sets the name of this instance and the entry instances of its domain. Takes
+  // effect with the next `Configure`.
   void SetRouters(const instance_name& aOwn,
                   const std::vector<instance_name>& aRouters);
 
-  // How long a request like this would wait now, by what was measured.
+  // Expected queueing time of such a request, from the measured service rate.
   duration PredictedWait(const work_item& aItem, time_point aNow) const;
 
-  // The endpoints as this instance sees them, by name.
+  // State of the endpoints as known to this instance, sorted by name.
   std::vector<endpoint_status> Endpoints(time_point aNow) const;
 
-  // Does what falls due: refuses requests whose deadline passed, starts what
-  // fits.
+  // Refuses requests that can no longer meet their deadline and starts queued
+  // requests for which there is capacity.
   decisions Advance(time_point aNow);
 
-  // The same, called every `clock_gap::kTickEvery`. From the first call on, a
-  // long step between two calls of any kind means that this process stood
-  // still: what was believed before no longer counts.
+  // The same, to be called every `clock_gap::kTickEvery`. After the first call,
+  // a long step between two calls of any kind is taken as a pause of this
+  // process, and state estimated before the pause is discarded.
   decisions Tick(time_point aNow);
 
-  // When `Advance` has something to do next; nothing where it has not.
+  // When `Advance` next has work to do, or nothing if no work is pending.
   std::optional<time_point> NextDue() const;
 
   std::size_t Waiting() const { return mQueue.size(); }
@@ -139,20 +144,22 @@
   {
     work_item mItem;
     std::vector<endpoint_name> mTriedEndpoints;
-    // Set while an attempt holds a place.
+    // Set while an attempt holds a slot at this endpoint.
     std::optional<endpoint_name> mEndpoint;
     bool mUsesMinimumShare = false;
     time_point mStartedAt{};
-    // Charged when it started.
+    // Estimated cost that was charged at the start.
     double mChargedCost = 0;
-    // It was sent to wait in the endpoint's own queue, and no token came yet.
+    // The request was sent to wait in the endpoint's own queue and has not yet
+    // received a token.
     bool mInEndpointQueue = false;
   };
   struct pool_windows
   {
     explicit pool_windows(const endpoint_queue_settings& aSettings);
 
-    // By tier, highest first; the last is for what takes its minimum share.
+    // One window per tier, highest first, followed by the window of requests
+    // that use their class's minimum share.
     std::vector<endpoint_queue_window> mWindows;
   };
   using request_states = std::unordered_map<ticket, request_state>;
@@ -163,8 +170,8 @@
                                               bool aUsesMinimumShare,
                                               time_point aNow);
   work_estimate Estimate(const work_item& aItem) const;
-  // Every call starts here: notices a gap in the clock, and refuses what can't
-  // finish any more before anything is started.
+  // Called first by every event: detects a gap in the clock and refuses
+  // requests that can no longer meet their deadline before any is started.
   void BeginEvent(time_point aNow, decisions& aOut);
   void StartWaiting(time_point aNow, decisions& aOut);
   void StartWaiting(const pool_name& aPool, time_point aNow, decisions& aOut);
@@ -190,7 +197,7 @@
   run_time_estimate mRunTimes;
   team_in_flight mTeamInFlight;
   clock_gap mClockGap;
-  // Whether the owner calls `Tick`.
+  // Whether the caller uses `Tick`.
   bool mTicking = false;
   time_point mNow{};
   request_states mRequests;
--- a/thornhollow/policy/scheduler_benchmark.cc
+++ b/thornhollow/policy/scheduler_benchmark.cc
@@ -1,5 +1,5 @@
-// Cost of the scheduler's decisions over teams and waiting requests.
-// docs/design/endpoint_choice.md has the figures and the commands.
+// Cost of scheduling decisions by number of teams and of waiting requests.
+// Results and commands: docs/design/endpoint_choice.md.
 
 #include <cstddef>
 #include <cstdint>
@@ -17,7 +17,7 @@
 constexpr int kEndpoints = 77;
 constexpr std::size_t kMaxWaiting = 20000;
 
-// A scheduler with every place taken and some requests waiting.
+// A scheduler with all slots in use and a given number of waiting requests.
 class loaded_scheduler
 {
 public:
@@ -68,7 +68,7 @@
     Apply(mScheduler.Submit(item, mNow));
   }
 
-  // The oldest running request ends, and its place goes to a waiting one.
+  // Ends the oldest running request, whose slot goes to a waiting one.
   void EndOne()
   {
     const ticket ended = mRunning.front();
@@ -86,7 +86,7 @@
   {
     scheduler_settings settings;
     settings.mQueue.mPool.mMaxWaiting = kMaxWaiting;
-    // Nothing may be refused, or the number that waits would change.
+    // Refusals would change the number of waiting requests.
     settings.mQueue.mPool.mDeadlineCheck = false;
     settings.mQueue.mPool.mStandingQueue.mEnabled = false;
     return settings;
@@ -108,7 +108,7 @@
   scheduler mScheduler;
 };
 
-// One request more, one answer: the queue stays as long as it is.
+// Submits one request and ends one, which keeps the queue length constant.
 void
 SubmitAndEnd(benchmark::State& aState)
 {
--- a/thornhollow/policy/scheduler_search_test.cc
+++ b/thornhollow/policy/scheduler_search_test.cc
@@ -1,7 +1,7 @@
-// A search for faults in the scheduler and its endpoint table: seeded lists of
-// submissions, ends, failures, reports, changes of state and pauses, with
-// invariants checked after each. A list that fails is shortened before it is
-// shown. A longer search:
+// Randomized search for faults in the scheduler and its endpoint table. Runs
+// seeded sequences of submissions, completions, failures, load reports,
+// endpoint state changes and pauses, and checks invariants after each event. A
+// failing sequence is minimized before it is printed. To run a longer search:
 // THORNHOLLOW_SCHEDULER_SEEDS=20000 policy_test -tc="scheduler_search/*"
 
 #include <algorithm>
@@ -30,7 +30,7 @@
 constexpr std::uint32_t kSlots = 2;
 constexpr std::size_t kMaxWaiting = 6;
 constexpr duration kDeadline = Seconds(20);
-// By then an idle scheduler must have come back to every endpoint.
+// Within this time an idle scheduler must use every endpoint again.
 constexpr duration kSettleTime = Seconds(120);
 
 enum class search_kind : std::uint8_t
@@ -50,7 +50,7 @@
 {
   search_kind mKind = search_kind::kSubmit;
   duration mAfter{};
-  // What else the event needs, taken modulo what there is.
+  // Parameters of the event, reduced modulo the number of available choices.
   std::uint32_t mFirst = 0;
   std::uint32_t mSecond = 0;
 };
@@ -62,7 +62,7 @@
   const auto upTo = [&random](std::uint32_t aMax) {
     return std::uniform_int_distribution<std::uint32_t>(0, aMax)(random);
   };
-  // Submissions and ends make up most of it.
+  // Submissions and completions are the most frequent events.
   constexpr std::array kKinds{
     search_kind::kSubmit,  search_kind::kSubmit,     search_kind::kSubmit,
     search_kind::kSubmit,  search_kind::kFirstToken, search_kind::kFirstToken,
@@ -87,7 +87,8 @@
   return endpoint_name("e" + std::to_string(aNumber % kEndpoints));
 }
 
-// A scheduler, what its owner knows of each ticket, and what went wrong.
+// Drives a scheduler as its caller would, tracks the state of each ticket and
+// records the first violated invariant.
 class searched_scheduler
 {
 public:
@@ -100,7 +101,7 @@
   void Do(const search_event& aEvent)
   {
     mNow += aEvent.mAfter;
-    // The owner's timer goes before whatever else is ready in the same turn.
+    // As in the event loop, an expired timer is handled before other events.
     if (const auto due = mScheduler.NextDue(); due && *due <= mNow) {
       Advance();
     }
@@ -140,8 +141,8 @@
     CheckCounts();
   }
 
-  // Ends all that runs, gives up all that waits; then the scheduler must be
-  // empty and serve again with every place it has.
+  // Ends all running requests and forgets all waiting ones. The scheduler must
+  // then be empty and start requests on its endpoints again.
   void Settle()
   {
     Configure(kEndpoints);
@@ -155,7 +156,7 @@
       Drop(*found);
     }
     if (mScheduler.InProgress() != 0 || mScheduler.Waiting() != 0) {
-      ReportFault("something is left after all ended");
+      ReportFault("the scheduler is not empty after all tickets ended");
     }
     for (std::uint32_t each = 0; each < kEndpoints; ++each) {
       SetState(EndpointOf(each), endpoint_state::kGone);
@@ -175,7 +176,7 @@
   struct ticket_state
   {
     work_item mItem;
-    // Set while it runs.
+    // Set while the request runs.
     std::optional<endpoint_name> mEndpoint;
   };
 
@@ -243,7 +244,7 @@
     const bool isOver = state.mItem.mDeadline <= mNow;
     state.mEndpoint.reset();
     Apply(mScheduler.OnAttemptEnded(*found, how, 9, mNow));
-    // The owner runs nothing again after its deadline.
+    // The caller retries no request after its deadline.
     if (how == attempt_end::kCompleted || how == attempt_end::kCancelled ||
         isOver || aEvent.mSecond % 5 == 0) {
       Drop(*found);
@@ -267,7 +268,7 @@
 
   void Report(const search_event& aEvent)
   {
-    // Only what is declared is asked for reports.
+    // Only declared endpoints are polled for load reports.
     const endpoint_name endpoint = EndpointOf(aEvent.mFirst % mDeclared);
     load_report report;
     report.mRunning = aEvent.mSecond % 4;
@@ -297,13 +298,14 @@
   void Advance()
   {
     Apply(mScheduler.Advance(mNow));
-    // What was due is done: the next time lies ahead.
+    // All due work is done, so the next due time must be in the future.
     if (const auto due = mScheduler.NextDue(); due && *due <= mNow) {
       ReportFault("NextDue makes no progress");
     }
   }
 
-  // The `aNumber`-th ticket that runs, or that waits.
+  // The `aNumber`-th running ticket, or waiting ticket if `aRuns` is false,
+  // modulo their number.
   std::optional<ticket> Pick(bool aRuns, std::uint32_t aNumber) const
   {
     std::vector<ticket> fit;
@@ -331,14 +333,14 @@
   {
     const auto found = mStates.find(aStart.mTicket);
     if (found == mStates.end()) {
-      ReportFault("a ticket that ended was started");
+      ReportFault("a ticket was started after its end");
       return;
     }
     if (found->second.mEndpoint) {
-      ReportFault("a ticket got two places");
+      ReportFault("a ticket holds two slots");
     }
     if (!MayTakeWork(aStart.mEndpoint)) {
-      ReportFault("a leaving endpoint got a start");
+      ReportFault("a request was started on a leaving endpoint");
     }
     if (found->second.mItem.mDeadline <= mNow) {
       ReportFault("a ticket was started after its deadline");
@@ -350,21 +352,21 @@
   {
     const auto found = mStates.find(aRefuse.mTicket);
     if (found == mStates.end()) {
-      ReportFault("a ticket got a second final decision");
+      ReportFault("a ticket was refused after its end");
       return;
     }
     if (found->second.mEndpoint) {
-      ReportFault("a ticket that runs was refused");
+      ReportFault("a running ticket was refused");
     }
     const int tier = found->second.mItem.mTier;
     mStates.erase(found);
     const bool forRoom = aRefuse.mKind == error_kind::kQueueFull ||
                          aRefuse.mKind == error_kind::kShedForHigherTier;
-    // Every other ticket without a place waits in the same pool.
+    // Every other ticket without a slot waits in the same pool.
     for (const auto& [id, state] : mStates) {
       if (forRoom && !state.mEndpoint && state.mItem.mTier > tier) {
-        ReportFault(
-          "a lower tier waits while a higher one was refused for room");
+        ReportFault("a higher tier was refused for lack of capacity while a "
+                    "lower one waits");
       }
     }
   }
@@ -386,11 +388,11 @@
     if (mScheduler.InProgress() != mStates.size()) {
       ReportFault("the scheduler knows " +
                   std::to_string(mScheduler.InProgress()) +
-                  " tickets, its owner " + std::to_string(mStates.size()));
+                  " tickets, its caller " + std::to_string(mStates.size()));
     }
   }
 
-  // One request that is answered at once, as probes need.
+  // Runs one request that completes immediately, as probing an endpoint needs.
   void ServeOne()
   {
     const work_item item = NextItem(2, true);
@@ -419,10 +421,11 @@
     for (const auto& [id, state] : mStates) {
       running += state.mEndpoint ? 1 : 0;
     }
-    // An endpoint that left as an outlier may still have part of its share.
+    // An endpoint that was ejected as an outlier may still have reduced
+    // capacity.
     if (running < kEndpoints) {
       ReportFault("only " + std::to_string(running) +
-                  " places after all ended");
+                  " slots are usable after all tickets ended");
     }
   }
 
@@ -475,10 +478,9 @@
   }
 };
 
-// Nothing that happens around a scheduler, in whatever order, may make it
-// answer a request twice, run it in two places, lose a place, send work to an
-// endpoint that leaves, or refuse a higher tier for room that a lower one
-// keeps.
+// No sequence of events may make a scheduler answer a request twice, run it in
+// two slots, leak a slot, send work to a leaving endpoint, or refuse a higher
+// tier for lack of capacity while a lower tier waits.
 TEST_CASE_FIXTURE(scheduler_search,
                   "scheduler_search/random_events/invariants_hold")
 {
--- a/thornhollow/policy/scheduler_test.cc
+++ b/thornhollow/policy/scheduler_test.cc
@@ -64,9 +64,9 @@
   CHECK(mScheduler.Waiting() == 0);
 }
 
-// A process stands still for twenty seconds while requests wait. Whatever event
-// it handles first, the waiting ones are refused as not run: started, they
-// would waste an endpoint's work on callers who are gone.
+// The process is paused for 20 s while requests wait. Whichever event it
+// handles first, the expired requests must be refused as not run. If started,
+// they would waste an endpoint's work because their callers have disconnected.
 TEST_CASE_FIXTURE(one_slot_scheduler,
                   "scheduler/woke_late/deadlines_pass_before_anything_starts")
 {
@@ -80,9 +80,9 @@
   CHECK(std::get<refuse>(woke[0]).mKind == error_kind::kDeadlineExpiredWaiting);
 }
 
-// Runs of the class take four seconds. A request that got to three seconds
-// before its deadline can't be whole in time any more: it is refused then, not
-// started and cut off.
+// Runs of the class take 4 s. A request that still waits 3 s before its
+// deadline can no longer complete in time. It must be refused then instead of
+// being started and cut off.
 TEST_CASE_FIXTURE(one_slot_scheduler,
                   "scheduler/cannot_finish_any_more/refused_not_started")
 {
--- a/thornhollow/policy/standing_queue.h
+++ b/thornhollow/policy/standing_queue.h
@@ -1,22 +1,23 @@
-// Tells a queue that only takes up a burst from one that stands, and bounds how
-// long a new request may have to wait accordingly.
+// Distinguishes a queue that absorbs a short burst from a standing queue, and
+// limits the predicted wait of new requests accordingly.
 //
 //   standing_queue standing(settings, firstTokenTarget);
 //   standing.OnStarted(wait, now);
-//   if (predicted > standing.Bound(untilDeadline, now)) { refuse }
+//   if (predicted > standing.MaxWait(untilDeadline, now)) { refuse }
 //
 // Load pattern: sustained overload of a class whose deadline is many times its
-// first token's target. The queue then grows until it is as long as the
-// deadline and stays there: everybody is served late, nobody meets the target,
-// although as much is served as with a short queue. But a burst that ends soon
-// is better waited for than refused. So a request may wait up to its deadline
-// as long as the queue came down to the target lately; once every request has
-// waited beyond the target for a while, the queue is a standing one, and new
-// requests are taken only if they will meet their target.
+// first-token target. The queue grows until its wait equals the deadline and
+// stays there: every request is late and none meets its target, although the
+// throughput is the same as with a short queue. A short burst, however, is
+// better queued than refused. While the wait has recently dropped to the
+// target, new requests are therefore accepted with predicted waits of up to
+// their deadline. Once all waits have exceeded the target for `mWindow`, the
+// queue is considered standing, and new requests are accepted only if they are
+// predicted to meet the target.
 //
-// Controlled delay in routers' packet queues rests on the same observation.
+// CoDel (controlled delay) applies the same principle to packet queues.
 //
-// Figures: docs/design/decisions_under_load.md.
+// Measurements: docs/design/decisions_under_load.md.
 #ifndef THORNHOLLOW_POLICY_STANDING_QUEUE_H_
 #define THORNHOLLOW_POLICY_STANDING_QUEUE_H_
 
@@ -29,10 +30,10 @@
 struct standing_queue_settings
 {
   bool mEnabled = true;
-  // A queue whose waits all exceeded the target for this long stands.
+  // A queue is standing once all waits exceeded the target for this long.
   duration mWindow = Milliseconds(500);
-  // The part of the first token's target that may pass in the queue; the rest
-  // is for the endpoint.
+  // Fraction of the first-token target that may be spent in the queue; the rest
+  // is left for the endpoint.
   double mTargetFraction = 0.3;
 
   friend bool operator==(const standing_queue_settings&,
@@ -44,14 +45,14 @@
 public:
   standing_queue(const standing_queue_settings& aSettings, duration aTarget);
 
-  // A request left the queue for a place after `aWait`.
+  // A request was given a slot after waiting for `aWait`.
   void OnStarted(duration aWait, time_point aNow);
-  // Nothing waits any more.
+  // The queue became empty.
   void OnEmpty() { mAboveSince.reset(); }
 
   bool IsStanding(time_point aNow) const;
 
-  // The longest predicted wait with which a request is taken.
+  // The longest predicted wait with which a new request is accepted.
   duration MaxWait(duration aUntilDeadline, time_point aNow) const;
 
 private:
--- a/thornhollow/policy/team_in_flight.h
+++ b/thornhollow/policy/team_in_flight.h
@@ -1,20 +1,20 @@
-// Bounds the requests that one entry instance holds for a team, waiting and
-// running together.
+// Limits the number of requests, waiting and running together, that one entry
+// instance holds for each team.
 //
-//   team_in_flight held;
-//   held.Configure(declared);
-//   if (held.Add(team, tier)) { ... held.Remove(team, tier); }
+//   team_in_flight inFlight;
+//   inFlight.Configure(declared);
+//   if (inFlight.TryAdd(team, tier)) { ... inFlight.Remove(team, tier); }
 //
-// Load pattern: a caller opens requests without end, for instance from a loop
-// that doesn't wait for answers. Fair queueing keeps the others' order, but the
-// caller's requests still fill memory, connections and the common places of the
-// queue. The bound is the one that operators declare for the team; none is made
-// up where they declare none.
+// Load pattern: a caller issues requests without bound, for example in a loop
+// that does not wait for answers. Fair queueing preserves the order of the
+// other teams, but the caller's requests still consume memory, connections and
+// the shared capacity of the queue. The limit is the one declared for the team;
+// teams without a declared limit are not limited.
 //
-// A request counts against those of its own tier and of higher ones only. Were
-// all counted together, a team's burst of pallet plans would have its next
-// driver's note refused, a higher tier for a lower one. So a team holds at most
-// its limit for each tier that it uses.
+// A request counts only against requests of its own and of higher tiers. With a
+// single count, a team's burst of low-tier requests would cause its next
+// high-tier request to be refused. Per tier that it uses, a team can therefore
+// hold up to its limit.
 #ifndef THORNHOLLOW_POLICY_TEAM_IN_FLIGHT_H_
 #define THORNHOLLOW_POLICY_TEAM_IN_FLIGHT_H_
 
@@ -30,25 +30,26 @@
 class team_in_flight
 {
 public:
-  // Takes the declared limits; what is held stays counted.
+  // Applies the declared limits. Requests in flight remain counted.
   void Configure(const declarations& aDeclared);
 
-  // Counts one more request of the team; false, and nothing counted, where the
-  // team holds as many of this tier and higher ones as it may.
+  // Adds one request of the team. Returns false without adding it if the team's
+  // requests of this tier and of higher tiers have reached the limit.
   bool TryAdd(const team_name& aTeam, int aTier);
 
-  // One request of the team got its final answer.
+  // Removes one request of the team that has ended.
   void Remove(const team_name& aTeam, int aTier);
 
-  // Teams with a limit or with something held, for memory figures.
+  // Number of teams with a limit or with requests in flight, for memory
+  // measurements.
   std::size_t size() const { return mTeams.size(); }
 
 private:
   struct entry
   {
-    // 0: none.
+    // 0 means unlimited.
     std::uint32_t mLimit = 0;
-    // By tier, the highest first.
+    // Requests in flight by tier, highest first.
     std::array<std::uint32_t, kLowestTier - kHighestTier + 1> mInFlight{};
 
     bool IsUnused() const;
--- a/thornhollow/policy/waiting_modules_test.cc
+++ b/thornhollow/policy/waiting_modules_test.cc
@@ -46,8 +46,8 @@
   CHECK(*rate.PerSecond(kStart + Seconds(60)) > 200);
 }
 
-// 500 callers are refused within the same second, while ten a second can be
-// served. Told the same delay they would all come back within one second.
+// 500 callers are refused within the same second, while 10 per second can be
+// served. With equal delays, all of them would retry within one second.
 TEST_CASE("return_schedule/many_refused_at_once/come_back_spread")
 {
   retry_schedule schedule{ retry_schedule_settings{} };
@@ -99,8 +99,8 @@
 
 TEST_CASE("team_in_flight/full_of_a_lower_tier/higher_tier_is_taken")
 {
-  // A warehouse asks for as many pallet plans as its team may hold. Its next
-  // driver's note, of a higher tier, must not be refused for them.
+  // A team reaches its limit with low-tier requests. Its next request of a
+  // higher tier must not be refused because of them.
   declarations declared;
   declared.mTeams = { { team_name("a"), {}, {}, 1, 2 } };
   team_in_flight inFlight;
@@ -186,7 +186,7 @@
   CHECK(!peers.HoldsBack(kPool, 4, kStart));
   peers.OnReport(instance_name("i5"), { kPool, 1, Seconds(8), {} }, kStart);
   CHECK(peers.HoldsBack(kPool, 2, kStart));
-  // Its next word takes the last one's place.
+  // A later report replaces the earlier one of the same instance.
   peers.OnReport(instance_name("i5"), { kPool, 4, {}, {} }, kStart);
   CHECK(!peers.HoldsBack(kPool, 2, kStart));
 }
--- a/thornhollow/policy/waiting_request.h
+++ b/thornhollow/policy/waiting_request.h
@@ -1,5 +1,6 @@
-// One request that waits for a place, with what the decisions need to know of
-// its work. Costs are in output tokens: the time that a place is held for.
+// A request that waits for a slot, with the estimates of its work that the
+// scheduling decisions need. Costs are in output tokens, which are proportional
+// to the time for which a slot is held.
 #ifndef THORNHOLLOW_POLICY_WAITING_REQUEST_H_
 #define THORNHOLLOW_POLICY_WAITING_REQUEST_H_
 
@@ -7,18 +8,18 @@
 
 namespace thornhollow {
 
-// A prompt token's cost in output tokens. An engine computes a prompt in chunks
-// of hundreds of tokens, each in the time of a few steps, while a step puts out
-// one token of each answer: 1/32 is the middle of what chunks of 128 to 512 at
-// four to sixteen steps' time amount to.
+// Cost of a prompt token in output tokens. During prefill an engine processes a
+// prompt in chunks of hundreds of tokens, each in the time of several steps,
+// while one step produces one output token of each answer. Chunks of 128 to 512
+// tokens that take four to sixteen steps result in about 1/32.
 inline constexpr double kPromptTokenCost = 1.0 / 32;
 
-// What is expected of a request's work.
+// Estimates of a request's work.
 struct work_estimate
 {
-  // Expected output tokens and `kPromptTokenCost` for each prompt token.
+  // Expected output tokens plus `kPromptTokenCost` for each prompt token.
   double mCost = 1;
-  // A run shorter than this is unlikely; zero where nothing is known.
+  // The run is unlikely to be shorter than this; zero if unknown.
   duration mMinRunTime{};
 
   friend bool operator==(const work_estimate&, const work_estimate&) = default;
@@ -30,7 +31,7 @@
   work_estimate mWork;
   time_point mQueuedAt{};
 
-  // When it must have started, or it can't finish before its deadline.
+  // Latest start with which the request can finish before its deadline.
   time_point LatestStart() const { return mItem.mDeadline - mWork.mMinRunTime; }
 
   friend bool operator==(const waiting_request&,
