--- a/thornhollow/policy/concurrency_limit.cc
+++ b/thornhollow/policy/concurrency_limit.cc
@@ -6,10 +6,10 @@
 namespace thornhollow {
 namespace {
 
-// A window whose highest load was below this share of the limit says nothing
-// about a queue.
+// A window whose maximum load was below this fraction of the limit is no
+// evidence of queueing.
 constexpr double kBusyFraction = 0.5;
-// The limit rises only while it is nearly used up.
+// The limit increases only if the maximum load reached this fraction of it.
 constexpr double kNearLimitFraction = 0.8;
 
 } // namespace
--- a/thornhollow/policy/concurrency_limit.h
+++ b/thornhollow/policy/concurrency_limit.h
@@ -1,35 +1,38 @@
-// How many requests an endpoint should have in flight, over all routers, learnt
-// from its own latency.
+// Adaptive limit on the requests in flight at an endpoint, summed over all
+// routers, derived from the endpoint's own latency.
 //
 //   concurrency_limit limit(concurrency_limit_settings{}, declared.mSlots);
-//   limit.OnFirstToken(wait, busy, now);
+//   limit.OnFirstToken(timeToFirstToken, load, now);
 //   if (inFlight < limit.Limit()) { ... }
 //
-// Load pattern: more work is sent to an endpoint than it can batch, because its
-// declared slots are too many for its present work, because it became slow, or
-// because other routers send to it as well. Without a limit the excess waits in
-// the engine's queue, where it can no longer be reordered, refused or sent
-// elsewhere; every first token there is late, also that of the highest tier.
+// Load pattern: an endpoint is sent more work than it can batch, because its
+// declared slots are too many for the current workload, because it has become
+// slow, or because other routers send to it as well. Without a limit the excess
+// waits in the engine's queue, where it can no longer be reordered, refused or
+// sent elsewhere, and every first token is late, including those of the highest
+// tier.
 //
-// The limit starts at the declared slots and never exceeds them: the operator's
-// figure is what the endpoint batches, more only lengthens its queue. It falls
-// when a window's mean time to first token, or its mean time per token, is more
-// than twice the endpoint's own recent floor, and rises by one a window else.
+// The limit starts at the declared slots and never exceeds them: the declared
+// number is what the endpoint batches, and more requests only lengthen its
+// queue. The limit decreases when a window's mean time to first token, or its
+// mean time per token, is more than twice the endpoint's recent floor.
+// Otherwise it increases by one per window while it is nearly used up.
 //
-// Grounds for the figures:
-// - Twice the floor: a full batch slows each step by some tens of per cent;
-//   a request that waits for a place waits a good part of another's run, which
-//   is many times the first token's time. Twice separates the two.
-// - It falls by at most 30% a window, and not again before what was sent under
-//   the old limit had time to answer: latency shows the past, and a second cut
-//   for the same queue would empty the endpoint.
-// - It rises by one a window of eight answers: a request more in each window
-//   finds the edge without overshooting by more than one. From 1 to 16 takes
-//   120 answers, a few seconds of an endpoint's work.
-// - The floor may grow by a quarter in thirty seconds, so that an overload of
-//   minutes isn't taken for the endpoint's normal speed.
-// - A quiet endpoint (less than half of its limit used) isn't judged: what is
-//   slow there is not a queue.
+// Choice of constants:
+// - Twice the floor: a full batch slows each step by some tens of per cent,
+//   while a request that waits for a slot waits for a large fraction of another
+//   request's run, many times the usual time to first token. A factor of two
+//   separates the two cases.
+// - A decrease is at most 30% per window, and the next one waits until requests
+//   sent under the old limit have had time to respond. Latency lags behind the
+//   limit, so a second decrease for the same queue would drain the endpoint.
+// - An increase is one per window of eight responses, which finds the capacity
+//   without overshooting it by more than one request. Going from 1 to 16 takes
+//   120 responses, a few seconds of an endpoint's work.
+// - The floor may grow by a quarter every thirty seconds, so that an overload
+//   lasting minutes is not taken for the endpoint's normal speed.
+// - High latency of an endpoint below half of its limit does not decrease the
+//   limit, because it is not caused by queueing.
 #ifndef THORNHOLLOW_POLICY_CONCURRENCY_LIMIT_H_
 #define THORNHOLLOW_POLICY_CONCURRENCY_LIMIT_H_
 
@@ -42,13 +45,14 @@
 
 struct concurrency_limit_settings
 {
-  // False: the limit stays at the declared slots.
+  // If false, the limit stays at the declared slots.
   bool mAdaptive = true;
-  // A window's mean above this multiple of the floor is a queue.
+  // A window mean above this multiple of the floor indicates queueing.
   double mTolerance = 2;
-  // Added to the first token's bound: jitter of the network and of one step.
+  // Added to the bound on the time to first token, to allow for the jitter of
+  // the network and of one engine step.
   duration mFirstTokenSlack = Milliseconds(500);
-  // Smallest factor that one window applies.
+  // The limit is multiplied by no less than this in one window.
   double mMinDecreaseFactor = 0.7;
   std::uint32_t mWindowResponses = 8;
   duration mFloorPeriod = Seconds(30);
@@ -58,14 +62,15 @@
                          const concurrency_limit_settings&) = default;
 };
 
-// The lowest window mean of the last one to two floor lives.
+// The lowest window mean of the last one to two floor periods, in seconds. From
+// one period to the next it rises by at most `mFloorGrowth`.
 class latency_floor
 {
 public:
   void Add(double aMean,
            time_point aNow,
            const concurrency_limit_settings& aSettings);
-  // Zero where nothing was learnt.
+  // Zero before the first `Add`.
   double Value() const;
 
 private:
@@ -80,18 +85,20 @@
   concurrency_limit(const concurrency_limit_settings& aSettings,
                     std::uint32_t aSlots);
 
-  // The operator changed the slots: what was learnt is scaled.
+  // Sets the declared slots and scales the current limit in proportion.
   void SetSlots(std::uint32_t aSlots);
 
-  // A first token came `aWait` after its request was sent; `aLoad` requests
-  // were in flight there, over all routers as far as known.
+  // Records that a first token arrived `aTimeToFirstToken` after its request
+  // was sent. `aLoad` is the estimated number of requests in flight at the
+  // endpoint, over all routers.
   void OnFirstToken(duration aTimeToFirstToken, double aLoad, time_point aNow);
-  // An answer took `aPerToken` for each token.
+  // Records a response's mean time per token.
   void OnTimePerToken(duration aTimePerToken);
-  // The endpoint said that it was busy, with `aInFlight` of this router there.
+  // Records that the endpoint declined a request as busy while it had
+  // `aInFlight` requests of this router.
   void OnDeclined(std::uint32_t aInFlight, time_point aNow);
 
-  // Requests to have in flight there at a time, at least 1.
+  // Maximum number of requests in flight, at least 1.
   std::uint32_t Limit() const;
 
 private:
--- a/thornhollow/policy/concurrency_limit_test.cc
+++ b/thornhollow/policy/concurrency_limit_test.cc
@@ -7,7 +7,7 @@
 
 struct sixteen_slots
 {
-  // One window of answers, a second later.
+  // Advances the clock by a second and reports one window of first tokens.
   void Window(duration aWait, double aLoad)
   {
     mNow += Seconds(1);
@@ -21,9 +21,9 @@
   concurrency_limit mLimit{ concurrency_limit_settings{}, 16 };
 };
 
-// The first tokens of a full endpoint come late because requests queue inside
-// it. Callers of the highest tier wait there behind work that the router could
-// still have held back.
+// Requests queue inside a full endpoint, so its first tokens are late. Requests
+// of the highest tier then wait behind work that the router could have held
+// back.
 TEST_CASE_FIXTURE(sixteen_slots,
                   "concurrency_limit/queue_in_engine/falls_then_recovers")
 {
@@ -55,8 +55,8 @@
   CHECK(mLimit.Limit() == 11);
 }
 
-// An overload lasts for minutes. Were the floor to follow it, the limit would
-// rise again while the endpoint still queues.
+// Guards against a floor that follows an overload lasting minutes: the limit
+// would increase again while requests still queue at the endpoint.
 TEST_CASE_FIXTURE(sixteen_slots,
                   "concurrency_limit/overload_of_minutes/floor_holds")
 {
--- a/thornhollow/policy/length_estimate.h
+++ b/thornhollow/policy/length_estimate.h
@@ -1,24 +1,27 @@
-// How many tokens a request's answer will have: learnt by class and pool.
+// Estimates the number of output tokens of a request from earlier responses of
+// the same class and pool.
 //
 //   length_estimate lengths(length_estimate_settings{});
 //   lengths.Learn(item.mClass, item.mPool, tokens);
 //   const double cost = lengths.Expected(item);
 //   if (lengths.IsLong(item)) { ... }
 //
-// Load pattern: long jobs among short ones, with the length unknown when the
-// request arrives. Without an estimate a plan of 4,000 tokens costs a team as
-// much as a note of 40, and a handful of plans takes every place of a pool for
-// tens of seconds while short requests miss their first token's target.
+// Load pattern: long jobs among short ones, where the length is unknown when
+// the request arrives. Without an estimate a plan of 4,000 tokens costs a team
+// as much as a note of 40, and a few plans occupy every slot of a pool for tens
+// of seconds while short requests miss their target time to first token.
 //
-// Bounded memory: one histogram of kBuckets counters for each pair of class and
-// pool, at most `mMostPairs` of them; the rest share their pool's.
+// Memory is bounded: one histogram of kBuckets counters for each pair of class
+// and pool, at most `mMaxPairs` of them. Further pairs use their pool's
+// histogram.
 //
-// Grounds for the figures: buckets of a quarter octave give a quantile within
-// 19%, far below the spread within one class. Counters are halved at 512
-// answers, so that an estimate follows a change of habit within about a
-// thousand answers. Below 16 answers the pool's own figure is used: a quantile
-// of fewer says little. A class counts as long at four times the pool's median:
-// then a place that it takes would have served four ordinary requests.
+// Choice of constants: buckets of a quarter octave give a quantile within 19%,
+// far below the variation within one class. Counters are halved at 512
+// responses, so that an estimate follows a change of behaviour within about a
+// thousand responses. Below 16 responses the pool's histogram is used, because
+// a quantile of fewer samples is unreliable. A class counts as long at four
+// times the pool's median: a slot that it occupies could have served four
+// typical requests.
 #ifndef THORNHOLLOW_POLICY_LENGTH_ESTIMATE_H_
 #define THORNHOLLOW_POLICY_LENGTH_ESTIMATE_H_
 
@@ -33,15 +36,15 @@
 
 namespace thornhollow {
 
-// Token counts in buckets of a quarter octave; old counts fade.
+// Histogram of token counts in buckets of a quarter octave. Older samples lose
+// weight over time.
 class length_histogram
 {
 public:
   static constexpr std::size_t kBuckets = 72;
 
   void Add(std::uint32_t aTokens);
-  // The length that a share `aShare` (0 to 1) of answers does not exceed; zero
-  // where nothing was learnt.
+  // The token count at quantile `aQuantile` (0 to 1), zero without samples.
   double Quantile(double aQuantile) const;
   double Mean() const;
   std::uint32_t Count() const { return mCount; }
@@ -53,12 +56,13 @@
 
 struct length_estimate_settings
 {
-  // Taken while nothing is learnt; an ordinary answer (letter 1: 740,000
-  // tokens over 3,100 requests a second is 239 each).
+  // Used while there are too few samples. The mean of the expected workload:
+  // 740,000 tokens over 3,100 requests per second is 239 each.
   double mDefaultLength = 239;
-  // Answers of a class before its own figures are used.
+  // Responses of a class before its own histogram is used.
   std::uint32_t mMinSamples = 16;
-  // A class whose upper quartile is this often the pool's median is long.
+  // A class is long if its upper quartile is at least this multiple of the
+  // pool's median.
   double mLongFactor = 4;
   std::size_t mMaxPairs = 1024;
 
@@ -71,25 +75,26 @@
 public:
   explicit length_estimate(const length_estimate_settings& aSettings);
 
-  // Forgets classes and pools that are no longer declared.
+  // Drops the histograms of classes and pools that are no longer declared.
   void Configure(const declarations& aDeclared);
 
-  // A whole answer of `aTokens` tokens came.
+  // Records a complete response of `aTokens` tokens.
   void Learn(const class_name& aClass,
              const pool_name& aPool,
              std::uint32_t aTokens);
 
-  // Mean tokens to expect for `aItem`, never above its own maximum.
+  // Expected number of output tokens of `aItem`, at most its own maximum.
   double Expected(const work_item& aItem) const;
 
-  // Tokens that a share `aShare` of such answers does not exceed.
+  // Output tokens of `aItem` at quantile `aQuantile` (0 to 1), at most its own
+  // maximum.
   double Quantile(const work_item& aItem, double aQuantile) const;
 
-  // Whether `aItem` holds a place for much longer than its pool's ordinary
-  // work.
+  // Whether `aItem` is likely to hold a slot for much longer than its pool's
+  // typical request.
   bool IsLong(const work_item& aItem) const;
 
-  // Pairs of class and pool held.
+  // Number of pairs of class and pool with a histogram of their own.
   std::size_t size() const { return mPairs; }
 
 private:
--- a/thornhollow/policy/run_time_estimate.h
+++ b/thornhollow/policy/run_time_estimate.h
@@ -1,17 +1,19 @@
-// How long runs take, learnt by class and pool from those that completed.
+// Estimates the run time of requests from completed ones of the same class and
+// pool.
 //
 //   run_time_estimate runs;
-//   runs.Learn(item, runLength);
-//   const duration least = runs.Shortest(item);
+//   runs.Learn(item, runTime);
+//   const duration lowerBound = runs.LowerBound(item);
 //
-// Load pattern: a request waited so long that its answer can't be whole before
-// its deadline any more. Started nevertheless, it takes a place, is cut off at
-// its deadline, and all its tokens are wasted, most of them exactly when
+// Load pattern: a request has waited so long that its response can no longer be
+// complete by its deadline. If it is started anyway, it occupies a slot, is cut
+// off at its deadline, and all its tokens are wasted, mostly at times when
 // capacity is short.
 //
-// Grounds for the figures: the run that one in ten stays below. A higher
-// quantile refuses requests that would have made it; the lowest run seen is an
-// outlier that refuses nothing. Fewer than 16 runs say nothing about a tenth.
+// Choice of constants: the bound is the 10% quantile of the run times. A higher
+// quantile would refuse requests that could still have met their deadline,
+// while the shortest run seen is an outlier that refuses nothing. Fewer than 16
+// runs are too few for a 10% quantile.
 #ifndef THORNHOLLOW_POLICY_RUN_TIME_ESTIMATE_H_
 #define THORNHOLLOW_POLICY_RUN_TIME_ESTIMATE_H_
 
@@ -24,7 +26,7 @@
 
 struct run_time_settings
 {
-  // Part of the runs that may be shorter than the estimate; 0: none is made.
+  // Fraction of the runs that may be shorter than the bound. 0 disables it.
   double mQuantile = 0.1;
   std::uint32_t mMinRuns = 16;
 
@@ -37,17 +39,18 @@
 public:
   explicit run_time_estimate(const run_time_settings& aSettings);
 
-  // Forgets classes that are no longer declared.
+  // Drops the samples of classes that are no longer declared.
   void Configure(const declarations& aDeclared);
 
-  // A request like `aItem` got its whole answer in `aLength`.
+  // Records that a request like `aItem` was completed in `aRunTime`.
   void Learn(const work_item& aItem, duration aRunTime);
 
-  // A run of `aItem` is unlikely to be shorter; zero where nothing is known.
+  // A run time that a run of `aItem` is unlikely to stay below. Zero if the
+  // bound is disabled or has too few samples.
   duration LowerBound(const work_item& aItem) const;
 
 private:
-  // Lengths in milliseconds.
+  // Histograms of run times in milliseconds.
   using by_pool = std::unordered_map<pool_name, length_histogram>;
 
   run_time_settings mSettings;
--- a/thornhollow/policy/scenario/baselines.cc
+++ b/thornhollow/policy/scenario/baselines.cc
@@ -23,7 +23,7 @@
     }
   }
   for (auto& [name, pool] : mPools) {
-    // Instances don't start their turns at the same endpoint.
+    // Instances start their rotation at different endpoints.
     pool.mNext = mSeed % pool.mEndpoints.size();
   }
   return {};
@@ -69,7 +69,7 @@
   return {};
 }
 
-// Both take another endpoint than the one that just failed, as any proxy does.
+// Both algorithms avoid the endpoint that just failed, as any proxy does.
 std::size_t
 baseline_scheduler::PickEndpoint(pool_state& aPool,
                                  const baseline_request& aRequest) const
--- a/thornhollow/policy/scenario/baselines.h
+++ b/thornhollow/policy/scenario/baselines.h
@@ -1,6 +1,11 @@
-// The two simple policies that the scenarios compare with. Both send each
-// request at once, first in first out, and leave all waiting to the engines;
-// both retry and cancel as the scheduler's owner does.
+// Two simple policies that serve as baselines for the scenarios. Both send each
+// request immediately, in order of arrival, and leave all queueing to the
+// engines. Retries and cancellations work as with the scheduler.
+//
+//   baseline_scheduler policy(round_robin{}, seed);
+//   policy.Configure(declared, ownDomain, now);
+//   const decisions next = policy.Submit(item, now);
+//
 #ifndef THORNHOLLOW_POLICY_SCENARIO_BASELINES_H_
 #define THORNHOLLOW_POLICY_SCENARIO_BASELINES_H_
 
@@ -16,13 +21,13 @@
 
 namespace thornhollow::scenario {
 
-// Endpoints of a pool in turn.
+// Selects the endpoints of a pool in turn.
 struct round_robin
 {
   friend bool operator==(const round_robin&, const round_robin&) = default;
 };
 
-// The endpoint to which this instance has the fewest requests open.
+// Selects the endpoint with the fewest outstanding requests of this instance.
 struct least_outstanding
 {
   friend bool operator==(const least_outstanding&,
@@ -31,7 +36,7 @@
 
 using balancing_algorithm = std::variant<round_robin, least_outstanding>;
 
-// The scheduler's interface, as far as the scenarios use it.
+// Implements the subset of the scheduler's interface that the scenarios use.
 class baseline_scheduler
 {
 public:
--- a/thornhollow/policy/scenario/catalog.cc
+++ b/thornhollow/policy/scenario/catalog.cc
@@ -6,7 +6,7 @@
 namespace thornhollow::scenario {
 namespace {
 
-// The class of this tier in the deployment's main pool.
+// The first declared class of this tier.
 class_name
 ClassOfTier(const deployment& aDeployment, int aTier)
 {
@@ -32,7 +32,7 @@
 {
   scenario_spec made =
     MakeScenario("burst_tier_" + std::to_string(aTier),
-                 "For 15 s, one class sends eight times as much as usual.");
+                 "For 15 s, one class sends eight times its usual load.");
   made.mSurges = {
     { Seconds(15), Seconds(30), 8, ClassOfTier(aDeployment, aTier), {} }
   };
@@ -44,7 +44,7 @@
 HotCaller(const deployment& aDeployment)
 {
   scenario_spec made = MakeScenario(
-    "hot_caller", "One team sends twelve times as much as usual, all along.");
+    "hot_caller", "One team sends twelve times its usual load throughout.");
   made.mSurges = { { Seconds(0),
                      made.mLength,
                      12,
@@ -67,7 +67,8 @@
 SlowEndpoint()
 {
   scenario_spec made = MakeScenario(
-    "slow_endpoint", "For 30 s, one engine takes eight times as long a step.");
+    "slow_endpoint",
+    "For 30 s, each step of one engine takes eight times as long.");
   made.mFaults = {
     { injected_fault_kind::kSlow, Seconds(15), Seconds(45), 0, 8, {} }
   };
@@ -78,8 +79,9 @@
 scenario_spec
 EndpointCrash()
 {
-  scenario_spec made = MakeScenario(
-    "endpoint_crash", "Two engines crash mid-stream and come back after 20 s.");
+  scenario_spec made =
+    MakeScenario("endpoint_crash",
+                 "Two engines crash while streaming and restart after 20 s.");
   made.mFaults = {
     { injected_fault_kind::kCrash, Seconds(15), Seconds(35), 0, 1, {} },
     { injected_fault_kind::kCrash, Seconds(20), Seconds(40), 4, 1, {} },
@@ -93,7 +95,7 @@
 {
   scenario_spec made = MakeScenario(
     "long_among_short",
-    "The class with the longest answers sends four times as much.");
+    "The class with the longest responses sends four times its usual load.");
   made.mSurges = {
     { Seconds(10), Seconds(50), 4, ClassOfTier(aDeployment, 3), {} }
   };
@@ -103,8 +105,8 @@
 scenario_spec
 Overload(const std::string& aName, double aLoad)
 {
-  scenario_spec made = MakeScenario("overload_" + aName,
-                                    "All classes ask for more than there is.");
+  scenario_spec made = MakeScenario(
+    "overload_" + aName, "All classes together demand more than the capacity.");
   made.mLoad = aLoad;
   return made;
 }
@@ -114,7 +116,7 @@
 {
   scenario_spec made = MakeScenario(
     "all_retrying",
-    "Twice the capacity is asked for, and every caller comes back.");
+    "The demand is twice the capacity, and every refused caller retries.");
   made.mLoad = 2;
   made.mRetryProbability = 1;
   made.mMaxRetries = 10;
@@ -126,8 +128,8 @@
 {
   scenario_spec made =
     MakeScenario("reports_" + aName,
-                 "High load; the engines' load reports come late "
-                 "or not at all.");
+                 "High load; the engines' load reports are delayed "
+                 "or missing.");
   made.mLoad = 0.95;
   made.mReportLag = aReportLag;
   return made;
@@ -138,8 +140,8 @@
 {
   scenario_spec made = MakeScenario(
     "same_lagging_view",
-    "Eight instances see the same reports 2 s late while one engine's "
-    "speed changes.");
+    "Eight instances receive the same reports 2 s late while the speed of "
+    "one engine changes.");
   made.mLoad = 0.85;
   made.mReportLag = Seconds(2);
   made.mFaults = {
@@ -152,9 +154,9 @@
 scenario_spec
 DomainPartition(const deployment& aDeployment)
 {
-  scenario_spec made =
-    MakeScenario("domain_cut_off",
-                 "For 25 s, one failure domain reaches only its own engines.");
+  scenario_spec made = MakeScenario(
+    "domain_cut_off",
+    "For 25 s, one failure domain is partitioned from the others.");
   made.mFaults = { { injected_fault_kind::kPartition,
                      Seconds(15),
                      Seconds(40),
@@ -165,15 +167,16 @@
   return made;
 }
 
-// The excess of 10 s at five times the capacity is 40 s of all engines' work;
-// what comes back of it has half of them to itself afterwards.
+// The excess of 10 s at five times the capacity is 40 s of work for all
+// engines. The retries among it have half of the capacity to themselves
+// afterwards.
 scenario_spec
 Recovery()
 {
   scenario_spec made = MakeScenario(
     "recovery",
-    "Five times the capacity for 10 s, most callers come back, then half "
-    "of the capacity.");
+    "Five times the capacity for 10 s, then half of the capacity; most "
+    "refused callers retry.");
   made.mLength = Seconds(150);
   made.mLoad = 0.5;
   made.mSurges = { { Seconds(10), Seconds(20), 10, {}, {} } };
@@ -187,8 +190,8 @@
 {
   scenario_spec made = MakeScenario(
     "split_tiers",
-    "One instance gets all of the highest tier, the others the rest, at "
-    "twice the capacity.");
+    "One instance receives all requests of the highest tier and the others "
+    "the rest, at twice the capacity.");
   made.mLoad = 2;
   made.mHighTierInstance = 0;
   return made;
@@ -199,7 +202,7 @@
 {
   scenario_spec made = MakeScenario(
     "paused_instance",
-    "One instance stands still for 10 s and wakes with old beliefs.");
+    "One instance is paused for 10 s and resumes with outdated state.");
   made.mFaults = {
     { injected_fault_kind::kPause, Seconds(20), Seconds(30), 1, 1, {} }
   };
@@ -207,7 +210,8 @@
   return made;
 }
 
-// The scheduler without one part of the endpoint side, and without all of them.
+// Adds the scheduler without each single mechanism of the endpoint side, and
+// without all of them.
 void
 AddPoliciesWithoutEndpointMechanism(std::vector<named_policy>& aAll)
 {
@@ -240,7 +244,7 @@
 AllScenarios(const deployment& aDeployment)
 {
   return {
-    MakeScenario("steady", "Seven tenths of the capacity; nothing disturbs."),
+    MakeScenario("steady", "Seven tenths of the capacity, without faults."),
     Burst(aDeployment, 1),
     Burst(aDeployment, 3),
     HotCaller(aDeployment),
--- a/thornhollow/policy/scenario/catalog.h
+++ b/thornhollow/policy/scenario/catalog.h
@@ -1,4 +1,4 @@
-// The scenarios by name, and the policies that each is run with.
+// The scenarios by name, and the policies that each of them is run with.
 //
 //   for (const scenario_spec& each : AllScenarios(GraniteRelay())) { ... }
 //
@@ -12,11 +12,11 @@
 
 namespace thornhollow::scenario {
 
-// Every scenario, for `aDeployment`'s own classes and engines.
+// All scenarios, set up for the classes and engines of `aDeployment`.
 std::vector<scenario_spec>
 AllScenarios(const deployment& aDeployment);
 
-// The scenario of this name; there must be one.
+// Returns the scenario of this name, which must exist.
 scenario_spec
 FindScenario(const deployment& aDeployment, const std::string& aName);
 
@@ -26,8 +26,10 @@
   policy_choice mPolicy;
 };
 
-// The project's scheduler, the same with its waiting side off (first in first
-// out behind the learnt limits), and the two baselines.
+// The project's scheduler, the scheduler with single mechanisms switched off or
+// on, the scheduler with its whole queueing side off (first in, first out
+// behind the adaptive limits) or its whole endpoint side off, and the two
+// baselines.
 std::vector<named_policy>
 AllPolicies();
 
--- a/thornhollow/policy/scenario/comparison_test.cc
+++ b/thornhollow/policy/scenario/comparison_test.cc
@@ -1,6 +1,6 @@
-// Each mechanism against itself switched off, judged by what callers receive.
-// The differences are far larger than those between seeds, so that one seed
-// decides.
+// Compares the scheduler with and without each mechanism, by the service that
+// callers receive. The differences are far larger than those between seeds, so
+// that one seed is enough.
 #include <cstdint>
 
 #include <doctest/doctest.h>
@@ -12,8 +12,8 @@
 
 constexpr std::uint64_t kSeeds = 1;
 
-// Twice the capacity is asked for. In order of arrival every class waits as
-// long, and the drivers' notes are all late.
+// The demand is twice the capacity. In order of arrival every class waits
+// equally long, and the requests of the highest tier miss their target.
 TEST_CASE("scenarios/without_tier_order/highest_tier_loses")
 {
   scheduler_settings off;
@@ -22,8 +22,9 @@
         0.2);
 }
 
-// By tier order alone, the two lower tiers get what the upper ones leave: with
-// twice the capacity asked for, less than half of their shares of a fifth.
+// With tier order alone, the two lower tiers get only what the higher ones
+// leave. With a demand of twice the capacity this is less than half of their
+// minimum shares, a fifth together.
 TEST_CASE("scenarios/without_shares/lower_tiers_starve")
 {
   const deployment site = GraniteRelay();
@@ -36,8 +37,8 @@
         0.17);
 }
 
-// One team sends twelve times as much. In order of arrival the others wait
-// behind its backlog.
+// One team sends twelve times its usual load. In order of arrival the other
+// teams wait behind its backlog.
 TEST_CASE("scenarios/without_fair_teams/other_teams_lose")
 {
   const deployment site = GraniteRelay();
@@ -49,8 +50,8 @@
   CHECK(others(scheduler_settings{}) > others(off) + 0.01);
 }
 
-// Without looking at deadlines, requests are started that can't be whole in
-// time any more, and are cut off.
+// Without deadline checks, requests are started that can no longer complete in
+// time, and are cut off at their deadline.
 TEST_CASE("scenarios/without_deadline_checks/work_is_wasted")
 {
   const deployment site = GraniteRelay();
@@ -63,8 +64,8 @@
     WastedFraction(RunSeeds(site, "overload_2", off, kSeeds)));
 }
 
-// A burst of the highest tier: without the bound of a standing queue, all of it
-// is served late.
+// A burst of the highest tier. Without the bound on a standing queue, the whole
+// burst is served late.
 TEST_CASE("scenarios/without_standing_bound/burst_is_served_late")
 {
   const deployment site = GraniteRelay();
@@ -75,8 +76,8 @@
         Attainment(RunSeeds(site, "burst_tier_1", off, kSeeds), 1) + 0.04);
 }
 
-// All callers come back. Told the same second, they are refused many times
-// over.
+// All refused callers retry. If they are given the same retry time, they are
+// refused again many times over.
 TEST_CASE("scenarios/without_spread_returns/callers_are_refused_more")
 {
   const deployment site = GraniteRelay();
@@ -87,8 +88,8 @@
         ErrorResponses(RunSeeds(site, "all_retrying", off, kSeeds)));
 }
 
-// One instance has all of the highest tier. Without the endpoints' own queues
-// it gets no more places than any other instance.
+// One instance receives all requests of the highest tier. Without the
+// endpoints' own queues it gets no more slots than any other instance.
 TEST_CASE("scenarios/without_endpoint_queues/tier_order_ends_at_the_instance")
 {
   scheduler_settings off;
@@ -97,8 +98,8 @@
         0.2);
 }
 
-// A process that stood still must not waste work when it wakes, nor shed more
-// than what was due meanwhile.
+// A paused process must not waste work when it resumes, nor shed more than what
+// became due during the pause.
 TEST_CASE("scenarios/paused_instance/recovers_at_once")
 {
   const outcomes runs =
--- a/thornhollow/policy/scenario/deployment.cc
+++ b/thornhollow/policy/scenario/deployment.cc
@@ -185,7 +185,7 @@
     aDeployment.mDeclared.mEndpoints, [&aTraffic](const endpoint& aEach) {
       return std::ranges::count(aEach.mPools, aTraffic.mPool) > 0;
     });
-  // The mean of a log-normal length lies above its median.
+  // The mean of a log-normal distribution is above its median.
   const double mean =
     std::exp(aTraffic.mLengthLogStdDev * aTraffic.mLengthLogStdDev / 2);
   const double prefills =
--- a/thornhollow/policy/scenario/deployment.h
+++ b/thornhollow/policy/scenario/deployment.h
@@ -1,5 +1,9 @@
-// The two deployments of the brief as the scenarios run them: declarations,
-// entry instances, and the traffic that each class brings.
+// The two reference deployments of the scenarios: declarations, entry
+// instances, and the traffic of each class.
+//
+//   const deployment site = GraniteRelay();
+//   const double rate = RequestRate(site, site.mTraffic.front());
+//
 #ifndef THORNHOLLOW_POLICY_SCENARIO_DEPLOYMENT_H_
 #define THORNHOLLOW_POLICY_SCENARIO_DEPLOYMENT_H_
 
@@ -12,20 +16,20 @@
 
 namespace thornhollow::scenario {
 
-// What the requests of one class look like. Lengths are log-normal: most are
-// near the median, a few are many times as long.
+// The traffic of one class in one pool. Lengths are log-normal: most are near
+// the median, a few are many times as long.
 struct class_traffic
 {
   class_name mClass;
   pool_name mPool;
-  // Part of its pool's capacity that the class asks for at a load of 1.
+  // Fraction of its pool's capacity that the class demands at a load of 1.
   double mShareOfPool = 0;
   double mMedianPrompt = 0;
   double mMedianOutput = 0;
-  // Standard deviation of the logarithm of both lengths.
+  // Standard deviation of the natural logarithm of both lengths.
   double mLengthLogStdDev = 0.4;
   std::uint32_t mMaxOutput = 0;
-  // Distinct prompt prefixes in use; the n-th is used 1/n as often as the
+  // Number of distinct prompt prefixes. The n-th is used 1/n as often as the
   // first.
   std::uint32_t mPrefixCount = 1;
 };
@@ -36,22 +40,23 @@
   declarations mDeclared;
   engine_settings mEngine;
   std::vector<class_traffic> mTraffic;
-  // The domain of each entry instance.
+  // The failure domain of each entry instance.
   std::vector<domain_name> mInstanceDomains;
   duration mInterDomainLatency{};
 };
 
-// Relief dispatch: 10 + 3 engines, long pallet plans beside short route notes.
+// Relief dispatch: 10 + 3 engines, long pallet plans mixed with short route
+// notes.
 deployment
 GraniteRelay();
 
-// Fly-tipping complaints: 12 + 3 engines, reports of like size.
+// Fly-tipping complaints: 12 + 3 engines, reports of similar length.
 deployment
 FerreiraNetos();
 
-// Requests a second of `aTraffic` at which its class asks for its share of the
-// pool, from the model's own figures: full batches, mean lengths, cold
-// prefixes.
+// Requests per second of `aTraffic` at which its class demands
+// `mShareOfPool` of its pool, computed from the engine model for full batches,
+// mean lengths and uncached prefixes.
 double
 RequestRate(const deployment& aDeployment, const class_traffic& aTraffic);
 
--- a/thornhollow/policy/scenario/engine_model.cc
+++ b/thornhollow/policy/scenario/engine_model.cc
@@ -8,7 +8,7 @@
 namespace thornhollow::scenario {
 namespace {
 
-// Fractions of a step below this are rounding.
+// Fractions of a step below this are rounding errors.
 constexpr double kStepEpsilon = 1e-6;
 
 } // namespace
@@ -102,7 +102,7 @@
   return FromSeconds(ToSeconds(step) * mSlowdown);
 }
 
-// Advances every running job by the steps since the last change.
+// Advances every running job by the steps since the previous call.
 void
 engine_model::AdvanceJobs()
 {
@@ -128,7 +128,7 @@
     const double saved =
       IsCached(job.mPrefix) ? mSettings.mPrefixSavedFraction : 0;
     const double prompt = job.mPromptTokens * (1 - saved);
-    // The step that ends the prefill puts out the first token.
+    // The step that ends the prefill also generates the first token.
     const double steps =
       std::max(1.0, std::ceil(prompt / mSettings.mPrefillChunk));
     mRunning.push_back(
@@ -136,7 +136,8 @@
   }
 }
 
-// Wakes at the next change of the batch: a prefill or an answer that ends.
+// Schedules a wake-up at the next change of the batch, when a prefill or a
+// response ends.
 void
 engine_model::ScheduleWake()
 {
@@ -150,8 +151,8 @@
   if (mRunning.empty()) {
     return;
   }
-  // One nanosecond more than the quotient, so that rounding can't plan a wake
-  // before the change.
+  // One nanosecond is added so that rounding cannot schedule the wake-up before
+  // the change.
   mLoop.After(FromSeconds(ToSeconds(StepTime()) * steps) + duration(1),
               [this, planned] {
                 if (planned == mWakeGeneration) {
--- a/thornhollow/policy/scenario/engine_model.h
+++ b/thornhollow/policy/scenario/engine_model.h
@@ -1,9 +1,13 @@
-// A model of a model engine, just detailed enough to tell scheduling policies
-// apart: continuous batching whose step grows with the batch, slots, a waiting
-// list by priority, prefill that a cached prefix shortens, crash and straggle.
+// Simulates an engine in just enough detail to tell scheduling policies apart:
+// continuous batching with a step time that grows with the batch, slots, a
+// priority queue, prefill that a cached prefix shortens, crashes and slowdowns.
 //
-// Work advances in whole runs of equal steps between two changes of the batch,
-// so that a second of an engine costs a few events instead of hundreds.
+//   engine_model engine(loop, engine_settings{}, std::move(callbacks));
+//   engine.Add({ .mTicket = 1, .mPromptTokens = 500, .mOutputTokens = 40 });
+//   loop.RunUntil(loop.Now() + Seconds(1));
+//
+// All steps between two changes of the batch are advanced at once, so that one
+// second of an engine takes a few events instead of hundreds.
 #ifndef THORNHOLLOW_POLICY_SCENARIO_ENGINE_MODEL_H_
 #define THORNHOLLOW_POLICY_SCENARIO_ENGINE_MODEL_H_
 
@@ -23,20 +27,21 @@
 struct engine_settings
 {
   std::uint32_t mSlots = 8;
-  // The brief: a step takes about four milliseconds or more.
+  // Step time of an empty batch. Real engines need about 4 ms or more per step.
   duration mBaseStep = Milliseconds(4);
-  // A full batch of eight doubles the step.
+  // Added for each running job: a full batch of eight doubles the step time.
   duration mStepPerRunning = std::chrono::microseconds(500);
-  // A prefill chunk shares the step with the tokens of the others.
+  // Added for each job in prefill, whose chunk shares the step with the tokens
+  // of the other jobs.
   duration mStepPerPrefill = Milliseconds(2);
   std::uint32_t mPrefillChunk = 256;
-  // Part of a prompt that its cached prefix saves.
+  // Fraction of a prompt's prefill that a cached prefix saves.
   double mPrefixSavedFraction = 0.8;
-  // Prefixes that fit the engine's cache memory.
+  // Number of prefixes that fit in the engine's cache.
   std::size_t mCachedPrefixes = 8;
 };
 
-// One attempt as the engine sees it.
+// One attempt of a request at an engine.
 struct engine_job
 {
   ticket mTicket = 0;
@@ -46,7 +51,8 @@
   std::uint32_t mOutputTokens = 1;
 };
 
-// What an ended job cost: tokens put out, and prompt tokens computed.
+// Work done for a finished or stopped job: output tokens generated and prompt
+// tokens prefilled.
 struct engine_work
 {
   double mOutputTokens = 0;
@@ -68,15 +74,15 @@
                callbacks aCallbacks);
 
   void Add(const engine_job& aJob);
-  // Stops a job; what it cost so far.
+  // Stops a job and returns the work done for it so far.
   engine_work Cancel(ticket aTicket);
 
-  // All jobs are lost, and no new ones may come, until `Restart`.
+  // Loses all jobs. No jobs may be added until `Restart`.
   void Crash();
   void Restart() { mUp = true; }
   bool IsUp() const { return mUp; }
 
-  // Each step takes `aFactor` times as long.
+  // Makes each step take `aFactor` times as long.
   void SetSlowdown(double aFactor);
 
   load_report Report() const;
@@ -94,7 +100,7 @@
   {
     int mTier;
     std::uint64_t mSequence;
-    // clang-tidy 14 takes the 0 in the generated code for a null pointer.
+    // clang-tidy 14 mistakes the 0 in the generated code for a null pointer.
     // NOLINTNEXTLINE(modernize-use-nullptr)
     friend auto operator<=>(const queue_position&,
                             const queue_position&) = default;
--- a/thornhollow/policy/scenario/event_loop.h
+++ b/thornhollow/policy/scenario/event_loop.h
@@ -1,6 +1,7 @@
-// Runs events in virtual time, in the order of their times; events of the same
-// time run in the order in which they were added. Two runs with the same events
-// are the same to the last step, so that a verdict never depends on a clock.
+// Event loop in virtual time. Events run in the order of their times, and
+// events of the same time in the order in which they were added. Two runs with
+// the same events are identical, so that test results never depend on a real
+// clock.
 //
 //   event_loop loop;
 //   loop.At(loop.Now() + Seconds(1), [&] { ... });
@@ -23,11 +24,11 @@
 public:
   time_point Now() const { return mNow; }
 
-  // Runs `aAction` at `aWhen`, or next where `aWhen` has passed.
+  // Runs `aAction` at `aWhen`, or at the current time if `aWhen` has passed.
   void At(time_point aWhen, std::function<void()> aAction);
   void After(duration aDelay, std::function<void()> aAction);
 
-  // Runs what is due up to `aEnd`; `Now` is `aEnd` afterwards.
+  // Runs all events due up to and including `aEnd`, then sets `Now` to `aEnd`.
   void RunUntil(time_point aEnd);
 
 private:
@@ -42,7 +43,7 @@
     bool operator()(const event& aLeft, const event& aRight) const;
   };
 
-  // Not the clock's start: the core may hold zero to mean "never".
+  // Not the epoch of the clock, because the policies may use zero as "never".
   time_point mNow{ Seconds(1000) };
   std::uint64_t mOrder = 0;
   std::priority_queue<event, std::vector<event>, later> mEvents;
--- a/thornhollow/policy/scenario/figures.cc
+++ b/thornhollow/policy/scenario/figures.cc
@@ -42,7 +42,6 @@
   });
 }
 
-// The part of the useful tokens that the tiers from `aTier` down get.
 double
 TokenShareFromTier(const outcomes& aRuns, int aTier)
 {
--- a/thornhollow/policy/scenario/figures.h
+++ b/thornhollow/policy/scenario/figures.h
@@ -1,4 +1,4 @@
-// Figures over several runs of a scenario: medians over the seeds.
+// Figures of several runs of a scenario, each the median over the runs.
 //
 //   const outcomes runs = RunAll(GraniteRelay(), "overload_2", policy, 3);
 //   Attainment(runs, kHighestTier);
@@ -16,22 +16,22 @@
 
 using outcomes = std::vector<outcome>;
 
-// The scenario with the seeds 1 to `aSeeds`.
+// Runs the scenario with seeds 1 to `aSeeds`.
 outcomes
 RunSeeds(const deployment& aSite,
          const std::string& aScenario,
          const policy_choice& aPolicy,
          std::uint64_t aSeeds);
 
-// Of the first class of this tier; there must be one.
+// Attainment of the first class of this tier, which must exist.
 double
 Attainment(const outcomes& aRuns, int aTier);
 
-// Attainment of all teams but the first, over all classes.
+// Attainment of all teams except the first, over all classes.
 double
 OtherTeamsAttainment(const outcomes& aRuns);
 
-// The part of the useful tokens that the tiers from `aTier` down get.
+// Fraction of the goodput tokens that go to `aTier` and lower tiers.
 double
 TokenShareFromTier(const outcomes& aRuns, int aTier);
 
@@ -41,7 +41,7 @@
 double
 WastedFraction(const outcomes& aRuns);
 
-// Answers with an error, of any kind.
+// Number of responses with an error of any kind.
 double
 ErrorResponses(const outcomes& aRuns);
 
--- a/thornhollow/policy/scenario/regression_test.cc
+++ b/thornhollow/policy/scenario/regression_test.cc
@@ -1,7 +1,7 @@
-// Bounds on what callers receive, scenario by scenario. The runs are in virtual
-// time with fixed seeds, so that a verdict is the same on every machine; a
-// bound that fails means that a decision changed. See the design note for the
-// margin.
+// Bounds on the service that callers receive in each scenario. The runs use
+// virtual time and fixed seeds, so that the results are the same on every
+// machine, and a failed bound means that a scheduling decision changed. See the
+// design note for the margins.
 #include <algorithm>
 #include <cstdint>
 #include <string>
@@ -18,15 +18,16 @@
 struct bound
 {
   std::string_view mScenario;
-  // Least attainment of tier 1 and tier 2.
+  // Minimum attainment of tier 1 and tier 2.
   double mHighest;
   double mSecond;
-  // Least part of the tokens a second that the lowest tier must get.
+  // Minimum fraction of the tokens per second that the lowest tier gets.
   double mLowestShare;
-  // Least tokens a second; most of the computed tokens wasted.
+  // Minimum tokens per second, and maximum wasted fraction of the computed
+  // tokens.
   double mTokens;
   double mWasted;
-  // Fixed: 3 where all classes compete, else 1, to bound the time in CI.
+  // 3 where all classes compete, otherwise 1, to bound the time in CI.
   std::uint64_t mSeeds;
 };
 
--- a/thornhollow/policy/scenario/report.h
+++ b/thornhollow/policy/scenario/report.h
@@ -1,5 +1,5 @@
-// Runs scenarios with several seeds and tells their median and spread, as a
-// table or as JSON.
+// Runs scenarios with several seeds and reports the median and range of their
+// figures, as a table or as JSON.
 //
 //   const std::vector<report_row> rows = RunTable({ .mSeeds = 5 });
 //   std::fputs(ToText(rows).c_str(), stdout);
@@ -14,7 +14,7 @@
 
 namespace thornhollow::scenario {
 
-// A figure over the seeds.
+// Median and range of a figure over the seeds.
 struct median_range
 {
   double mMedian = 0;
@@ -22,7 +22,7 @@
   double mMax = 0;
 };
 
-// The median and the ends of `aValues`, which must not be empty.
+// Returns the median and range of `aValues`, which must not be empty.
 median_range
 MedianRangeOf(std::vector<double> aValues);
 
@@ -49,20 +49,21 @@
   median_range mWastedFraction;
   median_range mRecoverySeconds;
   median_range mRetryPeak;
-  // Medians over the seeds, of kinds that came up.
+  // Median count over the seeds of each error kind that occurred.
   std::vector<std::pair<error_kind, double>> mErrors;
 };
 
 struct table_options
 {
-  // Only the scenarios, deployments and policies whose name contains this.
+  // Selects scenarios, deployments and policies whose name contains the text.
+  // An empty text selects all.
   std::string mScenario;
   std::string mDeployment;
   std::string mPolicy;
   std::uint64_t mSeeds = 5;
 };
 
-// One row: seeds 1 to `aSeeds`.
+// Runs the scenario with seeds 1 to `aSeeds`.
 report_row
 RunRow(const deployment& aDeployment,
        const scenario_spec& aScenario,
--- a/thornhollow/policy/scenario/simulation.cc
+++ b/thornhollow/policy/scenario/simulation.cc
@@ -17,22 +17,23 @@
 namespace thornhollow::scenario {
 namespace {
 
-// Engines and queues fill up before figures count.
+// Requests in this initial period are not measured, while engines and queues
+// fill up.
 constexpr duration kWarmUp = Seconds(5);
 constexpr duration kEngineLatency = Milliseconds(1);
 constexpr duration kConnectTimeout = Seconds(1);
 constexpr duration kReportInterval = Milliseconds(250);
-// Four rounds of gossip a second, each with a datagram's way.
+// Four rounds of gossip per second, each delayed by the latency of a datagram.
 constexpr duration kPressureInterval = Milliseconds(250);
 constexpr duration kPressureDelay = Milliseconds(5);
-// What a caller waits after a failure that names no time.
+// Time before a caller retries after an error without a retry time.
 constexpr duration kDefaultBackoff = Seconds(1);
 constexpr int kMaxAttempts = 3;
 constexpr double kPromptTokenCost = 1.0 / 32;
 constexpr double kRecoveredAttainment = 0.9;
 constexpr duration kRecoveryBin = Seconds(1);
 
-// What a caller wants, over all its submissions.
+// A caller's request, over all its submissions.
 struct logical_request
 {
   std::size_t mTraffic = 0;
@@ -47,7 +48,7 @@
   bool mAttained = false;
 };
 
-// One request at one instance.
+// One submission of a request to an instance.
 struct submission
 {
   std::size_t mRequest = 0;
@@ -116,8 +117,8 @@
   std::size_t PickInstance(std::size_t aClass);
   void SubmitRequest(std::size_t aRequest);
 
-  // Runs `aCall` on an instance's policy, unless its process stands still; then
-  // once it goes on.
+  // Runs `aCall` on an instance's policy, once the instance's process resumes
+  // if it is paused.
   template<class call>
   void OnInstance(std::size_t aInstance, call aCall);
   void Apply(std::size_t aInstance, const decisions& aDecisions);
@@ -282,7 +283,8 @@
   }
 }
 
-// Streams over the cut fall silent; both ends notice after the time limit.
+// Streams across the partition stall. Both ends detect it after the connect
+// timeout.
 void
 simulation::BreakPartitionedStreams()
 {
@@ -344,8 +346,8 @@
   return total;
 }
 
-// A Poisson process: its rate at the time drawn decides whether the arrival is
-// one, so that a surge needs no event of its own.
+// Arrivals form a Poisson process of the maximum rate. Each is accepted with a
+// probability according to the rate at its time, so that surges need no events.
 void
 simulation::ScheduleArrival(std::size_t aTraffic)
 {
@@ -641,7 +643,7 @@
   submission& lost = found->second;
   lost.mEngine.reset();
   Account(lost, aWork);
-  // The stream goes on elsewhere at the token after the last one received.
+  // The stream is resumed elsewhere after the last token received.
   lost.mReceivedTokens += static_cast<std::uint32_t>(aWork.mOutputTokens);
   const bool canRetry = lost.mAttempts < kMaxAttempts &&
                         (!aMayHaveStarted || lost.mItem.mIdempotent);
@@ -664,8 +666,8 @@
   }
 }
 
-// The owner of the policy gives the request up, as a daemon does: the engine is
-// told, the caller gets its answer.
+// Cancels the request as the daemon does: the engine stops the attempt, and the
+// caller receives an error.
 void
 simulation::OnDeadline(ticket aTicket)
 {
@@ -679,7 +681,7 @@
   if (late.mEngine) {
     Account(late, mEngines[*late.mEngine]->Cancel(aTicket));
   }
-  // The policy may refuse this very request now, which ends its submission.
+  // The policy may refuse this request now, which ends its submission.
   OnInstance(late.mInstance, [aTicket](auto& aPolicy, time_point aNow) {
     decisions out =
       aPolicy.OnAttemptEnded(aTicket, attempt_end::kCancelled, 0, aNow);
@@ -714,8 +716,8 @@
     return;
   }
   ++request.mRetries;
-  // The header carries whole seconds, rounded up; half of the callers read the
-  // milliseconds in the answer's body.
+  // The header has whole seconds, rounded up. Half of the callers read the
+  // milliseconds in the response body instead.
   const bool readsHeader = std::bernoulli_distribution(0.5)(mRandom);
   const duration after =
     readsHeader ? std::chrono::ceil<std::chrono::seconds>(aAfter) : aAfter;
@@ -746,7 +748,7 @@
           if (!IsReachable(mInstances[index].mDomain, declared.mDomain)) {
             continue;
           }
-          // By value: a paused instance takes it later.
+          // Captured by value, because a paused instance receives it later.
           OnInstance(
             index,
             [report, name = declared.mName](auto& aPolicy, time_point aNow) {
--- a/thornhollow/policy/scenario/simulation.h
+++ b/thornhollow/policy/scenario/simulation.h
@@ -1,7 +1,9 @@
-// One run of a scenario: callers, entry instances each with its own policy, and
-// the engines they share, in virtual time. Judged by what callers received.
+// Simulates one run of a scenario in virtual time: callers, entry instances
+// with a policy each, and the engines that they share. The outcome is measured
+// at the callers.
 //
-//   const outcome got = Run(GraniteRelay(), Overload(2.0), policy, 7);
+//   const deployment site = GraniteRelay();
+//   const outcome got = Run(site, FindScenario(site, "overload_2"), policy, 7);
 //   got.mClasses[0].Attainment();
 //
 #ifndef THORNHOLLOW_POLICY_SCENARIO_SIMULATION_H_
@@ -20,12 +22,12 @@
 
 namespace thornhollow::scenario {
 
-// The policy under test: the project's scheduler, or a baseline.
+// The policy under test: the project's scheduler or a baseline.
 using policy_choice =
   std::variant<scheduler_settings, round_robin, least_outstanding>;
 
-// From `mFrom` to `mUntil` after the start, the traffic that matches is
-// multiplied. An empty class or team matches all.
+// Multiplies the matching traffic by `mFactor` from `mFrom` to `mUntil`,
+// measured from the end of the warm-up. An empty class or team matches all.
 struct surge
 {
   duration mFrom{};
@@ -41,9 +43,9 @@
   kSlow,
   // The engine loses all work and refuses connections.
   kCrash,
-  // Instances and engines of `mDomain` reach each other only.
+  // The instances and engines of `mDomain` can reach only each other.
   kPartition,
-  // The instance's process stands still.
+  // The instance's process is paused.
   kPause,
 };
 
@@ -63,24 +65,27 @@
   std::string mName;
   std::string mDescription;
   duration mLength = Seconds(60);
-  // Work asked for, as a part of what the engines can do.
+  // Demand as a fraction of the engines' capacity.
   double mLoad = 0.7;
   std::vector<surge> mSurges;
   std::vector<injected_fault> mFaults;
-  // The first team's part of each class's requests; the others share the rest
-  // evenly.
+  // The first team's fraction of each class's requests. The rest is divided
+  // evenly between the other teams.
   double mFirstTeamShare = 0.1;
-  // Chance that a caller that was refused comes back, and how often it does.
+  // Probability that a caller retries after a retryable error, and the maximum
+  // number of its retries.
   double mRetryProbability = 0.5;
   int mMaxRetries = 3;
-  // Age of a load report when it arrives; none arrive where it is negative.
+  // Age of a load report when it arrives. If negative, none arrive.
   duration mReportLag = Milliseconds(500);
-  // The part of requests that use the first prefix, where above 0.
+  // Fraction of the requests that use their class's first prefix regardless of
+  // the 1/n frequencies.
   double mHotPrefixShare = 0;
-  // The one instance that gets all of tier 1, and nothing else; none where
-  // negative.
+  // Index of the instance that receives all requests of the highest tier and no
+  // others. If negative, requests go to random instances.
   int mHighTierInstance = -1;
-  // From when on all should be as before; zero where nothing disturbs.
+  // Start of the recovery period, when the disturbance is over. Zero if the
+  // scenario has no recovery to measure.
   duration mRecoveryFrom{};
 };
 
@@ -91,38 +96,39 @@
   class_name mClass;
   int mTier = kLowestTier;
   std::uint32_t mRequests = 0;
-  // First token within the level's target, mean gap between tokens too, and
-  // the whole answer received.
+  // Requests completed with the time to first token and the mean time between
+  // tokens within the level's targets.
   std::uint32_t mAttained = 0;
   std::uint32_t mCompleted = 0;
-  // Its part of `outcome::mTokensPerSecond`.
+  // The class's contribution to `outcome::mTokensPerSecond`.
   double mTokensPerSecond = 0;
   std::vector<double> mFirstTokenSeconds;
 
   double Attainment() const;
   double Completion() const;
-  // Of the completed; 0 where there are none.
+  // Time to first token in seconds at `aQuantile` (0 to 1) of the completed
+  // requests, 0 if there are none.
   double FirstTokenQuantile(double aQuantile) const;
 };
 
 struct outcome
 {
   std::vector<class_outcome> mClasses;
-  // Over all classes, of every team but the first.
+  // Attainment of all teams except the first, over all classes.
   double mOtherTeamsAttainment = 0;
-  // Useful work a second: of whole answers, received within their deadline.
+  // Goodput: complete responses received within their deadline.
   double mTokensPerSecond = 0;
   double mRequestsPerSecond = 0;
-  // Tokens computed for answers that nobody received, of all computed; a
-  // prompt token counts as `kPromptTokenCost` of one put out.
+  // Fraction of the computed tokens that did not contribute to a complete
+  // response. A prompt token counts as `kPromptTokenCost` output tokens.
   double mWastedFraction = 0;
-  // Answers with an error, by kind.
+  // Number of responses with an error, by kind.
   std::array<std::uint32_t, kRefusalKinds> mErrors{};
-  // Seconds from `mRecoveryFrom` until attainment stays at or above nine in
-  // ten.
+  // Seconds from `scenario_spec::mRecoveryFrom` until attainment stays at or
+  // above nine in ten.
   double mRecoverySeconds = 0;
-  // Largest part of the requests told to come back that came within one and
-  // the same 100 ms.
+  // Largest fraction of all retries that arrived within the same interval of
+  // 100 ms.
   double mRetryPeak = 0;
 };
 
--- a/thornhollow/policy/scenario/simulation_test.cc
+++ b/thornhollow/policy/scenario/simulation_test.cc
@@ -68,8 +68,9 @@
         ToJson({ RunRow(site, spec, policy, 1) }));
 }
 
-// A router that sends everything at once has no say: attainment is what the
-// engines' own queues give. The check guards the yardstick itself.
+// Checks the simulation itself: a baseline that sends every request immediately
+// leaves all queueing to the engine models, which must attain nearly all
+// targets at light load.
 TEST_CASE("simulation/baselines_at_light_load/attain_nearly_all")
 {
   const deployment site = GraniteRelay();
--- a/thornhollow/policy/service_rate.cc
+++ b/thornhollow/policy/service_rate.cc
@@ -10,8 +10,8 @@
 constexpr double kMinWaitedSeconds = 0.25;
 constexpr double kMinWaitedSecondsWithNext = 1;
 constexpr duration kMaxAge = Seconds(15);
-// A longer step of the clock means that this process stood still; its queue
-// was not served then, and that says nothing about the endpoints.
+// A longer step of the clock means that this process was paused. Its queue was
+// not served during the pause, which says nothing about the endpoints.
 constexpr duration kMaxStep = Seconds(1);
 
 } // namespace
--- a/thornhollow/policy/service_rate.h
+++ b/thornhollow/policy/service_rate.h
@@ -1,20 +1,21 @@
-// How fast waiting work is served, measured only while something waits.
+// Service rate of a queue, measured only while work is waiting.
 //
 //   service_rate rate;
 //   rate.Observe(isWaiting, now);     // before each change of the queue
-//   rate.OnServed(cost);              // work taken from a waiting queue
+//   rate.OnServed(cost);              // work dequeued from a non-empty queue
 //   if (const auto perSecond = rate.PerSecond(now)) { ... }
 //
-// Load pattern: capacity changes under the queue (engines crash, slow down,
-// come back; higher tiers take more). A declared rate is then wrong, and a rate
-// that also counts quiet times tells the demand instead of the capacity; either
-// way the wait predicted from it is hope.
+// Load pattern: capacity changes while requests are queued (engines crash, slow
+// down or recover; higher tiers take more). A declared rate is then wrong, and
+// a rate that includes idle time measures the demand instead of the capacity.
+// Waits predicted from either are unreliable.
 //
-// Grounds for the figures: a memory of 3 s of waiting follows a lost engine
-// within a few seconds and still spans many answers (an answer of 239 tokens
-// takes about two seconds). Less than 0.25 s of waiting says nothing yet: a few
-// engine steps. A figure older than 15 s is forgotten: what was true before a
-// quiet time isn't held against the next burst.
+// Choice of constants: a decay time of 3 s of waiting follows the loss of an
+// engine within a few seconds and still spans many responses (a response of 239
+// tokens takes about two seconds). Less than 0.25 s of waiting is only a few
+// engine steps, too little for an estimate. An estimate older than 15 s is
+// ignored, so that the state before an idle period does not affect the next
+// burst.
 #ifndef THORNHOLLOW_POLICY_SERVICE_RATE_H_
 #define THORNHOLLOW_POLICY_SERVICE_RATE_H_
 
@@ -27,22 +28,24 @@
 class service_rate
 {
 public:
-  // The present, and whether work waited since the previous call.
+  // Accounts for the time since the previous call. `aWaited` says whether work
+  // was waiting during that time.
   void Observe(bool aWaited, time_point aNow);
 
-  // Work of this cost left a waiting queue for a place.
+  // Records that work of this cost left a non-empty queue for a slot.
   void OnServed(double aCost) { mServedCost += aCost; }
 
-  // Cost served a second while something waits; nothing where that was not
-  // measured lately.
+  // Cost served per second while work is waiting, or nullopt if there is no
+  // recent measurement.
   std::optional<double> PerSecond(time_point aNow) const;
 
-  // The same with one more piece of work of this cost counted as served: the
-  // one that may be just about to be. For slow queues, where a pause between
-  // two pieces would else read as a standstill.
+  // Like `PerSecond`, but counts one more item of this cost as served, the one
+  // that may be about to be. For slow queues, where the gap between two items
+  // would otherwise look like a stalled queue.
   std::optional<double> PerSecondWithNext(double aCost, time_point aNow) const;
 
-  // The last measured figure, however old; nothing where there never was one.
+  // The last measured rate regardless of its age, or nullopt if there never was
+  // one.
   std::optional<double> LastPerSecond() const;
 
 private:
--- a/thornhollow/policy/thornhollow_scenarios_main.cc
+++ b/thornhollow/policy/thornhollow_scenarios_main.cc
@@ -1,4 +1,4 @@
-// Runs the scenarios under each policy and prints what callers received.
+// Runs the scenarios under each policy and prints the resulting service levels.
 //
 //   thornhollow-scenarios --scenario overload --seeds 5
 //   thornhollow-scenarios --json
@@ -9,11 +9,17 @@
 
 #include "thornhollow/policy/scenario/report.h"
 
-DEFINE_bool(json, false, "Print JSON in place of the table.");
-DEFINE_string(scenario, "", "Only scenarios whose name contains this.");
-DEFINE_string(deployment, "", "Only deployments whose name contains this.");
-DEFINE_string(policy, "", "Only policies whose name contains this.");
-DEFINE_uint64(seeds, 5, "Runs of each, with the seeds 1 to this.");
+DEFINE_bool(json, false, "Print JSON instead of the table.");
+DEFINE_string(scenario,
+              "",
+              "Run only scenarios whose name contains this text.");
+DEFINE_string(deployment,
+              "",
+              "Run only deployments whose name contains this text.");
+DEFINE_string(policy, "", "Run only policies whose name contains this text.");
+DEFINE_uint64(seeds,
+              5,
+              "Runs per scenario and policy, with seeds 1 to this number.");
 
 int
 main(int argc, char** argv)
