--- a/thornhollow/policy/scenario/engine_model.cc
+++ b/thornhollow/policy/scenario/engine_model.cc
@@ -27,7 +27,7 @@
 engine_model::Add(const engine_job& aJob)
 {
   AdvanceJobs();
-  mWaiting.emplace(queue_position{ aJob.mTier, mSequence++ }, aJob);
+  mWaiting.emplace(queue_key{ aJob.mTier, mSequence++ }, aJob);
   AdmitWaiting();
   ScheduleWake();
 }
--- a/thornhollow/policy/scenario/engine_model.h
+++ b/thornhollow/policy/scenario/engine_model.h
@@ -96,14 +96,13 @@
     double mOutputLeft = 0;
     bool mStarted = false;
   };
-  struct queue_position
+  struct queue_key
   {
     int mTier;
     std::uint64_t mSequence;
     // clang-tidy 14 mistakes the 0 in the generated code for a null pointer.
     // NOLINTNEXTLINE(modernize-use-nullptr)
-    friend auto operator<=>(const queue_position&,
-                            const queue_position&) = default;
+    friend auto operator<=>(const queue_key&, const queue_key&) = default;
   };
 
   duration StepTime() const;
@@ -118,7 +117,7 @@
   engine_settings mSettings;
   callbacks mCallbacks;
   std::vector<running_job> mRunning;
-  std::map<queue_position, engine_job> mWaiting;
+  std::map<queue_key, engine_job> mWaiting;
   std::list<std::uint64_t> mPrefixCache;
   std::uint64_t mSequence = 0;
   std::uint64_t mWakeGeneration = 0;
