--- a/thornhollow/daemon/relay_dispatcher.cc
+++ b/thornhollow/daemon/relay_dispatcher.cc
@@ -340,7 +340,7 @@
 
 void
 relay_dispatcher::SetOthersWork(
-  const std::map<std::uint32_t, endpoint_work>& aWork,
+  const std::map<std::uint32_t, reported_load>& aWork,
   time_point aNow)
 {
   for (auto& [name, pool] : mPools) {
@@ -348,13 +348,13 @@
       continue;
     }
     for (const relay_load& each : pool.Loads(aNow)) {
-      const auto found = aWork.find(WorkKey(each.mName));
-      const endpoint_work others =
-        found == aWork.end() ? endpoint_work{} : found->second;
+      const auto found = aWork.find(EndpointHash(each.mName));
+      const reported_load others =
+        found == aWork.end() ? reported_load{} : found->second;
       pool.SetRemoteLoad({ .mName = each.mName,
-                           .mInFlight = others.mOpen,
-                           .mPrefillTokens = others.mToRead,
-                           .mPrefillNanoseconds = others.mPace },
+                           .mInFlight = others.mInFlight,
+                           .mPrefillTokens = others.mPrefillTokens,
+                           .mPrefillNanoseconds = others.mPrefillNanoseconds },
                          aNow);
       LogPace(each);
     }
--- a/thornhollow/daemon/relay_dispatcher.h
+++ b/thornhollow/daemon/relay_dispatcher.h
@@ -78,8 +78,8 @@
   std::map<pool_name, pool_view> OwnViews(time_point aNow);
   std::vector<relay_load> OwnLoads() const;
   void SetPeers(std::size_t aInstances);
-  // By `WorkKey`.
-  void SetOthersWork(const std::map<std::uint32_t, endpoint_work>& aWork,
+  // By `EndpointHash`.
+  void SetOthersWork(const std::map<std::uint32_t, reported_load>& aWork,
                      time_point aNow);
   void SetViews(const std::map<pool_name, pool_view>& aDemand, time_point aNow);
 
--- a/thornhollow/daemon/relay_gateway.cc
+++ b/thornhollow/daemon/relay_gateway.cc
@@ -235,13 +235,13 @@
     link.OnPeerListing(items, aCopy.mAt);
   }
 
-  std::vector<endpoint_work> OwnWork() const
+  std::vector<reported_load> OwnWork() const
   {
-    std::vector<endpoint_work> work;
+    std::vector<reported_load> work;
     for (const relay_load& each : mDispatcher.OwnLoads()) {
       if (each.mPrefillTokens > 0 || each.mPrefillNanoseconds > 0 ||
           each.mInFlight > 0) {
-        work.push_back({ WorkKey(each.mName),
+        work.push_back({ EndpointHash(each.mName),
                          each.mPrefillTokens,
                          each.mPrefillNanoseconds,
                          each.mInFlight });
--- a/thornhollow/daemon/relay_peer_link.cc
+++ b/thornhollow/daemon/relay_peer_link.cc
@@ -8,7 +8,7 @@
 #include <boost/asio/io_context.hpp>
 
 #include "thornhollow/fleet/copy_requests.h"
-#include "thornhollow/fleet/large_copies.h"
+#include "thornhollow/fleet/large_copy_limiter.h"
 #include "thornhollow/net/clock.h"
 #include "thornhollow/net/peer_transport.h"
 
@@ -48,11 +48,11 @@
   return settings;
 }
 
-large_copy_settings
+large_copy_limiter_settings
 CopySettings(const relay_settings& aSettings)
 {
   constexpr double kBytesPerMegabit = 125'000;
-  large_copy_settings settings;
+  large_copy_limiter_settings settings;
   settings.mLinkBytesPerSecond = aSettings.mLinkMegabits * kBytesPerMegabit;
   return settings;
 }
@@ -90,9 +90,9 @@
   {
     const std::size_t before = mAlive;
     const hello_round round = mPeers.Tick(aNow);
-    Tell(round.mWhole, mPeers.Alive() == 0);
+    Tell(round.mFull, mPeers.Alive() == 0);
     Send(BriefHello(false), round.mBrief);
-    Send(BriefHello(true), round.mAsked);
+    Send(BriefHello(true), round.mProbed);
     TellSums(aNow);
     mAlive = mPeers.Alive();
     if (mAlive != before) {
@@ -104,7 +104,7 @@
     AskIfBehind(aNow);
   }
 
-  void OnNews() { Send(BriefHello(false), mPeers.OnNews()); }
+  void OnNews() { Send(BriefHello(false), mPeers.OnNewRevision()); }
 
   bool Reads(time_point aNow)
   {
@@ -131,17 +131,17 @@
     }
     relay_hello hello = BriefHello(aWantAnswer);
     hello.mBrief = false;
-    hello.mPeers = mPeers.SomePeers();
-    hello.mWork = mListener.mWork();
-    if (hello.mWork.size() > kMostWork) {
+    hello.mPeers = mPeers.SamplePeers();
+    hello.mLoads = mListener.mWork();
+    if (hello.mLoads.size() > kMostWork) {
       // Those without work take turns, or nobody would hear of their paces.
       const auto turn =
-        static_cast<std::ptrdiff_t>(mWorkTurn++ % hello.mWork.size());
+        static_cast<std::ptrdiff_t>(mWorkTurn++ % hello.mLoads.size());
       std::rotate(
-        hello.mWork.begin(), hello.mWork.begin() + turn, hello.mWork.end());
+        hello.mLoads.begin(), hello.mLoads.begin() + turn, hello.mLoads.end());
       std::ranges::stable_sort(
-        hello.mWork, std::ranges::greater(), &endpoint_work::mToRead);
-      hello.mWork.resize(kMostWork);
+        hello.mLoads, std::ranges::greater(), &reported_load::mPrefillTokens);
+      hello.mLoads.resize(kMostWork);
     }
     for (const auto& [pool, view] : mListener.mDemand()) {
       hello.mDemand.push_back({ pool, view });
@@ -151,10 +151,10 @@
 
   void TellSums(time_point aNow)
   {
-    for (const sums_to_tell& each :
-         mPeers.SumsToTell(mListener.mDemand(), aNow)) {
+    for (const outgoing_aggregation& each :
+         mPeers.AggregationMessages(mListener.mDemand(), aNow)) {
       relay_hello hello = BriefHello(false);
-      hello.mSums = each.mSums;
+      hello.mAggregation = each.mMessage;
       Send(hello, { each.mAddress });
     }
   }
@@ -167,8 +167,8 @@
     hello.mDomain = mSettings.mDomain;
     // Where all read the source, a later answer shows those whose own is late
     // that it has answered; where few do, it would bring questions in vain.
-    hello.mKnown =
-      mPeers.AllReadHere() ? mListener.mKnown() : mListener.mChanged();
+    hello.mRevisions =
+      mPeers.AllReadInDomain() ? mListener.mKnown() : mListener.mChanged();
     hello.mWantsAnswer = aWantAnswer;
     hello.mLinkMegabits = WholeMegabits(mSettings);
     hello.mSourceFails = mListener.mSourceFails();
@@ -219,7 +219,7 @@
     }
     const items_answer answer = mListener.mOnAsked(*request);
     std::string bytes = Encoded(*request, answer);
-    if (!mLargeCopies.Gives(bytes.size(), Now())) {
+    if (!mLargeCopies.TryAdmit(bytes.size(), Now())) {
       mMetrics.OnEvent("peer_copy_put_off");
       return EncodeItemsAnswer({ answer.mWhich, 0, false, {} });
     }
@@ -271,7 +271,7 @@
   {
     exchange_limits limits;
     limits.mTimeout = kAskLimit;
-    limits.mMostPause = copy_request_settings{}.mMostPause;
+    limits.mMostPause = copy_request_settings{}.mTransferTimeout;
     limits.mOnBytes = [weak = weak_from_this(), aRequest](std::size_t) {
       if (const auto self = weak.lock()) {
         self->mRequests.OnBytes(aRequest.mWhich, Now());
@@ -305,7 +305,7 @@
       return;
     }
     if (answer->mAt <= aRequest.mAfter) {
-      mRequests.OnPutOff();
+      mRequests.OnDeclined();
     }
     mListener.mOnCopy(aRequest, *answer);
   }
@@ -338,7 +338,7 @@
   bool mReads = true;
   bool mAsksSource = true;
   copy_requests mRequests{ copy_request_settings{} };
-  large_copies mLargeCopies{ CopySettings(mSettings) };
+  large_copy_limiter mLargeCopies{ CopySettings(mSettings) };
   // The items that were packed last, and what tells whether they are the same.
   packed_items mPacked;
   std::vector<item_version> mPackedVersions;
@@ -414,17 +414,17 @@
   return mCore->Peers().SourceAnswered();
 }
 
-std::map<std::uint32_t, endpoint_work>
+std::map<std::uint32_t, reported_load>
 relay_peer_link::OthersWork(time_point aNow) const
 {
-  return mCore->Peers().OthersWork(aNow);
+  return mCore->Peers().RemoteLoad(aNow);
 }
 
 std::map<pool_name, pool_view>
 relay_peer_link::AllViews(const std::map<pool_name, pool_view>& aOwn,
                           time_point aNow) const
 {
-  return mCore->Peers().AllViews(aOwn, aNow);
+  return mCore->Peers().FleetViews(aOwn, aNow);
 }
 
 } // namespace thornhollow
--- a/thornhollow/daemon/relay_peer_link.h
+++ b/thornhollow/daemon/relay_peer_link.h
@@ -39,7 +39,7 @@
   std::function<bool()> mSourceFails;
   // When it last answered this instance.
   std::function<std::optional<time_point>()> mSourceAnswered;
-  std::function<std::vector<endpoint_work>()> mWork;
+  std::function<std::vector<reported_load>()> mWork;
   std::function<std::map<pool_name, pool_view>()> mDemand;
   // An instance of the failure domain was heard.
   std::function<void(const domain_name&)> mOnHeard;
@@ -75,7 +75,7 @@
   watch_turn Turn(time_point aNow) const;
   bool SourceFailsElsewhere(time_point aNow) const;
   std::optional<time_point> SourceAnswered() const;
-  std::map<std::uint32_t, endpoint_work> OthersWork(time_point aNow) const;
+  std::map<std::uint32_t, reported_load> OthersWork(time_point aNow) const;
   std::map<pool_name, pool_view> AllViews(
     const std::map<pool_name, pool_view>& aOwn,
     time_point aNow) const;
--- a/thornhollow/fleet/copy_requests.cc
+++ b/thornhollow/fleet/copy_requests.cc
@@ -2,39 +2,42 @@
 
 namespace thornhollow {
 
-std::optional<better_copy>
+std::optional<newer_copy>
 copy_requests::Tick(const relay_peers& aPeers,
-                    const known_revisions& aMine,
+                    const known_revisions& aOwn,
                     bool aReads,
                     time_point aNow)
 {
-  auto from = aPeers.WhoKnowsMore(aMine, mAttempt, aNow);
+  auto from = aPeers.FindNewerCopy(aOwn, mAttempt, aNow);
   if (!from) {
     mBehindSince.reset();
-    mInVainSince.reset();
+    mNoProgressSince.reset();
     return std::nullopt;
   }
   if (!mBehindSince) {
     mBehindSince = aNow;
   }
-  const bool reached = aMine.mConfiguration >= mBehindOf.mConfiguration &&
-                       aMine.mEndpoints >= mBehindOf.mEndpoints;
-  const bool configurationComes = Coming(copied_items::kConfiguration, aNow);
-  const bool endpointsCome = Coming(copied_items::kEndpoints, aNow);
-  if (!mInVainSince || reached || configurationComes || endpointsCome) {
-    mInVainSince = aNow;
-    mBehindOf = from->mKnown;
+  const bool reached = aOwn.mConfiguration >= mTargetRevisions.mConfiguration &&
+                       aOwn.mEndpoints >= mTargetRevisions.mEndpoints;
+  const bool configurationInTransfer =
+    IsInTransfer(copied_items::kConfiguration, aNow);
+  const bool endpointsInTransfer = IsInTransfer(copied_items::kEndpoints, aNow);
+  if (!mNoProgressSince || reached || configurationInTransfer ||
+      endpointsInTransfer) {
+    mNoProgressSince = aNow;
+    mTargetRevisions = from->mRevisions;
   }
-  const duration patience = aReads ? mSettings.mBehindFor : duration::zero();
-  if (aNow - *mBehindSince < patience || aNow < mNextAsk) {
+  const duration delay =
+    aReads ? mSettings.mSourceGracePeriod : duration::zero();
+  if (aNow - *mBehindSince < delay || aNow < mNextRequest) {
     return std::nullopt;
   }
-  from->mConfiguration = from->mConfiguration && !configurationComes;
-  from->mEndpoints = from->mEndpoints && !endpointsCome;
+  from->mConfiguration = from->mConfiguration && !configurationInTransfer;
+  from->mEndpoints = from->mEndpoints && !endpointsInTransfer;
   if (!from->mConfiguration && !from->mEndpoints) {
     return std::nullopt;
   }
-  mNextAsk = aNow + mSettings.mAskEvery;
+  mNextRequest = aNow + mSettings.mRequestInterval;
   ++mAttempt;
   return from;
 }
@@ -52,16 +55,17 @@
 }
 
 bool
-copy_requests::Coming(copied_items aWhich, time_point aNow) const
+copy_requests::IsInTransfer(copied_items aWhich, time_point aNow) const
 {
   const auto& last = mLastBytes.at(static_cast<std::size_t>(aWhich));
-  return last && aNow - *last < mSettings.mMostPause;
+  return last && aNow - *last < mSettings.mTransferTimeout;
 }
 
 bool
 copy_requests::NeedsSource(time_point aNow) const
 {
-  return mInVainSince && aNow - *mInVainSince >= mSettings.mAskSourceAfter;
+  return mNoProgressSince &&
+         aNow - *mNoProgressSince >= mSettings.mSourceFallbackDelay;
 }
 
 } // namespace thornhollow
--- a/thornhollow/fleet/copy_requests.h
+++ b/thornhollow/fleet/copy_requests.h
@@ -43,15 +43,15 @@
 {
   // Behind for so long: the source's own word takes a few milliseconds, and
   // most are told by it.
-  duration mBehindFor = Milliseconds(250);
+  duration mSourceGracePeriod = Milliseconds(250);
   // Between two questions while still behind.
-  duration mAskEvery = Milliseconds(250);
+  duration mRequestInterval = Milliseconds(250);
   // Behind the same revision for so long: two questions were in vain. Of the
   // two seconds in which a change must be in force, the rest is for the
   // source's answer and for reading it.
-  duration mAskSourceAfter = Milliseconds(700);
+  duration mSourceFallbackDelay = Milliseconds(700);
   // Between two parts of an answer: a lost packet comes again within.
-  duration mMostPause = Milliseconds(600);
+  duration mTransferTimeout = Milliseconds(600);
 
   friend bool operator==(const copy_request_settings&,
                          const copy_request_settings&) = default;
@@ -69,33 +69,33 @@
   // ms.
   // `aReads`: this instance asks the source itself; else it is told of nothing
   // by it, and asks a peer at once.
-  std::optional<better_copy> Tick(const relay_peers& aPeers,
-                                  const known_revisions& aMine,
-                                  bool aReads,
-                                  time_point aNow);
+  std::optional<newer_copy> Tick(const relay_peers& aPeers,
+                                 const known_revisions& aOwn,
+                                 bool aReads,
+                                 time_point aNow);
 
   // A part of a peer's answer came, and the answer's end.
   void OnBytes(copied_items aWhich, time_point aNow);
   void OnEnded(copied_items aWhich);
   // The peer has given as many large copies as it may: another one is asked at
   // the next look.
-  void OnPutOff() { mNextAsk = time_point{}; }
+  void OnDeclined() { mNextRequest = time_point{}; }
 
   // Whether peers were asked in vain for so long that this instance is to ask
   // the source itself.
   bool NeedsSource(time_point aNow) const;
 
 private:
-  bool Coming(copied_items aWhich, time_point aNow) const;
+  bool IsInTransfer(copied_items aWhich, time_point aNow) const;
 
   copy_request_settings mSettings;
   // Since when some peer has known more at each look.
   std::optional<time_point> mBehindSince;
-  // Since when a peer is known to hold `mBehindOf`, which isn't held here, and
-  // no copy comes.
-  std::optional<time_point> mInVainSince;
-  known_revisions mBehindOf;
-  time_point mNextAsk{};
+  // Since when a peer is known to hold `mTargetRevisions`, which isn't held
+  // here, and no copy comes.
+  std::optional<time_point> mNoProgressSince;
+  known_revisions mTargetRevisions;
+  time_point mNextRequest{};
   std::uint64_t mAttempt = 0;
   // When the last part came of a copy that isn't whole, by which one it is.
   std::array<std::optional<time_point>, 2> mLastBytes;
--- a/thornhollow/fleet/shared_sums.h
+++ b/thornhollow/fleet/demand_aggregation.h
@@ -1,10 +1,10 @@
 // Sums over all instances of what is asked for, which all of them know alike a
 // second or two later.
 //
-//   shared_sums sums(shared_sums_settings{});
-//   for (const sums_to_tell& each : sums.Round(own, ring, now)) { Send(each); }
-//   sums.OnTold(told, now);
-//   if (const summed_views all = sums.All(own, 195, now); all.mInstances > 0)
+//   demand_aggregation sums(demand_aggregation_settings{});
+//   for (const outgoing_aggregation& each : sums.Round(own, ring, now)) {
+//   Send(each); } sums.OnMessage(told, now); if (const aggregated_views all =
+//   sums.All(own, 195, now); all.mInstances > 0)
 //   {
 //     ...
 //   }
@@ -23,8 +23,8 @@
 // Nothing is agreed on: one that can't be reached leaves a gap, which the
 // number of instances in each sum shows. Two that differ about who runs count a
 // few instances twice or not at all.
-#ifndef THORNHOLLOW_FLEET_SHARED_SUMS_H_
-#define THORNHOLLOW_FLEET_SHARED_SUMS_H_
+#ifndef THORNHOLLOW_FLEET_DEMAND_AGGREGATION_H_
+#define THORNHOLLOW_FLEET_DEMAND_AGGREGATION_H_
 
 #include <cstddef>
 #include <map>
@@ -39,32 +39,35 @@
 namespace thornhollow {
 
 // Sums of what so many instances said.
-struct summed_views
+struct aggregated_views
 {
   std::size_t mInstances = 0;
   std::map<pool_name, pool_view> mViews;
 
-  friend bool operator==(const summed_views&, const summed_views&) = default;
+  friend bool operator==(const aggregated_views&,
+                         const aggregated_views&) = default;
 };
 
 // What an instance tells the one that stands 2^`mLevel` places after it.
-struct told_sums
+struct aggregation_message
 {
   std::size_t mLevel = 0;
   // Over 2^`mLevel` instances, up to the one that tells.
-  summed_views mRun;
+  aggregated_views mBlock;
   // Over as many as all instances are more than a multiple of that.
-  summed_views mRest;
+  aggregated_views mRemainder;
 
-  friend bool operator==(const told_sums&, const told_sums&) = default;
+  friend bool operator==(const aggregation_message&,
+                         const aggregation_message&) = default;
 };
 
-struct sums_to_tell
+struct outgoing_aggregation
 {
   std::string mAddress;
-  told_sums mSums;
+  aggregation_message mMessage;
 
-  friend bool operator==(const sums_to_tell&, const sums_to_tell&) = default;
+  friend bool operator==(const outgoing_aggregation&,
+                         const outgoing_aggregation&) = default;
 };
 
 // All instances in the ring's order, and where this one stands.
@@ -76,56 +79,59 @@
   friend bool operator==(const instance_ring&, const instance_ring&) = default;
 };
 
-struct shared_sums_settings
+struct demand_aggregation_settings
 {
   duration mInterval = Milliseconds(500);
   // What was told longer ago counts for nothing: three rounds.
-  duration mFreshFor = Milliseconds(1'600);
+  duration mMaxAge = Milliseconds(1'600);
   // Of 2^10 instances at the most.
-  std::size_t mMostLevels = 10;
+  std::size_t mMaxLevels = 10;
 
-  friend bool operator==(const shared_sums_settings&,
-                         const shared_sums_settings&) = default;
+  friend bool operator==(const demand_aggregation_settings&,
+                         const demand_aggregation_settings&) = default;
 };
 
-class shared_sums
+class demand_aggregation
 {
 public:
-  explicit shared_sums(const shared_sums_settings& aSettings);
+  explicit demand_aggregation(const demand_aggregation_settings& aSettings);
 
   // Whether a round is due: the ring is needed only then.
-  bool Due(time_point aNow) const { return aNow >= mNextRound; }
+  bool IsRoundDue(time_point aNow) const { return aNow >= mNextRound; }
   // What to tell now, nothing between two rounds. `aOwn`: this instance's part.
-  std::vector<sums_to_tell> Round(const std::map<pool_name, pool_view>& aOwn,
-                                  const instance_ring& aRing,
-                                  time_point aNow);
-  void OnTold(const told_sums& aSums, time_point aNow);
+  std::vector<outgoing_aggregation> NextMessages(
+    const std::map<pool_name, pool_view>& aOwn,
+    const instance_ring& aRing,
+    time_point aNow);
+  void OnMessage(const aggregation_message& aSums, time_point aNow);
 
   // Over all of so many instances in the ring, this one included, as far as
   // they were told of.
-  summed_views All(const std::map<pool_name, pool_view>& aOwn,
-                   std::size_t aInstances,
-                   time_point aNow) const;
+  aggregated_views Total(const std::map<pool_name, pool_view>& aOwn,
+                         std::size_t aInstances,
+                         time_point aNow) const;
 
 private:
-  struct heard
+  struct received_message
   {
-    told_sums mSums;
+    aggregation_message mMessage;
     time_point mAt{};
   };
   // What this instance would tell at each level, the last one past the ring's
   // end.
-  std::vector<told_sums> Levels(const std::map<pool_name, pool_view>& aOwn,
-                                std::size_t aInstances,
-                                time_point aNow) const;
-  const told_sums* Fresh(std::size_t aLevel, time_point aNow) const;
-
-  shared_sums_settings mSettings;
+  std::vector<aggregation_message> ComputeLevels(
+    const std::map<pool_name, pool_view>& aOwn,
+    std::size_t aInstances,
+    time_point aNow) const;
+  const aggregation_message* FreshMessage(std::size_t aLevel,
+                                          time_point aNow) const;
+
+  demand_aggregation_settings mSettings;
   // By level.
-  std::vector<std::optional<heard>> mHeard;
+  std::vector<std::optional<received_message>> mReceived;
   time_point mNextRound{};
 };
 
 } // namespace thornhollow
 
-#endif // THORNHOLLOW_FLEET_SHARED_SUMS_H_
+#endif // THORNHOLLOW_FLEET_DEMAND_AGGREGATION_H_
--- a/thornhollow/fleet/shared_sums_test.cc
+++ b/thornhollow/fleet/demand_aggregation_test.cc
@@ -4,7 +4,7 @@
 
 #include <doctest/doctest.h>
 
-#include "thornhollow/fleet/shared_sums.h"
+#include "thornhollow/fleet/demand_aggregation.h"
 
 namespace thornhollow {
 namespace {
@@ -14,29 +14,30 @@
 
 // Instances that tell each other sums in virtual time; what each asks for has
 // nothing to do with its place in the ring.
-struct ring_of_instances
+struct simulated_ring
 {
   instance_ring mRing;
-  std::vector<shared_sums> mSums;
+  std::vector<demand_aggregation> mAggregations;
   std::vector<bool> mStopped;
   std::mt19937_64 mRandom{ 1 };
   double mLoss = 0;
-  double mAsked = 1;
+  double mDemandFactor = 1;
   std::size_t mMessages = 0;
   time_point mNow = time_point() + Seconds(100);
 
-  void Make(std::size_t aInstances)
+  void AddInstances(std::size_t aInstances)
   {
     for (std::size_t each = 0; each < aInstances; ++each) {
       mRing.mAddresses.push_back(std::to_string(each));
-      mSums.emplace_back(shared_sums_settings{});
+      mAggregations.emplace_back(demand_aggregation_settings{});
     }
     mStopped.assign(aInstances, false);
   }
 
   std::map<pool_name, pool_view> Own(std::size_t aInstance) const
   {
-    const double requests = static_cast<double>(aInstance * 37 % 101) * mAsked;
+    const double requests =
+      static_cast<double>(aInstance * 37 % 101) * mDemandFactor;
     return { { kPool, { { { kKind, requests, 0, 0, 0 } } } } };
   }
 
@@ -45,33 +46,34 @@
     return { mRing.mAddresses, aInstance };
   }
 
-  void Run(duration aLength)
+  void Run(duration aDuration)
   {
     std::uniform_real_distribution<double> chance(0, 1);
-    for (const time_point end = mNow + aLength; mNow < end;
+    for (const time_point end = mNow + aDuration; mNow < end;
          mNow += Milliseconds(100)) {
-      for (std::size_t each = 0; each < mSums.size(); ++each) {
+      for (std::size_t each = 0; each < mAggregations.size(); ++each) {
         if (mStopped[each]) {
           continue;
         }
-        for (const sums_to_tell& told :
-             mSums[each].Round(Own(each), RingOf(each), mNow)) {
-          const auto to = std::stoul(told.mAddress);
+        for (const outgoing_aggregation& message :
+             mAggregations[each].NextMessages(Own(each), RingOf(each), mNow)) {
+          const auto to = std::stoul(message.mAddress);
           ++mMessages;
           if (!mStopped[to] && chance(mRandom) >= mLoss) {
-            mSums[to].OnTold(told.mSums, mNow);
+            mAggregations[to].OnMessage(message.mMessage, mNow);
           }
         }
       }
     }
   }
 
-  summed_views Of(std::size_t aInstance) const
+  aggregated_views TotalOf(std::size_t aInstance) const
   {
-    return mSums[aInstance].All(Own(aInstance), mSums.size(), mNow);
+    return mAggregations[aInstance].Total(
+      Own(aInstance), mAggregations.size(), mNow);
   }
 
-  static double Requests(const summed_views& aSums)
+  static double Requests(const aggregated_views& aSums)
   {
     const auto found = aSums.mViews.find(kPool);
     return found == aSums.mViews.end() ? 0
@@ -83,49 +85,47 @@
 {
   for (const std::size_t instances : { 2, 3, 7, 8, 23, 64, 90, 195, 420 }) {
     CAPTURE(instances);
-    ring_of_instances subject;
-    subject.Make(instances);
+    simulated_ring subject;
+    subject.AddInstances(instances);
     subject.Run(Seconds(5));
     double sum = 0;
     for (std::size_t each = 0; each < instances; ++each) {
       sum += static_cast<double>(each * 37 % 101);
     }
     for (std::size_t each = 0; each < instances; ++each) {
-      const summed_views result = subject.Of(each);
+      const aggregated_views result = subject.TotalOf(each);
       CHECK(result.mInstances == instances);
-      CHECK(ring_of_instances::Requests(result) == doctest::Approx(sum));
+      CHECK(simulated_ring::Requests(result) == doctest::Approx(sum));
     }
   }
 }
 
 // The sums' messages go beside hellos of up to 18 KB a second.
-TEST_CASE_FIXTURE(ring_of_instances, "shared_sums/420_instances/few_messages")
+TEST_CASE_FIXTURE(simulated_ring, "shared_sums/420_instances/few_messages")
 {
-  Make(420);
+  AddInstances(420);
   Run(Seconds(10));
   CHECK(mMessages <= 420 * 10 * 2 * 9);
 }
 
 // Guards against borders that follow a burst seconds late.
-TEST_CASE_FIXTURE(ring_of_instances,
-                  "shared_sums/burst/is_known_in_three_seconds")
+TEST_CASE_FIXTURE(simulated_ring, "shared_sums/burst/is_known_in_three_seconds")
 {
-  Make(195);
+  AddInstances(195);
   Run(Seconds(5));
-  const double before = Requests(Of(0));
-  mAsked = 3;
+  const double before = Requests(TotalOf(0));
+  mDemandFactor = 3;
   Run(Seconds(3));
   for (std::size_t each = 0; each < 195; ++each) {
-    CHECK(Requests(Of(each)) >= before * 2.4);
+    CHECK(Requests(TotalOf(each)) >= before * 2.4);
   }
 }
 
 // Guards against sums that are taken for those over all when instances are
 // gone.
-TEST_CASE_FIXTURE(ring_of_instances,
-                  "shared_sums/a_quarter_stops/most_are_heard")
+TEST_CASE_FIXTURE(simulated_ring, "shared_sums/a_quarter_stops/most_are_heard")
 {
-  Make(195);
+  AddInstances(195);
   mLoss = 0.02;
   Run(Seconds(5));
   for (std::size_t each = 0; each < 195; each += 4) {
@@ -133,7 +133,7 @@
   }
   Run(Seconds(5));
   for (std::size_t each = 1; each < 195; each += 4) {
-    const summed_views result = Of(each);
+    const aggregated_views result = TotalOf(each);
     CHECK(result.mInstances <= 150);
     // Where it is of a few only, those heard a moment ago count instead.
     if (result.mInstances < 20) {
@@ -148,17 +148,16 @@
 }
 
 // Guards against a peer that tells of a level beyond any ring.
-TEST_CASE_FIXTURE(ring_of_instances,
-                  "shared_sums/forged_level/is_without_effect")
+TEST_CASE_FIXTURE(simulated_ring, "shared_sums/forged_level/is_without_effect")
 {
-  Make(8);
+  AddInstances(8);
   Run(Seconds(3));
-  const summed_views before = Of(3);
-  told_sums forged;
+  const aggregated_views before = TotalOf(3);
+  aggregation_message forged;
   forged.mLevel = 1'000'000;
-  forged.mRun.mInstances = 1'000'000;
-  mSums[3].OnTold(forged, mNow);
-  CHECK(Of(3) == before);
+  forged.mBlock.mInstances = 1'000'000;
+  mAggregations[3].OnMessage(forged, mNow);
+  CHECK(TotalOf(3) == before);
 }
 
 } // namespace
--- a/thornhollow/fleet/heavy_load_test.cc
+++ b/thornhollow/fleet/heavy_load_test.cc
@@ -22,32 +22,32 @@
                      .mTarget = Seconds(2),
                      .mPause = Seconds(1),
                      .mPatience = Seconds(12),
-                     .mRank = 2,
+                     .mPriority = 2,
                      .mOwnTokens = 6'610,
                      .mSharedTokens = 5'382,
                      .mSessions = 449,
                      .mAnswerTokens = 385,
-                     .mSpread = 0.9 },
+                     .mLengthLogStdDev = 0.9 },
                    { .mPerSecond = 101,
                      .mTarget = Milliseconds(300),
                      .mPause = Milliseconds(250),
                      .mPatience = Seconds(12),
-                     .mRank = 0,
+                     .mPriority = 0,
                      .mOwnTokens = 430,
                      .mSharedTokens = 198,
                      .mSessions = 479,
                      .mAnswerTokens = 294,
-                     .mSpread = 0.6 },
+                     .mLengthLogStdDev = 0.6 },
                    { .mPerSecond = 185,
                      .mTarget = Milliseconds(400),
                      .mPause = Milliseconds(400),
                      .mPatience = Seconds(3),
-                     .mRank = 1,
+                     .mPriority = 1,
                      .mOwnTokens = 1'230,
                      .mSharedTokens = 568,
                      .mSessions = 1'317,
                      .mAnswerTokens = 22,
-                     .mSpread = 0.8 } };
+                     .mLengthLogStdDev = 0.8 } };
   return shape;
 }
 
@@ -57,14 +57,14 @@
 
   void Load(double aPlans, double aBriefs, double aTags, duration aFor)
   {
-    mFleet.Set(kPlans, aPlans);
-    mFleet.Set(kBriefs, aBriefs);
-    mFleet.Set(kTags, aTags);
+    mFleet.SetRateFactor(kPlans, aPlans);
+    mFleet.SetRateFactor(kBriefs, aBriefs);
+    mFleet.SetRateFactor(kTags, aTags);
     mFleet.Run(aFor);
   }
 
   // Nobody asks any more; what is open ends, or its callers leave.
-  void End(duration aLongest) { Load(0, 0, 0, aLongest); }
+  void Drain(duration aMaxDuration) { Load(0, 0, 0, aMaxDuration); }
 };
 
 // Guards against a burst of long prompts, of a third more than the slots of all
@@ -74,12 +74,12 @@
 {
   Load(2.4, 1.6, 1.6, Seconds(7));
   Load(1.2, 2.7, 1.6, Seconds(4));
-  End(Seconds(12));
-  CHECK(mFleet.Got(kBriefs).InTime() >= 0.75);
-  CHECK(mFleet.Got(kTags).InTime() >= 0.5);
+  Drain(Seconds(12));
+  CHECK(mFleet.Result(kBriefs).InTimeFraction() >= 0.75);
+  CHECK(mFleet.Result(kTags).InTimeFraction() >= 0.5);
   // What can't be served in time is told so; few wait in vain.
-  const load_result& plans = mFleet.Got(kPlans);
-  CHECK(plans.mGivenUp + plans.mDeclined <= plans.mAsked / 20);
+  const load_result& plans = mFleet.Result(kPlans);
+  CHECK(plans.mTimedOut + plans.mDeclined <= plans.mRequests / 20);
   CHECK(plans.mRefused > 0);
 }
 
@@ -87,13 +87,13 @@
                   "heavy_load/usual_load/nearly_all_in_time_and_none_refused")
 {
   Load(1, 1, 1, Seconds(2));
-  mFleet.Count();
+  mFleet.ResetCounts();
   Load(1, 1, 1, Seconds(3));
-  End(Seconds(6));
+  Drain(Seconds(6));
   for (const std::size_t kind : { kPlans, kBriefs, kTags }) {
     CAPTURE(kind);
-    CHECK(mFleet.Got(kind).mRefused == 0);
-    CHECK(mFleet.Got(kind).InTime() >= 0.9);
+    CHECK(mFleet.Result(kind).mRefused == 0);
+    CHECK(mFleet.Result(kind).InTimeFraction() >= 0.9);
   }
 }
 
--- a/thornhollow/fleet/knowledge_spread_test.cc
+++ b/thornhollow/fleet/knowledge_spread_test.cc
@@ -11,7 +11,7 @@
 // Long enough for all to have met.
 constexpr duration kSettled = Seconds(15);
 // In force everywhere, where the source's answer itself takes most of a second.
-constexpr duration kOnNarrowLinks = Seconds(3);
+constexpr duration kMaxChangeDelayOnNarrowLinks = Seconds(3);
 
 // Guards against a configuration that stays old for long while its answers come
 // slowly: each is given up and asked for again beside the last.
@@ -23,19 +23,20 @@
     silent_source_fleet condition({ .mDomains = 3,
                                     .mPerDomain = 28,
                                     .mReaders = 2,
-                                    .mLoss = 0.02,
+                                    .mLossRate = 0.02,
                                     .mDocumentBytes = 800'000,
-                                    .mLinkBytes = 1'250'000 },
+                                    .mLinkBytesPerSecond = 1'250'000 },
                                   seed);
-    LeaveInSeries(condition, kSettled, seed);
+    ScheduleLeaves(condition, kSettled, seed);
     for (const duration after :
          { Seconds(0), Milliseconds(1'500), Seconds(4), Milliseconds(4'600) }) {
-      condition.Change(kSettled + after, followed::kConfiguration);
+      condition.Change(kSettled + after, source_item_type::kConfiguration);
     }
     condition.Run(kSettled + Seconds(25));
-    CHECK(ToSeconds(condition.Worst().mTook) <= ToSeconds(kOnNarrowLinks));
-    CHECK(ToSeconds(condition.WorstLeaving().mTook) <=
-          ToSeconds(silent_source_fleet::kInForceWithin));
+    CHECK(ToSeconds(condition.WorstDelay().mDelay) <=
+          ToSeconds(kMaxChangeDelayOnNarrowLinks));
+    CHECK(ToSeconds(condition.WorstLeaveDelay().mDelay) <=
+          ToSeconds(silent_source_fleet::kMaxChangeDelay));
   }
 }
 
@@ -47,15 +48,16 @@
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     CAPTURE(seed);
     silent_source_fleet condition(
-      { .mDomains = 3, .mPerDomain = 28, .mReaders = 2, .mLoss = 0.02 }, seed);
-    LeaveInSeries(condition, kSettled, seed);
+      { .mDomains = 3, .mPerDomain = 28, .mReaders = 2, .mLossRate = 0.02 },
+      seed);
+    ScheduleLeaves(condition, kSettled, seed);
     condition.Run(kSettled - Seconds(1));
-    condition.TurnAway(condition.Readers().front(),
-                       kSettled - Seconds(1),
-                       kSettled + Seconds(3));
+    condition.BlockSource(condition.Readers().front(),
+                          kSettled - Seconds(1),
+                          kSettled + Seconds(3));
     condition.Run(kSettled + Seconds(12));
-    CHECK(ToSeconds(condition.WorstLeaving().mTook) <=
-          ToSeconds(silent_source_fleet::kInForceWithin));
+    CHECK(ToSeconds(condition.WorstLeaveDelay().mDelay) <=
+          ToSeconds(silent_source_fleet::kMaxChangeDelay));
   }
 }
 
--- a/thornhollow/fleet/large_copies_test.cc
+++ b/thornhollow/fleet/large_copy_limiter_test.cc
@@ -1,29 +1,29 @@
 #include <doctest/doctest.h>
 
-#include "thornhollow/fleet/large_copies.h"
+#include "thornhollow/fleet/large_copy_limiter.h"
 
 namespace thornhollow {
 namespace {
 
 constexpr std::size_t kDocument = 400'000;
 
-struct nothing_given_yet
+struct idle_limiter
 {
-  large_copies mGiven;
+  large_copy_limiter mLimiter;
   time_point mNow = time_point() + Seconds(100);
 };
 
 // Guards against an instance whose link is full of copies that nobody waits
 // for.
-TEST_CASE_FIXTURE(nothing_given_yet, "large_copies/many_ask/two_get_it_at_once")
+TEST_CASE_FIXTURE(idle_limiter, "large_copies/many_ask/two_get_it_at_once")
 {
   int result = 0;
   for (int each = 0; each < 20; ++each) {
-    result += mGiven.Gives(kDocument, mNow) ? 1 : 0;
+    result += mLimiter.TryAdmit(kDocument, mNow) ? 1 : 0;
   }
   CHECK(result == 2);
   mNow += Seconds(1);
-  CHECK(mGiven.Gives(kDocument, mNow));
+  CHECK(mLimiter.TryAdmit(kDocument, mNow));
 }
 
 // Guards against a copy that takes a second where only few can have it, as the
@@ -31,28 +31,28 @@
 TEST_CASE("large_copies/links/are_used_as_far_as_they_carry")
 {
   for (const double bytesPerSecond : { 1'250'000.0, 25'000'000.0 }) {
-    large_copy_settings settings;
+    large_copy_limiter_settings settings;
     settings.mLinkBytesPerSecond = bytesPerSecond;
-    large_copies condition(settings);
-    double given = 0;
+    large_copy_limiter condition(settings);
+    double admittedBytes = 0;
     for (int tick = 0; tick < 100; ++tick) {
       const time_point now = time_point() + tick * Milliseconds(100);
       for (int each = 0; each < 30; ++each) {
-        given += condition.Gives(kDocument, now) ? kDocument : 0;
+        admittedBytes += condition.TryAdmit(kDocument, now) ? kDocument : 0;
       }
     }
-    CHECK(given >= bytesPerSecond * 10 * 0.7);
-    CHECK(given <= bytesPerSecond * 10 * 0.9);
+    CHECK(admittedBytes >= bytesPerSecond * 10 * 0.7);
+    CHECK(admittedBytes <= bytesPerSecond * 10 * 0.9);
   }
 }
 
 // Guards against news of leaving endpoints that wait behind a configuration.
-TEST_CASE_FIXTURE(nothing_given_yet, "large_copies/small_ones/are_always_given")
+TEST_CASE_FIXTURE(idle_limiter, "large_copies/small_ones/are_always_given")
 {
-  mGiven.Gives(kDocument, mNow);
-  mGiven.Gives(kDocument, mNow);
+  mLimiter.TryAdmit(kDocument, mNow);
+  mLimiter.TryAdmit(kDocument, mNow);
   for (int each = 0; each < 100; ++each) {
-    CHECK(mGiven.Gives(300, mNow));
+    CHECK(mLimiter.TryAdmit(300, mNow));
   }
 }
 
--- a/thornhollow/fleet/relay_peers.cc
+++ b/thornhollow/fleet/relay_peers.cc
@@ -13,7 +13,7 @@
 namespace {
 
 void
-KeepOneOfEach(std::vector<std::string>& aAddresses)
+SortUnique(std::vector<std::string>& aAddresses)
 {
   std::ranges::sort(aAddresses);
   aAddresses.erase(std::unique(aAddresses.begin(), aAddresses.end()),
@@ -23,7 +23,7 @@
 } // namespace
 
 std::uint32_t
-WorkKey(const endpoint_name& aEndpoint)
+EndpointHash(const endpoint_name& aEndpoint)
 {
   return static_cast<std::uint32_t>(Hash64(aEndpoint.Text()));
 }
@@ -38,7 +38,7 @@
   , mOwnDomain(std::move(aOwnDomain))
   , mSeeds(std::move(aSeeds))
   , mRandom(aSeed)
-  , mSums(aSettings.mSums)
+  , mAggregation(aSettings.mAggregation)
 {
   std::erase(mSeeds, mOwnAddress);
 }
@@ -46,39 +46,39 @@
 hello_round
 relay_peers::Tick(time_point aNow)
 {
-  Forget(aNow);
+  RemoveExpired(aNow);
   hello_round round;
-  std::vector<std::string>& told = round.mWhole;
+  std::vector<std::string>& recipients = round.mFull;
   if (aNow >= mNextSeeds) {
     mNextSeeds = aNow + mSettings.mSeedInterval;
     for (const std::string& seed : mSeeds) {
       if (!mPeers.contains(seed)) {
-        told.push_back(seed);
+        recipients.push_back(seed);
       }
     }
-    for (const auto& [address, until] : mUnheard) {
-      round.mAsked.push_back(address);
+    for (const auto& [address, until] : mUnconfirmed) {
+      round.mProbed.push_back(address);
     }
   }
   if (aNow >= mNextRound) {
     mNextRound = aNow + Interval();
-    std::ranges::move(Draw(), std::back_inserter(told));
+    std::ranges::move(DrawRecipients(), std::back_inserter(recipients));
   }
-  if (mReadsForAll && aNow >= mNextAsReader) {
-    mNextAsReader = aNow + mSettings.mReaderInterval;
-    round.mBrief = OwnDomain();
+  if (mReadsForDomain && aNow >= mNextReaderHello) {
+    mNextReaderHello = aNow + mSettings.mReaderInterval;
+    round.mBrief = DomainPeers();
   }
-  KeepOneOfEach(told);
-  std::erase_if(round.mBrief, [&](const std::string& aOne) {
-    return std::ranges::binary_search(told, aOne);
+  SortUnique(recipients);
+  std::erase_if(round.mBrief, [&](const std::string& aEntry) {
+    return std::ranges::binary_search(recipients, aEntry);
   });
   return round;
 }
 
-relay_peers::above
-relay_peers::Above(time_point aNow) const
+relay_peers::higher_ranked
+relay_peers::HigherRanked(time_point aNow) const
 {
-  above found;
+  higher_ranked found;
   const reader_rank own = RankOf(mSettings.mLinkMegabits, mOwnAddress);
   for (const auto& [address, each] : mPeers) {
     if (each.mHello.mDomain != mOwnDomain) {
@@ -88,10 +88,10 @@
     if (RankOf(each.mHello.mLinkMegabits, address) <= own) {
       continue;
     }
-    ++found.mKnown;
-    if (aNow - each.mHeard < mSettings.mReaderSilent) {
-      ++found.mHeard;
-      found.mAnswered += each.mHello.mSourceFails ? 0 : 1;
+    ++found.mCount;
+    if (aNow - each.mLastMessage < mSettings.mReaderTimeout) {
+      ++found.mActive;
+      found.mServed += each.mHello.mSourceFails ? 0 : 1;
     }
   }
   return found;
@@ -106,24 +106,24 @@
 bool
 relay_peers::Reads(time_point aNow)
 {
-  const above found = Above(aNow);
+  const higher_ranked found = HigherRanked(aNow);
   const bool all = AllRead(found.mInDomain);
-  const bool missed = all || (found.mAnswered < mSettings.mReaders &&
-                              found.mHeard < mSettings.mMostReaders);
-  if (!missed) {
-    mMissedSince.reset();
+  const bool tooFewReaders = all || (found.mServed < mSettings.mReaders &&
+                                     found.mActive < mSettings.mMaxReaders);
+  if (!tooFewReaders) {
+    mReadersMissingSince.reset();
     mReads = false;
-    mReadsForAll = false;
+    mReadsForDomain = false;
     return mReads;
   }
-  if (!mMissedSince) {
-    mMissedSince = aNow;
+  if (!mReadersMissingSince) {
+    mReadersMissingSince = aNow;
   }
   const duration stagger =
-    std::min(mSettings.mStagger * static_cast<std::int64_t>(found.mKnown),
-             mSettings.mMostStagger);
-  mReads = mReads || all || aNow - *mMissedSince >= stagger;
-  mReadsForAll = mReads && !all;
+    std::min(mSettings.mStagger * static_cast<std::int64_t>(found.mCount),
+             mSettings.mMaxStagger);
+  mReads = mReads || all || aNow - *mReadersMissingSince >= stagger;
+  mReadsForDomain = mReads && !all;
   return mReads;
 }
 
@@ -134,25 +134,26 @@
   for (const auto& [address, each] : mPeers) {
     domains.insert(each.mHello.mDomain);
   }
-  const above found = Above(aNow);
-  const auto place = std::distance(domains.begin(), domains.find(mOwnDomain));
+  const higher_ranked found = HigherRanked(aNow);
+  const auto domainIndex =
+    std::distance(domains.begin(), domains.find(mOwnDomain));
   watch_turn turn;
   const bool all = AllRead(found.mInDomain);
   turn.mOf = all ? found.mInDomain : mSettings.mReaders;
-  turn.mPlace = (all ? found.mKnown : found.mHeard) % turn.mOf;
+  turn.mPlace = (all ? found.mCount : found.mActive) % turn.mOf;
   turn.mPhase =
-    static_cast<double>(place + 1) / static_cast<double>(domains.size());
+    static_cast<double>(domainIndex + 1) / static_cast<double>(domains.size());
   return turn;
 }
 
 bool
-relay_peers::AllRead(std::size_t aInDomain) const
+relay_peers::AllRead(std::size_t aDomainSize) const
 {
-  return mSettings.mReaders == 0 || aInDomain <= mSettings.mAllRead;
+  return mSettings.mReaders == 0 || aDomainSize <= mSettings.mAllReadUpTo;
 }
 
 std::vector<std::string>
-relay_peers::OwnDomain() const
+relay_peers::DomainPeers() const
 {
   std::vector<std::string> found;
   for (const auto& [address, each] : mPeers) {
@@ -164,22 +165,22 @@
 }
 
 duration
-relay_peers::ForgetAfter() const
+relay_peers::PeerTimeout() const
 {
-  return mSettings.mForgetAfter +
-         mSettings.mForgetMore *
+  return mSettings.mPeerTimeout +
+         mSettings.mPeerTimeoutStep *
            static_cast<std::int64_t>(mPeers.size() / mSettings.mFanout);
 }
 
 std::vector<std::string>
-relay_peers::OnNews()
+relay_peers::OnNewRevision()
 {
-  std::vector<std::string> told = Draw();
-  if (mReadsForAll) {
-    std::ranges::move(OwnDomain(), std::back_inserter(told));
-    KeepOneOfEach(told);
+  std::vector<std::string> recipients = DrawRecipients();
+  if (mReadsForDomain) {
+    std::ranges::move(DomainPeers(), std::back_inserter(recipients));
+    SortUnique(recipients);
   }
-  return told;
+  return recipients;
 }
 
 std::optional<std::string>
@@ -192,80 +193,82 @@
   if (!known && mPeers.size() >= mSettings.mMaxPeers) {
     return std::nullopt;
   }
-  Hear(mPeers[aHello.mAddress], aHello, aNow);
+  UpdatePeer(mPeers[aHello.mAddress], aHello, aNow);
   if (aHello.mSourceAnswerAge) {
-    const time_point then = aNow - *aHello.mSourceAnswerAge;
-    mSourceAnswered = std::max(mSourceAnswered.value_or(then), then);
+    const time_point answeredAt = aNow - *aHello.mSourceAnswerAge;
+    mSourceAnswered =
+      std::max(mSourceAnswered.value_or(answeredAt), answeredAt);
   }
-  if (aHello.mSums) {
-    mSums.OnTold(*aHello.mSums, aNow);
+  if (aHello.mAggregation) {
+    mAggregation.OnMessage(*aHello.mAggregation, aNow);
   }
-  mUnheard.erase(aHello.mAddress);
+  mUnconfirmed.erase(aHello.mAddress);
   for (const std::string& each : aHello.mPeers) {
     if (each != mOwnAddress && !mPeers.contains(each) &&
-        mUnheard.size() < mSettings.mMaxPeers) {
-      mUnheard.emplace(each, aNow + mSettings.mForgetAfter);
+        mUnconfirmed.size() < mSettings.mMaxPeers) {
+      mUnconfirmed.emplace(each, aNow + mSettings.mPeerTimeout);
     }
   }
-  if (mPeers.size() + 1 >= mMost) {
-    mMost = mPeers.size() + 1;
-    mMostAt = aNow;
+  if (mPeers.size() + 1 >= mMaxCount) {
+    mMaxCount = mPeers.size() + 1;
+    mMaxCountAt = aNow;
   }
   return aHello.mWantsAnswer ? std::optional(aHello.mAddress) : std::nullopt;
 }
 
 void
-relay_peers::Hear(peer& aPeer, const relay_hello& aHello, time_point aNow)
+relay_peers::UpdatePeer(peer& aPeer, const relay_hello& aHello, time_point aNow)
 {
-  aPeer.mHeard = aNow;
+  aPeer.mLastMessage = aNow;
   if (!aHello.mBrief) {
     aPeer.mHello = aHello;
-    aPeer.mToldWork = aNow;
+    aPeer.mLastFullHello = aNow;
     return;
   }
   aPeer.mHello.mAddress = aHello.mAddress;
   aPeer.mHello.mDomain = aHello.mDomain;
-  aPeer.mHello.mKnown = aHello.mKnown;
+  aPeer.mHello.mRevisions = aHello.mRevisions;
   aPeer.mHello.mSourceFails = aHello.mSourceFails;
   aPeer.mHello.mSourceAnswerAge = aHello.mSourceAnswerAge;
   aPeer.mHello.mLinkMegabits = aHello.mLinkMegabits;
 }
 
 std::vector<std::string>
-relay_peers::SomePeers()
+relay_peers::SamplePeers()
 {
   std::vector<std::string> all;
   for (const auto& [address, each] : mPeers) {
     all.push_back(address);
   }
   std::ranges::shuffle(all, mRandom);
-  all.resize(std::min(all.size(), mSettings.mTold));
+  all.resize(std::min(all.size(), mSettings.mAddressesPerHello));
   return all;
 }
 
-std::optional<better_copy>
-relay_peers::WhoKnowsMore(const known_revisions& aMine,
-                          std::uint64_t aAttempt,
-                          time_point aNow) const
+std::optional<newer_copy>
+relay_peers::FindNewerCopy(const known_revisions& aOwn,
+                           std::uint64_t aAttempt,
+                           time_point aNow) const
 {
   const peer* best = nullptr;
   for (const auto& [address, each] : mPeers) {
-    const known_revisions& its = each.mHello.mKnown;
-    const bool more = its.mConfiguration > aMine.mConfiguration ||
-                      its.mEndpoints > aMine.mEndpoints;
-    const bool fresh = aNow - each.mHeard < mSettings.mFreshFor;
-    if (more && fresh && (best == nullptr || IsBetter(each, *best, aAttempt))) {
+    const known_revisions& other = each.mHello.mRevisions;
+    const bool isNewer = other.mConfiguration > aOwn.mConfiguration ||
+                         other.mEndpoints > aOwn.mEndpoints;
+    const bool fresh = aNow - each.mLastMessage < mSettings.mMaxAge;
+    if (isNewer && fresh &&
+        (best == nullptr || IsBetter(each, *best, aAttempt))) {
       best = &each;
     }
   }
   if (best == nullptr) {
     return std::nullopt;
   }
-  const known_revisions& its = best->mHello.mKnown;
-  return better_copy{ best->mHello.mAddress,
-                      its,
-                      its.mConfiguration > aMine.mConfiguration,
-                      its.mEndpoints > aMine.mEndpoints };
+  const known_revisions& other = best->mHello.mRevisions;
+  return newer_copy{ best->mHello.mAddress,
+                     other,
+                     other.mConfiguration > aOwn.mConfiguration,
+                     other.mEndpoints > aOwn.mEndpoints };
 }
 
 // The nearer one first, then the one that knows more, then another one for each
@@ -275,12 +278,12 @@
                       const peer& aRight,
                       std::uint64_t aAttempt) const
 {
-  const std::uint64_t turn = CombineHash(Hash64(mOwnAddress), aAttempt);
-  const auto rank = [&](const peer& aOne) {
-    return std::tuple(aOne.mHello.mDomain == mOwnDomain,
-                      aOne.mHello.mKnown.mConfiguration +
-                        aOne.mHello.mKnown.mEndpoints,
-                      CombineHash(turn, Hash64(aOne.mHello.mAddress)));
+  const std::uint64_t seed = CombineHash(Hash64(mOwnAddress), aAttempt);
+  const auto rank = [&](const peer& aEntry) {
+    return std::tuple(aEntry.mHello.mDomain == mOwnDomain,
+                      aEntry.mHello.mRevisions.mConfiguration +
+                        aEntry.mHello.mRevisions.mEndpoints,
+                      CombineHash(seed, Hash64(aEntry.mHello.mAddress)));
   };
   return rank(aLeft) > rank(aRight);
 }
@@ -288,38 +291,43 @@
 std::size_t
 relay_peers::Count(time_point aNow) const
 {
-  if (mMost == 0) {
+  if (mMaxCount == 0) {
     return 0;
   }
-  return aNow - mMostAt < mSettings.mCountFor ? mMost : mPeers.size() + 1;
+  return aNow - mMaxCountAt < mSettings.mCountRetention ? mMaxCount
+                                                        : mPeers.size() + 1;
 }
 
 bool
-relay_peers::Fresh(const peer& aPeer, time_point aNow) const
+relay_peers::HasFreshLoad(const peer& aPeer, time_point aNow) const
 {
-  return aPeer.mToldWork && aNow - *aPeer.mToldWork < mSettings.mFreshFor;
+  return aPeer.mLastFullHello &&
+         aNow - *aPeer.mLastFullHello < mSettings.mMaxAge;
 }
 
 bool
 relay_peers::SourceFailsElsewhere(time_point aNow) const
 {
-  return std::ranges::any_of(mPeers, [&](const auto& aOne) {
-    const peer& its = aOne.second;
-    return aNow - its.mHeard < mSettings.mFreshFor && its.mHello.mSourceFails;
+  return std::ranges::any_of(mPeers, [&](const auto& aEntry) {
+    const peer& other = aEntry.second;
+    return aNow - other.mLastMessage < mSettings.mMaxAge &&
+           other.mHello.mSourceFails;
   });
 }
 
 std::size_t
-relay_peers::CountFresh(time_point aNow) const
+relay_peers::CountFreshLoads(time_point aNow) const
 {
-  return static_cast<std::size_t>(std::ranges::count_if(
-    mPeers, [&](const auto& aOne) { return Fresh(aOne.second, aNow); }));
+  return static_cast<std::size_t>(
+    std::ranges::count_if(mPeers, [&](const auto& aEntry) {
+      return HasFreshLoad(aEntry.second, aNow);
+    }));
 }
 
 double
-relay_peers::ForEachFresh(time_point aNow) const
+relay_peers::FreshLoadScale(time_point aNow) const
 {
-  const std::size_t fresh = CountFresh(aNow);
+  const std::size_t fresh = CountFreshLoads(aNow);
   return fresh == 0
            ? 0
            : static_cast<double>(mPeers.size()) / static_cast<double>(fresh);
@@ -328,51 +336,54 @@
 duration
 relay_peers::Interval() const
 {
-  return mPeers.size() >= mSettings.mCrowd ? 2 * mSettings.mInterval
-                                           : mSettings.mInterval;
+  return mPeers.size() >= mSettings.mHalfRateFrom ? 2 * mSettings.mInterval
+                                                  : mSettings.mInterval;
 }
 
-std::map<std::uint32_t, endpoint_work>
-relay_peers::OthersWork(time_point aNow) const
+std::map<std::uint32_t, reported_load>
+relay_peers::RemoteLoad(time_point aNow) const
 {
-  const double scale = ForEachFresh(aNow);
-  std::map<std::uint32_t, endpoint_work> sum;
+  const double scale = FreshLoadScale(aNow);
+  std::map<std::uint32_t, reported_load> sum;
   for (const auto& [address, each] : mPeers) {
-    if (!Fresh(each, aNow)) {
+    if (!HasFreshLoad(each, aNow)) {
       continue;
     }
-    for (const endpoint_work& work : each.mHello.mWork) {
-      endpoint_work& its = sum[work.mEndpoint];
-      its.mToRead += work.mToRead;
-      its.mOpen += work.mOpen;
-      if (work.mPace > 0 && (its.mPace == 0 || work.mPace < its.mPace)) {
-        its.mPace = work.mPace;
+    for (const reported_load& work : each.mHello.mLoads) {
+      reported_load& other = sum[work.mEndpoint];
+      other.mPrefillTokens += work.mPrefillTokens;
+      other.mInFlight += work.mInFlight;
+      if (work.mPrefillNanoseconds > 0 &&
+          (other.mPrefillNanoseconds == 0 ||
+           work.mPrefillNanoseconds < other.mPrefillNanoseconds)) {
+        other.mPrefillNanoseconds = work.mPrefillNanoseconds;
       }
     }
   }
   for (auto& [endpoint, work] : sum) {
-    work.mToRead =
-      static_cast<std::uint64_t>(static_cast<double>(work.mToRead) * scale);
-    work.mOpen =
-      static_cast<std::uint32_t>(static_cast<double>(work.mOpen) * scale);
+    work.mPrefillTokens = static_cast<std::uint64_t>(
+      static_cast<double>(work.mPrefillTokens) * scale);
+    work.mInFlight =
+      static_cast<std::uint32_t>(static_cast<double>(work.mInFlight) * scale);
   }
   return sum;
 }
 
 std::map<pool_name, pool_view>
-relay_peers::AllViews(const std::map<pool_name, pool_view>& aOwn,
-                      time_point aNow) const
+relay_peers::FleetViews(const std::map<pool_name, pool_view>& aOwn,
+                        time_point aNow) const
 {
-  if (mPeers.size() >= mSettings.mSumsFrom) {
-    const summed_views all = mSums.All(aOwn, mPeers.size() + 1, aNow);
-    if (all.mInstances > CountFresh(aNow)) {
-      return Scaled(all);
+  if (mPeers.size() >= mSettings.mAggregateFrom) {
+    const aggregated_views all =
+      mAggregation.Total(aOwn, mPeers.size() + 1, aNow);
+    if (all.mInstances > CountFreshLoads(aNow)) {
+      return ScaleToFleet(all);
     }
   }
-  const double scale = ForEachFresh(aNow);
+  const double scale = FreshLoadScale(aNow);
   std::map<pool_name, pool_view> sum = aOwn;
   for (const auto& [address, each] : mPeers) {
-    if (!Fresh(each, aNow)) {
+    if (!HasFreshLoad(each, aNow)) {
       continue;
     }
     for (const pool_demand& one : each.mHello.mDemand) {
@@ -383,7 +394,7 @@
 }
 
 std::map<pool_name, pool_view>
-relay_peers::Scaled(const summed_views& aSums) const
+relay_peers::ScaleToFleet(const aggregated_views& aSums) const
 {
   const double scale = static_cast<double>(mPeers.size() + 1) /
                        static_cast<double>(aSums.mInstances);
@@ -394,14 +405,15 @@
   return scaled;
 }
 
-std::vector<sums_to_tell>
-relay_peers::SumsToTell(const std::map<pool_name, pool_view>& aOwn,
-                        time_point aNow)
+std::vector<outgoing_aggregation>
+relay_peers::AggregationMessages(const std::map<pool_name, pool_view>& aOwn,
+                                 time_point aNow)
 {
-  if (mPeers.size() < mSettings.mSumsFrom || !mSums.Due(aNow)) {
+  if (mPeers.size() < mSettings.mAggregateFrom ||
+      !mAggregation.IsRoundDue(aNow)) {
     return {};
   }
-  return mSums.Round(aOwn, Ring(), aNow);
+  return mAggregation.NextMessages(aOwn, Ring(), aNow);
 }
 
 instance_ring
@@ -425,7 +437,7 @@
 }
 
 std::vector<std::string>
-relay_peers::Draw()
+relay_peers::DrawRecipients()
 {
   std::vector<std::string> all;
   for (const auto& [address, each] : mPeers) {
@@ -439,14 +451,14 @@
 }
 
 void
-relay_peers::Forget(time_point aNow)
+relay_peers::RemoveExpired(time_point aNow)
 {
-  const duration after = ForgetAfter();
-  std::erase_if(mPeers, [&](const auto& aOne) {
-    return aNow - aOne.second.mHeard >= after;
+  const duration after = PeerTimeout();
+  std::erase_if(mPeers, [&](const auto& aEntry) {
+    return aNow - aEntry.second.mLastMessage >= after;
   });
-  std::erase_if(mUnheard,
-                [&](const auto& aOne) { return aNow >= aOne.second; });
+  std::erase_if(mUnconfirmed,
+                [&](const auto& aEntry) { return aNow >= aEntry.second; });
 }
 
 } // namespace thornhollow
--- a/thornhollow/fleet/relay_peers.h
+++ b/thornhollow/fleet/relay_peers.h
@@ -4,7 +4,7 @@
 //   relay_peers peers(relay_peer_settings{}, "10.0.0.1:7", domain, seeds, 1);
 //   const auto [whole, brief, asked] = peers.Tick(now);  // every 100 ms
 //   Send(peers.OnHello(hello, now));             // for each datagram
-//   if (const auto from = peers.WhoKnowsMore(mine, now)) { ... ask it ... }
+//   if (const auto from = peers.FindNewerCopy(mine, now)) { ... ask it ... }
 //
 // Nothing is agreed on: each instance tells others what it holds and does, and
 // uses what it was told for as long as that is fresh. It starts from up to a
@@ -43,31 +43,31 @@
 #include "thornhollow/base/ids.h"
 #include "thornhollow/base/time.h"
 #include "thornhollow/discovery/source_follower.h"
-#include "thornhollow/fleet/shared_sums.h"
+#include "thornhollow/fleet/demand_aggregation.h"
 #include "thornhollow/policy/work_kind.h"
 
 namespace thornhollow {
 
 // What an instance tells of an endpoint: prompt tokens that it was sent and has
 // not read yet, and how fast it reads.
-struct endpoint_work
+struct reported_load
 {
-  // See `WorkKey`.
+  // See `EndpointHash`.
   std::uint32_t mEndpoint = 0;
-  std::uint64_t mToRead = 0;
+  std::uint64_t mPrefillTokens = 0;
   // Nanoseconds for which it was seen to read a prompt token, at its best; 0:
   // not seen.
-  double mPace = 0;
+  double mPrefillNanoseconds = 0;
   // Requests that it was sent and that haven't ended.
-  std::uint32_t mOpen = 0;
+  std::uint32_t mInFlight = 0;
 
-  friend bool operator==(const endpoint_work&, const endpoint_work&) = default;
+  friend bool operator==(const reported_load&, const reported_load&) = default;
 };
 
 // The name's short form in messages: two of a thousand endpoints collide with a
 // chance of one in ten thousand, and then share an estimate.
 std::uint32_t
-WorkKey(const endpoint_name& aEndpoint);
+EndpointHash(const endpoint_name& aEndpoint);
 
 struct pool_demand
 {
@@ -97,13 +97,13 @@
   // Where it listens, "ip:port".
   std::string mAddress;
   domain_name mDomain;
-  known_revisions mKnown;
+  known_revisions mRevisions;
   // Some of the instances that it knows.
   std::vector<std::string> mPeers;
-  std::vector<endpoint_work> mWork;
+  std::vector<reported_load> mLoads;
   std::vector<pool_demand> mDemand;
   // Sums over many instances, in place of the rest.
-  std::optional<told_sums> mSums = std::nullopt;
+  std::optional<aggregation_message> mAggregation = std::nullopt;
   bool mWantsAnswer = false;
   // The source doesn't answer this instance.
   bool mSourceFails = false;
@@ -116,24 +116,24 @@
 };
 
 // An instance that holds a later revision of some copy.
-struct better_copy
+struct newer_copy
 {
   std::string mAddress;
   // What it told, and which of it is later.
-  known_revisions mKnown;
+  known_revisions mRevisions;
   bool mConfiguration = false;
   bool mEndpoints = false;
 
-  friend bool operator==(const better_copy&, const better_copy&) = default;
+  friend bool operator==(const newer_copy&, const newer_copy&) = default;
 };
 
 // Whom to tell, each once.
 struct hello_round
 {
-  std::vector<std::string> mWhole;
+  std::vector<std::string> mFull;
   std::vector<std::string> mBrief;
   // Briefly too, and they are to answer: they were heard of but never heard.
-  std::vector<std::string> mAsked;
+  std::vector<std::string> mProbed;
 
   friend bool operator==(const hello_round&, const hello_round&) = default;
 };
@@ -150,44 +150,44 @@
   // From so many others on rounds come half as often: by then a hello is near a
   // datagram's 1,100 bytes, and 16 of them a second are the 18 KB/s that
   // control may take in a fleet of 420 instances.
-  std::size_t mCrowd = 128;
+  std::size_t mHalfRateFrom = 128;
   // Without a word for this long an instance counts as gone; longer the more
   // there are, as each is then heard less often: by this much for each
   // `mFanout` of them.
-  duration mForgetAfter = Seconds(4);
-  duration mForgetMore = Milliseconds(1'600);
+  duration mPeerTimeout = Seconds(4);
+  duration mPeerTimeoutStep = Milliseconds(1'600);
   // Work and demand that were told longer ago count for nothing.
-  duration mFreshFor = Milliseconds(1'200);
+  duration mMaxAge = Milliseconds(1'200);
   // A seed that doesn't answer is tried this often.
   duration mSeedInterval = Milliseconds(500);
   // Addresses in one hello.
-  std::size_t mTold = 6;
+  std::size_t mAddressesPerHello = 6;
   // Instances of a failure domain that read the source, once it has more than
-  // `mAllRead`; 0: all read it. Two or more, so that one can fail unseen for as
-  // long as it takes to notice.
+  // `mAllReadUpTo`; 0: all read it. Two or more, so that one can fail unseen
+  // for as long as it takes to notice.
   std::size_t mReaders = 2;
-  std::size_t mAllRead = 6;
+  std::size_t mAllReadUpTo = 6;
   // So many of a domain read at the most while the source doesn't answer them:
   // a source that is away for all need not hear from every instance.
-  std::size_t mMostReaders = 6;
+  std::size_t mMaxReaders = 6;
   // A reader tells every instance of its domain this often that it is there.
   duration mReaderInterval = Seconds(1);
   // A reader that wasn't heard for this long counts as gone: two of its words
   // may be lost.
-  duration mReaderSilent = Milliseconds(2'600);
+  duration mReaderTimeout = Milliseconds(2'600);
   // For each instance that ranks higher one waits so much longer before it
-  // begins to read, up to `mMostStagger`: a word takes less.
+  // begins to read, up to `mMaxStagger`: a word takes less.
   duration mStagger = Milliseconds(150);
-  duration mMostStagger = Seconds(3);
+  duration mMaxStagger = Seconds(3);
   // From so many others on the demand is known by sums that all pass on, as
   // only a part of the others is heard in a moment.
-  std::size_t mSumsFrom = 16;
-  shared_sums_settings mSums;
+  std::size_t mAggregateFrom = 16;
+  demand_aggregation_settings mAggregation;
   // Instances held; above the 420 of a large fleet.
   std::size_t mMaxPeers = 512;
   // The count of instances is the largest seen for this long, so that a bound
   // that is shared out isn't exceeded while some can't be heard.
-  duration mCountFor = Seconds(60);
+  duration mCountRetention = Seconds(60);
 
   friend bool operator==(const relay_peer_settings&,
                          const relay_peer_settings&) = default;
@@ -207,24 +207,24 @@
   // Whether this instance is to read the source. To be called every 100 ms.
   bool Reads(time_point aNow);
   // Whether all of this instance's domain read the source, by the last look.
-  bool AllReadHere() const { return mReads && !mReadsForAll; }
+  bool AllReadInDomain() const { return mReads && !mReadsForDomain; }
   // This instance's turn among those of its domain that read the source, by
   // which their watches end one after the other.
   watch_turn Turn(time_point aNow) const;
   // Sums that are to be told now, each to one other. `aOwn`: what is asked for
   // here.
-  std::vector<sums_to_tell> SumsToTell(
+  std::vector<outgoing_aggregation> AggregationMessages(
     const std::map<pool_name, pool_view>& aOwn,
     time_point aNow);
   // Addresses that are to be told briefly and at once: this instance learnt of
   // a newer revision.
-  std::vector<std::string> OnNews();
+  std::vector<std::string> OnNewRevision();
   // Takes what another one told; returns the address to answer, if any.
   std::optional<std::string> OnHello(const relay_hello& aHello,
                                      time_point aNow);
 
   // Some addresses, to be told on.
-  std::vector<std::string> SomePeers();
+  std::vector<std::string> SamplePeers();
 
   // Whether the source doesn't answer some other instance, by what was told a
   // moment ago.
@@ -233,9 +233,9 @@
   // When the source last answered some other instance, by what was told.
   std::optional<time_point> SourceAnswered() const { return mSourceAnswered; }
 
-  // An instance that holds a later revision than `aMine` of either copy; among
+  // An instance that holds a later revision than `aOwn` of either copy; among
   // equal ones another for each `aAttempt`.
-  std::optional<better_copy> WhoKnowsMore(const known_revisions& aMine,
+  std::optional<newer_copy> FindNewerCopy(const known_revisions& aOwn,
                                           std::uint64_t aAttempt,
                                           time_point aNow) const;
 
@@ -245,11 +245,11 @@
 
   // Sums over the others, of what is fresh, scaled up to all where not all were
   // heard a moment ago; of paces the least.
-  std::map<std::uint32_t, endpoint_work> OthersWork(time_point aNow) const;
+  std::map<std::uint32_t, reported_load> RemoteLoad(time_point aNow) const;
   // Demand over all instances, `aOwn` included, scaled up in the same way: by
   // the sums that all pass on, or by those heard a moment ago where these are
   // more.
-  std::map<pool_name, pool_view> AllViews(
+  std::map<pool_name, pool_view> FleetViews(
     const std::map<pool_name, pool_view>& aOwn,
     time_point aNow) const;
 
@@ -257,46 +257,49 @@
   struct peer
   {
     relay_hello mHello;
-    time_point mHeard{};
+    time_point mLastMessage{};
     // Its work and demand were told.
-    std::optional<time_point> mToldWork = std::nullopt;
+    std::optional<time_point> mLastFullHello = std::nullopt;
   };
 
-  static void Hear(peer& aPeer, const relay_hello& aHello, time_point aNow);
+  static void UpdatePeer(peer& aPeer,
+                         const relay_hello& aHello,
+                         time_point aNow);
   // Whether its work and demand count.
-  bool Fresh(const peer& aPeer, time_point aNow) const;
-  std::size_t CountFresh(time_point aNow) const;
+  bool HasFreshLoad(const peer& aPeer, time_point aNow) const;
+  std::size_t CountFreshLoads(time_point aNow) const;
   // All instances, those of one domain beside each other.
   instance_ring Ring() const;
   // As if all had been heard.
-  std::map<pool_name, pool_view> Scaled(const summed_views& aSums) const;
+  std::map<pool_name, pool_view> ScaleToFleet(
+    const aggregated_views& aSums) const;
   // All others for each of those that were heard a moment ago; 0: none was.
-  double ForEachFresh(time_point aNow) const;
+  double FreshLoadScale(time_point aNow) const;
   bool IsBetter(const peer& aLeft,
                 const peer& aRight,
                 std::uint64_t aAttempt) const;
-  std::vector<std::string> Draw();
-  std::vector<std::string> OwnDomain() const;
+  std::vector<std::string> DrawRecipients();
+  std::vector<std::string> DomainPeers() const;
   // Whether all of a domain of so many read the source.
-  bool AllRead(std::size_t aInDomain) const;
+  bool AllRead(std::size_t aDomainSize) const;
   // Of this instance's domain, those that rank above it.
-  struct above
+  struct higher_ranked
   {
     std::size_t mInDomain = 1;
-    std::size_t mKnown = 0;
+    std::size_t mCount = 0;
     // Heard a moment ago, as readers are.
-    std::size_t mHeard = 0;
+    std::size_t mActive = 0;
     // Of these, the ones that the source answers.
-    std::size_t mAnswered = 0;
+    std::size_t mServed = 0;
   };
-  above Above(time_point aNow) const;
+  higher_ranked HigherRanked(time_point aNow) const;
   // The higher one reads first.
   using reader_rank = std::pair<std::uint32_t, std::uint64_t>;
   static reader_rank RankOf(std::uint32_t aLinkMegabits,
                             const std::string& aAddress);
-  duration ForgetAfter() const;
+  duration PeerTimeout() const;
   duration Interval() const;
-  void Forget(time_point aNow);
+  void RemoveExpired(time_point aNow);
 
   relay_peer_settings mSettings;
   std::string mOwnAddress;
@@ -304,19 +307,19 @@
   std::vector<std::string> mSeeds;
   std::mt19937_64 mRandom;
   std::map<std::string, peer> mPeers;
-  shared_sums mSums;
+  demand_aggregation mAggregation;
   // Heard of but never heard from, and until when to try.
-  std::map<std::string, time_point> mUnheard;
+  std::map<std::string, time_point> mUnconfirmed;
   time_point mNextRound{};
   time_point mNextSeeds{};
-  time_point mNextAsReader{};
+  time_point mNextReaderHello{};
   bool mReads = true;
   // It does, and others of its domain don't.
-  bool mReadsForAll = false;
+  bool mReadsForDomain = false;
   // Since when too few readers were heard.
-  std::optional<time_point> mMissedSince;
-  std::size_t mMost = 0;
-  time_point mMostAt{};
+  std::optional<time_point> mReadersMissingSince;
+  std::size_t mMaxCount = 0;
+  time_point mMaxCountAt{};
   std::optional<time_point> mSourceAnswered;
 };
 
--- a/thornhollow/fleet/relay_peers_test.cc
+++ b/thornhollow/fleet/relay_peers_test.cc
@@ -36,7 +36,7 @@
 
   void Deliver(const std::string& aFrom,
                const std::string& aTo,
-               bool aAsk,
+               bool aWantsAnswer,
                bool aBrief = false)
   {
     if (!mPeers.contains(aTo) || mCutOff[aFrom] || mCutOff[aTo]) {
@@ -47,33 +47,33 @@
     hello.mDomain = kHall;
     hello.mSourceFails = mFails[aFrom];
     hello.mLinkMegabits = mMegabits[aFrom];
-    hello.mKnown = mKnown[aFrom];
+    hello.mRevisions = mKnown[aFrom];
     hello.mBrief = aBrief;
     if (!aBrief) {
-      hello.mPeers = mPeers[aFrom]->SomePeers();
-      hello.mWork = { { 1, 10, 0 } };
+      hello.mPeers = mPeers[aFrom]->SamplePeers();
+      hello.mLoads = { { 1, 10, 0 } };
     }
-    hello.mWantsAnswer = aAsk;
-    if (const auto back = mPeers[aTo]->OnHello(hello, mNow)) {
-      Deliver(aTo, *back, false, aBrief);
+    hello.mWantsAnswer = aWantsAnswer;
+    if (const auto replyTo = mPeers[aTo]->OnHello(hello, mNow)) {
+      Deliver(aTo, *replyTo, false, aBrief);
     }
   }
 
-  void Run(duration aLength)
+  void Run(duration aDuration)
   {
-    for (const time_point end = mNow + aLength; mNow < end;
+    for (const time_point end = mNow + aDuration; mNow < end;
          mNow += Milliseconds(100)) {
       for (auto& [address, peers] : mPeers) {
         peers->Reads(mNow);
         const bool ask = peers->Alive() == 0;
         const hello_round round = peers->Tick(mNow);
-        for (const std::string& to : round.mWhole) {
+        for (const std::string& to : round.mFull) {
           Deliver(address, to, ask);
         }
         for (const std::string& to : round.mBrief) {
           Deliver(address, to, false, true);
         }
-        for (const std::string& to : round.mAsked) {
+        for (const std::string& to : round.mProbed) {
           Deliver(address, to, true, true);
         }
       }
@@ -114,12 +114,12 @@
   Add("a", { "b" });
   Add("b", {});
   Run(Seconds(2));
-  CHECK_FALSE(mPeers["a"]->WhoKnowsMore({ 0, 0 }, 0, mNow).has_value());
+  CHECK_FALSE(mPeers["a"]->FindNewerCopy({ 0, 0 }, 0, mNow).has_value());
   mKnown["b"] = { 5, 0 };
   Run(Seconds(1));
-  CHECK(mPeers["a"]->WhoKnowsMore({ 4, 9 }, 0, mNow) ==
-        better_copy{ "b", { 5, 0 }, true, false });
-  CHECK_FALSE(mPeers["a"]->WhoKnowsMore({ 5, 9 }, 0, mNow).has_value());
+  CHECK(mPeers["a"]->FindNewerCopy({ 4, 9 }, 0, mNow) ==
+        newer_copy{ "b", { 5, 0 }, true, false });
+  CHECK_FALSE(mPeers["a"]->FindNewerCopy({ 5, 9 }, 0, mNow).has_value());
 }
 
 TEST_CASE_FIXTURE(hello_fleet, "relay_peers/cut_off/counts_the_fleet_as_it_was")
@@ -134,11 +134,11 @@
   Run(Seconds(10));
   CHECK(mPeers["a"]->Alive() == 0);
   CHECK(mPeers["a"]->Count(mNow) == 3);
-  CHECK(mPeers["a"]->OthersWork(mNow).empty());
+  CHECK(mPeers["a"]->RemoteLoad(mNow).empty());
   mCutOff["a"] = false;
   Run(Seconds(3));
   CHECK(mPeers["a"]->Alive() == 2);
-  CHECK(mPeers["a"]->OthersWork(mNow).at(1).mToRead == 20);
+  CHECK(mPeers["a"]->RemoteLoad(mNow).at(1).mPrefillTokens == 20);
 }
 
 // A burst of long prompts came to ninety instances. Each heard a third of the
@@ -150,7 +150,7 @@
   relay_peers subject(relay_peer_settings{}, "me", domain_name("a"), {}, 1);
   time_point now = time_point() + Seconds(100);
   const work_kind kind{ Seconds(2), Milliseconds(800) };
-  const auto hear = [&](int aNumber, double aTokens) {
+  const auto receive = [&](int aNumber, double aTokens) {
     relay_hello hello;
     hello.mAddress = "n" + std::to_string(aNumber);
     hello.mDomain = domain_name("a");
@@ -158,36 +158,36 @@
     subject.OnHello(hello, now);
   };
   for (int each = 0; each < 89; ++each) {
-    hear(each, 1'000);
+    receive(each, 1'000);
   }
   const auto tokens = [&] {
-    return subject.AllViews({}, now).at(pool).mDemand.at(0).mTokens;
+    return subject.FleetViews({}, now).at(pool).mDemand.at(0).mTokens;
   };
   CHECK(tokens() == doctest::Approx(89'000));
   now += Seconds(2);
   for (int each = 0; each < 30; ++each) {
-    hear(each, 3'000);
+    receive(each, 3'000);
   }
   CHECK(tokens() == doctest::Approx(267'000));
   now += Seconds(2);
-  CHECK(subject.AllViews({}, now).empty());
+  CHECK(subject.FleetViews({}, now).empty());
 }
 
 // At letter 1's 420 instances the hellos alone took 35 KB/s of an instance,
 // twice what control may take.
 TEST_CASE("relay_peers/four_hundred_and_twenty/hellos_stay_within_the_bound")
 {
-  const time_point begun = time_point() + Seconds(100);
+  const time_point start = time_point() + Seconds(100);
   relay_peers subject(relay_peer_settings{}, "me", kHall, {}, 1);
   for (int each = 0; each < 419; ++each) {
     relay_hello hello;
     hello.mAddress = "n" + std::to_string(each);
     hello.mDomain = kHall;
-    subject.OnHello(hello, begun);
+    subject.OnHello(hello, start);
   }
   std::size_t result = 0;
   for (int tick = 0; tick < 100; ++tick) {
-    result += subject.Tick(begun + tick * Milliseconds(100)).mWhole.size();
+    result += subject.Tick(start + tick * Milliseconds(100)).mFull.size();
   }
   constexpr std::size_t kBytes = 1'100;
   constexpr std::size_t kSeconds = 10;
@@ -312,7 +312,7 @@
   for (int second = 0; second < 20; ++second) {
     Run(Seconds(1));
     CHECK(Readers().size() >= 2);
-    CHECK(Readers().size() <= mSettings.mMostReaders);
+    CHECK(Readers().size() <= mSettings.mMaxReaders);
   }
 }
 
@@ -324,13 +324,13 @@
   Add("b", {});
   Run(Seconds(1));
   Deliver("b", "a", false, true);
-  CHECK(mPeers["a"]->OthersWork(mNow).at(1).mToRead == 10);
+  CHECK(mPeers["a"]->RemoteLoad(mNow).at(1).mPrefillTokens == 10);
   CHECK(mPeers["a"]->Alive() == 1);
   // Nor does it make old work count as new.
   relay_peers& subject = *mPeers["a"];
-  mNow += mSettings.mFreshFor;
+  mNow += mSettings.mMaxAge;
   Deliver("b", "a", false, true);
-  CHECK(subject.OthersWork(mNow).empty());
+  CHECK(subject.RemoteLoad(mNow).empty());
 }
 
 TEST_CASE_FIXTURE(hello_fleet, "relay_peers/no_readers_set/all_read")
@@ -399,7 +399,7 @@
 TEST_CASE_FIXTURE(three_domains, "relay_peers/turn/readers_alone_have_one")
 {
   relay_peer_settings settings;
-  settings.mAllRead = 1;
+  settings.mAllReadUpTo = 1;
   settings.mReaders = 2;
   CHECK(TurnOf("a1", domain_name("a"), settings).mOf == 2);
 }
--- a/thornhollow/fleet/silent_source_test.cc
+++ b/thornhollow/fleet/silent_source_test.cc
@@ -29,56 +29,60 @@
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     CAPTURE(seed);
     silent_source_fleet condition({ .mDomains = 3, .mPerDomain = 2 }, seed);
-    condition.Change(kSettled, followed::kConfiguration);
+    condition.Change(kSettled, source_item_type::kConfiguration);
     condition.Silence(kSettled + Milliseconds(50),
                       kSettled + Milliseconds(2'050));
-    condition.Change(kSettled + Milliseconds(2'793), followed::kConfiguration);
+    condition.Change(kSettled + Milliseconds(2'793),
+                     source_item_type::kConfiguration);
     condition.Run(kSettled + Seconds(10));
-    CHECK(ToSeconds(condition.Worst().mTook) <=
-          ToSeconds(silent_source_fleet::kInForceWithin));
+    CHECK(ToSeconds(condition.WorstDelay().mDelay) <=
+          ToSeconds(silent_source_fleet::kMaxChangeDelay));
   }
 }
 
 // A fleet of any shape, with silences of 0.3 to 30 s that begin at any moment
 // after a change, changes while they last and up to two seconds after them.
-// With `aStops` one instance is gone shortly before or during each silence.
-struct drawn_fleet
+// With `aStopInstances` one instance is gone shortly before or during each
+// silence.
+struct random_fleet
 {
   std::mt19937_64 mRandom;
   silent_source_fleet mFleet;
   duration mAt = kSettled;
 
-  drawn_fleet(const fleet_shape& aShape, std::uint64_t aSeed, bool aStops)
+  random_fleet(const fleet_shape& aShape,
+               std::uint64_t aSeed,
+               bool aStopInstances)
     : mRandom(aSeed)
     , mFleet(aShape, aSeed)
   {
     if (mRandom() % 2 == 0) {
       const auto domain = mRandom() % static_cast<unsigned>(aShape.mDomains);
-      mFleet.CutOff(static_cast<int>(domain), Between(0, 20));
+      mFleet.IsolateDomain(static_cast<int>(domain), Between(0, 20));
     }
     const std::uint64_t silences = 1 + mRandom() % 3;
     const int instances = aShape.mDomains * aShape.mPerDomain;
     for (std::uint64_t each = 0; each < silences; ++each) {
-      if (aStops) {
-        const auto gone = mRandom() % static_cast<unsigned>(instances);
-        mFleet.Stop(static_cast<int>(gone), mAt + Between(-3, 8));
+      if (aStopInstances) {
+        const auto stopped = mRandom() % static_cast<unsigned>(instances);
+        mFleet.Stop(static_cast<int>(stopped), mAt + Between(-3, 8));
       }
-      DrawSilence();
+      AddRandomSilence();
     }
     mFleet.Run(mAt + Seconds(8));
   }
 
-  duration Between(double aLeast, double aMost)
+  duration Between(double aMin, double aMax)
   {
     return FromSeconds(
-      std::uniform_real_distribution<double>(aLeast, aMost)(mRandom));
+      std::uniform_real_distribution<double>(aMin, aMax)(mRandom));
   }
 
-  void DrawSilence()
+  void AddRandomSilence()
   {
-    mFleet.Change(mAt, followed::kConfiguration);
+    mFleet.Change(mAt, source_item_type::kConfiguration);
     if (mRandom() % 2 == 0) {
-      mFleet.Change(mAt + Between(0, 2), followed::kEndpoints);
+      mFleet.Change(mAt + Between(0, 2), source_item_type::kEndpoints);
     }
     const duration from = mAt + Between(0, 8);
     const double length = ToSeconds(Between(std::log(0.3), std::log(30)));
@@ -88,7 +92,7 @@
     mAt = until + (mRandom() % 2 == 0 ? Between(-0.3, 0.1) : Between(0, 2));
     const std::uint64_t changes = 1 + mRandom() % 3;
     for (std::uint64_t each = 0; each < changes; ++each) {
-      mFleet.Change(mAt, followed::kConfiguration);
+      mFleet.Change(mAt, source_item_type::kConfiguration);
       mAt += Between(0.05, 1);
     }
     mAt = std::max(mAt, until) + Between(0, 6);
@@ -97,17 +101,19 @@
 
 // More by hand: THORNHOLLOW_SEARCH_SEEDS.
 void
-CheckSeeds(const fleet_shape& aShape, std::uint64_t aSeeds, bool aStops = false)
+CheckSeeds(const fleet_shape& aShape,
+           std::uint64_t aSeeds,
+           bool aStopInstances = false)
 {
   if (const char* more = std::getenv("THORNHOLLOW_SEARCH_SEEDS")) {
     aSeeds = std::strtoull(more, nullptr, 10);
   }
   for (std::uint64_t seed = 1; seed <= aSeeds; ++seed) {
-    const drawn_fleet condition(aShape, seed, aStops);
-    const change_delay result = condition.mFleet.Worst();
+    const random_fleet condition(aShape, seed, aStopInstances);
+    const change_delay result = condition.mFleet.WorstDelay();
     INFO("seed ", seed, ", acknowledged at ", ToSeconds(result.mAcknowledged));
-    CHECK(ToSeconds(result.mTook) <=
-          ToSeconds(silent_source_fleet::kInForceWithin));
+    CHECK(ToSeconds(result.mDelay) <=
+          ToSeconds(silent_source_fleet::kMaxChangeDelay));
   }
 }
 
@@ -129,8 +135,9 @@
 
 TEST_CASE("silent_source/source_is_slow/every_change_is_in_force_in_time")
 {
-  CheckSeeds({ .mDomains = 3, .mPerDomain = 2, .mLatency = Milliseconds(200) },
-             40);
+  CheckSeeds(
+    { .mDomains = 3, .mPerDomain = 2, .mSourceLatency = Milliseconds(200) },
+    40);
 }
 
 TEST_CASE("silent_source/ninety_instances/every_change_is_in_force_in_time")
@@ -141,13 +148,13 @@
 TEST_CASE("silent_source/420_instances/change_after_it_is_in_force_in_time")
 {
   silent_source_fleet condition({ .mDomains = 11, .mPerDomain = 38 }, 1);
-  condition.Change(Seconds(6), followed::kConfiguration);
-  condition.CutOff(4, Seconds(6));
+  condition.Change(Seconds(6), source_item_type::kConfiguration);
+  condition.IsolateDomain(4, Seconds(6));
   condition.Silence(Seconds(6) + Milliseconds(500), Seconds(8));
-  condition.Change(Seconds(8), followed::kConfiguration);
+  condition.Change(Seconds(8), source_item_type::kConfiguration);
   condition.Run(Seconds(13));
-  CHECK(ToSeconds(condition.Worst().mTook) <=
-        ToSeconds(silent_source_fleet::kInForceWithin));
+  CHECK(ToSeconds(condition.WorstDelay().mDelay) <=
+        ToSeconds(silent_source_fleet::kMaxChangeDelay));
 }
 
 // Guards against endpoints that get work for seconds after they left, where
@@ -157,12 +164,13 @@
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     CAPTURE(seed);
     silent_source_fleet condition(
-      { .mDomains = 3, .mPerDomain = 30, .mReaders = 2, .mLoss = 0.02 }, seed);
-    LeaveInSeries(condition, kSettled, seed);
+      { .mDomains = 3, .mPerDomain = 30, .mReaders = 2, .mLossRate = 0.02 },
+      seed);
+    ScheduleLeaves(condition, kSettled, seed);
     condition.Run(kSettled + Seconds(10));
     CHECK(condition.Readers().size() == 6);
-    CHECK(ToSeconds(condition.WorstLeaving().mTook) <=
-          ToSeconds(silent_source_fleet::kInForceWithin));
+    CHECK(ToSeconds(condition.WorstLeaveDelay().mDelay) <=
+          ToSeconds(silent_source_fleet::kMaxChangeDelay));
   }
 }
 
@@ -196,19 +204,22 @@
   for (std::uint64_t seed = 1; seed <= 2; ++seed) {
     CAPTURE(seed);
     silent_source_fleet condition(
-      { .mDomains = 5, .mPerDomain = 39, .mReaders = 2, .mLoss = 0.02 }, seed);
+      { .mDomains = 5, .mPerDomain = 39, .mReaders = 2, .mLossRate = 0.02 },
+      seed);
     condition.Run(kSettled);
     for (const int each : condition.Readers()) {
       if (each < 39) {
         condition.Stop(each, kSettled);
       }
     }
-    condition.Change(kSettled + Milliseconds(100), followed::kConfiguration);
-    condition.Change(kSettled + Milliseconds(900), followed::kConfiguration);
+    condition.Change(kSettled + Milliseconds(100),
+                     source_item_type::kConfiguration);
+    condition.Change(kSettled + Milliseconds(900),
+                     source_item_type::kConfiguration);
     condition.Run(kSettled + Seconds(6));
     CHECK(condition.Readers().size() == 10);
-    CHECK(ToSeconds(condition.Worst().mTook) <=
-          ToSeconds(silent_source_fleet::kInForceWithin));
+    CHECK(ToSeconds(condition.WorstDelay().mDelay) <=
+          ToSeconds(silent_source_fleet::kMaxChangeDelay));
   }
 }
 
@@ -222,30 +233,32 @@
     silent_source_fleet condition({ .mDomains = 3,
                                     .mPerDomain = 30,
                                     .mReaders = 2,
-                                    .mLoss = 0.02,
+                                    .mLossRate = 0.02,
                                     .mDocumentBytes = 500'000 },
                                   seed);
-    LeaveInSeries(condition, kSettled, seed);
-    condition.Change(kSettled, followed::kConfiguration);
-    condition.Change(kSettled + Seconds(3), followed::kConfiguration);
+    ScheduleLeaves(condition, kSettled, seed);
+    condition.Change(kSettled, source_item_type::kConfiguration);
+    condition.Change(kSettled + Seconds(3), source_item_type::kConfiguration);
     condition.Run(kSettled + Seconds(10));
-    CHECK(ToSeconds(condition.Worst().mTook) <=
-          ToSeconds(silent_source_fleet::kInForceWithin));
-    CHECK(ToSeconds(condition.WorstLeaving().mTook) <=
-          ToSeconds(silent_source_fleet::kInForceWithin));
+    CHECK(ToSeconds(condition.WorstDelay().mDelay) <=
+          ToSeconds(silent_source_fleet::kMaxChangeDelay));
+    CHECK(ToSeconds(condition.WorstLeaveDelay().mDelay) <=
+          ToSeconds(silent_source_fleet::kMaxChangeDelay));
   }
 }
 
 TEST_CASE("silent_source/readers/every_change_is_in_force_in_time")
 {
-  CheckSeeds({ .mDomains = 3, .mPerDomain = 30, .mReaders = 2, .mLoss = 0.02 },
-             4);
+  CheckSeeds(
+    { .mDomains = 3, .mPerDomain = 30, .mReaders = 2, .mLossRate = 0.02 }, 4);
 }
 
 TEST_CASE("silent_source/readers_that_stop/every_change_is_in_force_in_time")
 {
   CheckSeeds(
-    { .mDomains = 3, .mPerDomain = 30, .mReaders = 2, .mLoss = 0.02 }, 4, true);
+    { .mDomains = 3, .mPerDomain = 30, .mReaders = 2, .mLossRate = 0.02 },
+    4,
+    true);
 }
 
 } // namespace
--- a/thornhollow/fleet/testing/fleet_shape.h
+++ b/thornhollow/fleet/testing/fleet_shape.h
@@ -17,22 +17,22 @@
   int mDomains = 3;
   int mPerDomain = 2;
   // An answer of the source takes so long.
-  duration mLatency = Milliseconds(10);
+  duration mSourceLatency = Milliseconds(10);
   // Instances of a domain that read the source for all; 0: all of them.
   std::size_t mReaders = 0;
   // Part of the hellos that are lost.
-  double mLoss = 0;
+  double mLossRate = 0;
   // From a question for a peer's copy to its answer, or to knowing that none
   // comes.
-  duration mCopyTakes = Milliseconds(40);
+  duration mCopyLatency = Milliseconds(40);
   // Of the configuration, and what an instance's link carries in a second, each
   // way. All that comes or goes on it at the same time has an even part.
   double mDocumentBytes = 4'000;
-  double mLinkBytes = 2'500'000;
+  double mLinkBytesPerSecond = 2'500'000;
   // Copies of peers have this part of their size on the link.
-  double mPacking = 0.2;
+  double mCompressionRatio = 0.2;
   // The source encodes each byte of the configuration as so many.
-  double mSourceEncoding = 4.0 / 3;
+  double mSourceEncodingRatio = 4.0 / 3;
 
   friend bool operator==(const fleet_shape&, const fleet_shape&) = default;
 };
@@ -41,7 +41,7 @@
 struct change_delay
 {
   duration mAcknowledged{};
-  duration mTook{};
+  duration mDelay{};
 
   friend bool operator==(const change_delay&, const change_delay&) = default;
 };
--- a/thornhollow/fleet/testing/leaving_series.h
+++ b/thornhollow/fleet/testing/leaving_series.h
@@ -1,6 +1,6 @@
 // For tests: endpoints that leave one after the other while a fleet runs.
 //
-//   LeaveInSeries(fleet, Seconds(15), seed);
+//   ScheduleLeaves(fleet, Seconds(15), seed);
 //
 #ifndef THORNHOLLOW_FLEET_TESTING_LEAVING_SERIES_H_
 #define THORNHOLLOW_FLEET_TESTING_LEAVING_SERIES_H_
@@ -15,7 +15,7 @@
 // Thirty endpoints join at the start; from `aFrom` on fifteen of them leave,
 // some at the same moment, in five seconds.
 inline void
-LeaveInSeries(silent_source_fleet& aFleet, duration aFrom, std::uint64_t aSeed)
+ScheduleLeaves(silent_source_fleet& aFleet, duration aFrom, std::uint64_t aSeed)
 {
   std::mt19937_64 random(aSeed);
   std::uniform_real_distribution<double> when(0, 5);
--- a/thornhollow/fleet/testing/modelled_instance.h
+++ b/thornhollow/fleet/testing/modelled_instance.h
@@ -1,7 +1,8 @@
 // For tests: an instance of a fleet in virtual time, what is on its way to it,
 // and how the links share what they carry.
 //
-//   MoveBytes(instances, bytesInAStep, [](const auto& aTo, const auto& aCopy) {
+//   AdvanceTransfers(instances, bytesInAStep, [](const auto& aTo, const auto&
+//   aCopy) {
 //     return ... the instance that gives the copy, or null ...;
 //   });
 //
@@ -21,18 +22,18 @@
 #include "thornhollow/discovery/item_mirror.h"
 #include "thornhollow/discovery/source_follower.h"
 #include "thornhollow/fleet/copy_requests.h"
-#include "thornhollow/fleet/large_copies.h"
+#include "thornhollow/fleet/large_copy_limiter.h"
 #include "thornhollow/fleet/relay_peers.h"
 #include "thornhollow/fleet/testing/silent_source.h"
 
 namespace thornhollow {
 
 // A peer's answer on its way: as of when it began to come.
-struct copy_on_its_way
+struct pending_copy
 {
   std::string mFrom;
   std::size_t mWhich = 0;
-  std::uint64_t mAsked = 0;
+  std::uint64_t mAfter = 0;
   std::vector<item_change> mChanges;
   std::optional<std::vector<source_item>> mItems;
   std::uint64_t mAt = 0;
@@ -43,7 +44,7 @@
 };
 
 // A call to the source that is on its way.
-struct open_call
+struct outstanding_call
 {
   source_call mCall;
   time_point mSent{};
@@ -52,25 +53,25 @@
   // Once the answer has begun to come: what is left of it, and up to which
   // revision it tells.
   std::optional<double> mBytesLeft = std::nullopt;
-  std::uint64_t mTellsUpTo = 0;
+  std::uint64_t mAnswerRevision = 0;
   time_point mLastBytes{};
 };
 
 // How an instance follows one kind of items.
-struct modelled_link
+struct modelled_subscription
 {
-  followed mWhich{};
+  source_item_type mWhich{};
   source_follower mFollower;
   item_mirror mMirror;
   time_point mSendAt{};
-  bool mToSend = true;
+  bool mSendPending = true;
   // No call is on its way or due, as others read the source.
   bool mIdle = false;
   // On their way beside each other, the newest last.
-  std::vector<open_call> mOpen = {};
+  std::vector<outstanding_call> mOutstanding = {};
   call_round mRound = call_round{};
   // Of earlier rounds: nobody waits for them, and they come all the same.
-  std::vector<open_call> mGivenUp = {};
+  std::vector<outstanding_call> mAbandoned = {};
 };
 
 struct modelled_instance
@@ -80,34 +81,34 @@
   int mDomainIndex = 0;
   std::unique_ptr<relay_peers> mPeers;
   copy_requests mRequests{ copy_request_settings{} };
-  std::vector<modelled_link> mLinks;
+  std::vector<modelled_subscription> mSubscriptions;
   time_point mSourceFailsUntil{};
   time_point mNextTick{};
   time_point mStopsAt = time_point::max();
-  time_point mTurnedAwayFrom{};
-  time_point mTurnedAwayUntil{};
+  time_point mBlockedFrom{};
+  time_point mBlockedUntil{};
   endpoint_roster mRoster{ roster_settings{} };
   // For its domain, and for whatever reason.
   bool mReads = true;
-  bool mAsksSource = true;
-  std::vector<copy_on_its_way> mCopies = {};
-  large_copies mLargeCopies = large_copies{};
+  bool mFollowsSource = true;
+  std::vector<pending_copy> mCopies = {};
+  large_copy_limiter mCopyLimiter = large_copy_limiter{};
   // What its link carries at the moment.
-  std::size_t mComing = 0;
-  std::size_t mGoing = 0;
+  std::size_t mIncoming = 0;
+  std::size_t mOutgoing = 0;
 };
 
 // When the source itself last answered the instance.
 inline std::optional<time_point>
 SourceAnswered(const modelled_instance& aOne)
 {
-  return std::max(aOne.mLinks[0].mFollower.Answered(),
-                  aOne.mLinks[1].mFollower.Answered());
+  return std::max(aOne.mSubscriptions[0].mFollower.Answered(),
+                  aOne.mSubscriptions[1].mFollower.Answered());
 }
 
 // Tells its roster when the source last answered it or, by their word, others.
 inline void
-NoteSource(modelled_instance& aOne)
+ReportSourceAnswers(modelled_instance& aOne)
 {
   for (const auto& each :
        { SourceAnswered(aOne), aOne.mPeers->SourceAnswered() }) {
@@ -117,29 +118,31 @@
   }
 }
 
-// Calls `aDo` for each answer and copy that is coming: with the instance that
-// it comes to, the one that gives it, null for the source, and what is left of
-// it. `aGiver` returns who gives a copy, null while it doesn't come.
-template<class giver, class action>
+// Calls `aVisit` for each answer and copy that is coming: with the instance
+// that it comes to, the one that gives it, null for the source, and what is
+// left of it. `aFindSender` returns who gives a copy, null while it doesn't
+// come.
+template<class find_sender, class visitor>
 void
 ForEachTransfer(std::vector<modelled_instance>& aInstances,
-                const giver& aGiver,
-                const action& aDo)
+                const find_sender& aFindSender,
+                const visitor& aVisit)
 {
   for (modelled_instance& each : aInstances) {
-    for (modelled_link& its : each.mLinks) {
-      for (std::vector<open_call>* calls : { &its.mOpen, &its.mGivenUp }) {
-        for (open_call& call : *calls) {
+    for (modelled_subscription& subscription : each.mSubscriptions) {
+      for (std::vector<outstanding_call>* calls :
+           { &subscription.mOutstanding, &subscription.mAbandoned }) {
+        for (outstanding_call& call : *calls) {
           if (!call.mLost && call.mBytesLeft && *call.mBytesLeft > 0) {
-            aDo(each, nullptr, *call.mBytesLeft);
+            aVisit(each, nullptr, *call.mBytesLeft);
           }
         }
       }
     }
-    for (copy_on_its_way& copy : each.mCopies) {
-      modelled_instance* const from = aGiver(each, copy);
+    for (pending_copy& copy : each.mCopies) {
+      modelled_instance* const from = aFindSender(each, copy);
       if (from != nullptr && copy.mBytesLeft > 0) {
-        aDo(each, from, copy.mBytesLeft);
+        aVisit(each, from, copy.mBytesLeft);
       }
     }
   }
@@ -147,33 +150,33 @@
 
 // Of what a link carries, all that comes on it at the same time has an even
 // part, and so has all that goes.
-template<class giver>
+template<class find_sender>
 void
-MoveBytes(std::vector<modelled_instance>& aInstances,
-          double aCarried,
-          const giver& aGiver)
+AdvanceTransfers(std::vector<modelled_instance>& aInstances,
+                 double aBytesPerStep,
+                 const find_sender& aFindSender)
 {
   for (modelled_instance& each : aInstances) {
-    each.mComing = 0;
-    each.mGoing = 0;
+    each.mIncoming = 0;
+    each.mOutgoing = 0;
   }
   ForEachTransfer(
     aInstances,
-    aGiver,
+    aFindSender,
     [](modelled_instance& aTo, modelled_instance* aFrom, double&) {
-      ++aTo.mComing;
+      ++aTo.mIncoming;
       if (aFrom != nullptr) {
-        ++aFrom->mGoing;
+        ++aFrom->mOutgoing;
       }
     });
   ForEachTransfer(
     aInstances,
-    aGiver,
-    [aCarried](
-      modelled_instance& aTo, modelled_instance* aFrom, double& aLeft) {
+    aFindSender,
+    [aBytesPerStep](
+      modelled_instance& aTo, modelled_instance* aFrom, double& aBytesLeft) {
       const std::size_t sharing =
-        std::max(aTo.mComing, aFrom == nullptr ? 0 : aFrom->mGoing);
-      aLeft -= aCarried / static_cast<double>(sharing);
+        std::max(aTo.mIncoming, aFrom == nullptr ? 0 : aFrom->mOutgoing);
+      aBytesLeft -= aBytesPerStep / static_cast<double>(sharing);
     });
 }
 
--- a/thornhollow/fleet/testing/relay_load_fleet.h
+++ b/thornhollow/fleet/testing/relay_load_fleet.h
@@ -5,7 +5,7 @@
 //   relay_load_fleet fleet({ .mInstances = 195, .mEngines = 99 }, seed);
 //   fleet.Burst(kPlans, 2.2, Seconds(9));
 //   fleet.Run(Seconds(12));
-//   CHECK(fleet.Got(kBriefs).InTime() >= 0.9);
+//   CHECK(fleet.Result(kBriefs).InTimeFraction() >= 0.9);
 //
 #ifndef THORNHOLLOW_FLEET_TESTING_RELAY_LOAD_FLEET_H_
 #define THORNHOLLOW_FLEET_TESTING_RELAY_LOAD_FLEET_H_
@@ -31,22 +31,22 @@
 namespace thornhollow {
 
 // What callers ask for, by its promises.
-struct load_kind
+struct load_profile
 {
   // Over all instances.
   double mPerSecond = 0;
   duration mTarget{};
   duration mPause{};
   duration mPatience{};
-  std::uint32_t mRank = 0;
+  std::uint32_t mPriority = 0;
   double mOwnTokens = 0;
   double mSharedTokens = 0;
   std::uint32_t mSessions = 1;
   double mAnswerTokens = 0;
   // Of sizes: 0 for all alike.
-  double mSpread = 0;
+  double mLengthLogStdDev = 0;
 
-  friend bool operator==(const load_kind&, const load_kind&) = default;
+  friend bool operator==(const load_profile&, const load_profile&) = default;
 };
 
 struct load_shape
@@ -54,7 +54,7 @@
   int mInstances = 195;
   int mEngines = 99;
   engine_shape mEngine;
-  std::vector<load_kind> mKinds;
+  std::vector<load_profile> mKinds;
   relay_pool_settings mPool;
   relay_peer_settings mPeers;
 
@@ -64,18 +64,18 @@
 // How requests of a kind ended.
 struct load_result
 {
-  int mAsked = 0;
+  int mRequests = 0;
   int mInTime = 0;
   // Answered whole, but begun late or with a pause that was too long.
   int mLate = 0;
   int mRefused = 0;
   int mDeclined = 0;
   // Without an answer when their callers left.
-  int mGivenUp = 0;
+  int mTimedOut = 0;
 
-  double InTime() const
+  double InTimeFraction() const
   {
-    return mAsked == 0 ? 1 : static_cast<double>(mInTime) / mAsked;
+    return mRequests == 0 ? 1 : static_cast<double>(mInTime) / mRequests;
   }
 };
 
@@ -87,7 +87,7 @@
     , mRandom(aSeed)
     , mEngines(static_cast<std::size_t>(aShape.mEngines),
                slot_engine(aShape.mEngine))
-    , mHeld(mEngines.size())
+    , mCachedSessions(mEngines.size())
     , mResults(aShape.mKinds.size())
     , mFactors(aShape.mKinds.size(), 1.0)
   {
@@ -96,33 +96,39 @@
     }
     // All have met.
     for (int each = 0; each < 140; ++each) {
-      mNow += kTickEvery;
+      mNow += kTickInterval;
       for (instance& one : mInstances) {
-        Tell(one);
+        SendHello(one);
       }
     }
   }
 
   // From now on `aFactor` times as much of the kind comes.
-  void Set(std::size_t aKind, double aFactor) { mFactors.at(aKind) = aFactor; }
+  void SetRateFactor(std::size_t aKind, double aFactor)
+  {
+    mFactors.at(aKind) = aFactor;
+  }
 
   void Run(duration aFor)
   {
     const time_point end = mNow + aFor;
     while (mNow < end) {
       mNow += kStep;
-      Arrive();
-      Return();
+      GenerateArrivals();
+      SubmitRetries();
       StepEngines();
-      LeaveInVain();
+      CancelExpired();
       TickInstances();
     }
   }
 
   // Forgets what was counted.
-  void Count() { mResults.assign(mResults.size(), load_result{}); }
+  void ResetCounts() { mResults.assign(mResults.size(), load_result{}); }
 
-  const load_result& Got(std::size_t aKind) const { return mResults.at(aKind); }
+  const load_result& Result(std::size_t aKind) const
+  {
+    return mResults.at(aKind);
+  }
 
   // By how many engines instances differ about the border, least to most.
   std::pair<std::size_t, std::size_t> BulkEngines() const
@@ -137,11 +143,11 @@
 
 private:
   static constexpr duration kStep = Milliseconds(5);
-  static constexpr duration kTickEvery = Milliseconds(100);
+  static constexpr duration kTickInterval = Milliseconds(100);
   // Of a copy of shared parts between engines, in tokens that are read.
   static constexpr double kCopyTokens = 2'500;
   // As many sessions as an engine's memory holds.
-  static constexpr std::size_t kSessionsHeld = 40;
+  static constexpr std::size_t kMaxCachedSessions = 40;
 
   struct instance
   {
@@ -151,21 +157,21 @@
     std::unique_ptr<relay_pool> mPool;
     time_point mNextTick{};
   };
-  struct live
+  struct active_request
   {
     std::size_t mInstance = 0;
     std::size_t mEngine = 0;
     std::size_t mKind = 0;
-    request_profile mWork;
+    request_profile mProfile;
     relay_pick mPick;
     time_point mArrived{};
-    bool mBegun = false;
+    bool mStarted = false;
     bool mLate = false;
   };
 
-  struct returning
+  struct scheduled_retry
   {
-    live mRequest;
+    active_request mRequest;
     double mOwn = 0;
     double mAnswer = 0;
   };
@@ -195,116 +201,117 @@
     one.mPool->SetSlots(mShape.mEngine.mSlots);
     one.mPool->SetInstances(static_cast<std::size_t>(mShape.mInstances));
     for (std::size_t each = 0; each < mEngines.size(); ++each) {
-      mEngineOf[NameOf(each)] = each;
+      mEngineIndex[NameOf(each)] = each;
       one.mPool->Put({ NameOf(each), "", one.mDomain, 1, false });
     }
     one.mNextTick = mNow + (aNumber % 20) * kStep;
-    mNumberOf[one.mAddress] = mInstances.size();
+    mInstanceIndex[one.mAddress] = mInstances.size();
     mInstances.push_back(std::move(one));
   }
 
-  void Arrive()
+  void GenerateArrivals()
   {
     for (std::size_t kind = 0; kind < mShape.mKinds.size(); ++kind) {
       const double mean =
         mShape.mKinds[kind].mPerSecond * mFactors[kind] * ToSeconds(kStep);
       const int arrivals = std::poisson_distribution<int>(mean)(mRandom);
       for (int each = 0; each < arrivals; ++each) {
-        Ask(kind);
+        CreateRequest(kind);
       }
     }
   }
 
-  double Sized(double aMean, double aSpread)
+  double DrawSize(double aMean, double aLogStdDev)
   {
     // Of the mean asked for, whatever the spread.
-    std::normal_distribution<double> log(-aSpread * aSpread / 2, aSpread);
-    return std::max(1.0, aMean * std::exp(aSpread > 0 ? log(mRandom) : 0.0));
+    std::normal_distribution<double> log(-aLogStdDev * aLogStdDev / 2,
+                                         aLogStdDev);
+    return std::max(1.0, aMean * std::exp(aLogStdDev > 0 ? log(mRandom) : 0.0));
   }
 
-  void Ask(std::size_t aKind)
+  void CreateRequest(std::size_t aKind)
   {
-    const load_kind& kind = mShape.mKinds[aKind];
-    live one;
+    const load_profile& kind = mShape.mKinds[aKind];
+    active_request one;
     one.mKind = aKind;
     one.mInstance = mRandom() % mInstances.size();
     one.mArrived = mNow;
     const std::uint64_t session = mRandom() % kind.mSessions;
-    const double own =
-      std::min(Sized(kind.mOwnTokens, kind.mSpread), 8 * kind.mOwnTokens);
-    one.mWork.mTeam = team_name("team-" + std::to_string(mRandom() % 40));
-    one.mWork.mEnginePriority = kind.mRank;
-    one.mWork.mSharedTokens = static_cast<std::uint32_t>(kind.mSharedTokens);
-    one.mWork.mPromptTokens =
+    const double own = std::min(
+      DrawSize(kind.mOwnTokens, kind.mLengthLogStdDev), 8 * kind.mOwnTokens);
+    one.mProfile.mTeam = team_name("team-" + std::to_string(mRandom() % 40));
+    one.mProfile.mEnginePriority = kind.mPriority;
+    one.mProfile.mSharedTokens = static_cast<std::uint32_t>(kind.mSharedTokens);
+    one.mProfile.mPromptTokens =
       static_cast<std::uint32_t>(own + kind.mSharedTokens);
-    one.mWork.mSharedPrefix = CombineHash(aKind + 1, session + 1);
-    one.mWork.mTarget = kind.mTarget;
-    one.mWork.mPause = kind.mPause;
-    one.mWork.mDeadline = mNow + kind.mPatience;
-    ++mResults[aKind].mAsked;
-    Offer(one, own, Sized(kind.mAnswerTokens, kind.mSpread / 2));
+    one.mProfile.mSharedPrefix = CombineHash(aKind + 1, session + 1);
+    one.mProfile.mTarget = kind.mTarget;
+    one.mProfile.mPause = kind.mPause;
+    one.mProfile.mDeadline = mNow + kind.mPatience;
+    ++mResults[aKind].mRequests;
+    Submit(one, own, DrawSize(kind.mAnswerTokens, kind.mLengthLogStdDev / 2));
   }
 
   // A caller that is refused comes back once, when it was told.
-  void Offer(live aOne, double aOwn, double aAnswer)
+  void Submit(active_request aOne, double aOwn, double aAnswer)
   {
-    const duration left = aOne.mWork.mDeadline - mNow;
+    const duration left = aOne.mProfile.mDeadline - mNow;
     relay_pool& pool = *mInstances[aOne.mInstance].mPool;
-    const auto admitted = pool.Admit(aOne.mWork, left, mNow);
+    const auto admitted = pool.Admit(aOne.mProfile, left, mNow);
     if (const auto* refused = std::get_if<admission_refusal>(&admitted)) {
-      if (aOne.mWork.mIsRetry) {
+      if (aOne.mProfile.mIsRetry) {
         ++mResults[aOne.mKind].mRefused;
         return;
       }
-      aOne.mWork.mIsRetry = true;
+      aOne.mProfile.mIsRetry = true;
       aOne.mInstance = mRandom() % mInstances.size();
-      mReturning.emplace(mNow + refused->mRetryAfter,
-                         returning{ aOne, aOwn, aAnswer });
+      mRetries.emplace(mNow + refused->mRetryAfter,
+                       scheduled_retry{ aOne, aOwn, aAnswer });
       return;
     }
     aOne.mPick = *std::get<std::optional<relay_pick>>(admitted);
     Send(aOne, aOwn, aAnswer);
   }
 
-  void Return()
+  void SubmitRetries()
   {
-    while (!mReturning.empty() && mReturning.begin()->first <= mNow) {
-      const returning next = mReturning.begin()->second;
-      mReturning.erase(mReturning.begin());
-      Offer(next.mRequest, next.mOwn, next.mAnswer);
+    while (!mRetries.empty() && mRetries.begin()->first <= mNow) {
+      const scheduled_retry next = mRetries.begin()->second;
+      mRetries.erase(mRetries.begin());
+      Submit(next.mRequest, next.mOwn, next.mAnswer);
     }
   }
 
-  void Send(live& aOne, double aOwn, double aAnswer)
+  void Send(active_request& aOne, double aOwn, double aAnswer)
   {
     relay_pool& pool = *mInstances[aOne.mInstance].mPool;
-    aOne.mEngine = mEngineOf.at(aOne.mPick.mEndpoint);
-    pool.OnSent(aOne.mPick, aOne.mWork, mNow);
-    const double missing = Missing(aOne);
+    aOne.mEngine = mEngineIndex.at(aOne.mPick.mEndpoint);
+    pool.OnSent(aOne.mPick, aOne.mProfile, mNow);
+    const double uncached = UncachedTokens(aOne);
     const engine_request request{
-      ++mLastId, aOne.mWork.mEnginePriority, aOwn + missing, aAnswer
+      ++mLastId, aOne.mProfile.mEnginePriority, aOwn + uncached, aAnswer
     };
-    if (!mEngines[aOne.mEngine].Put(request)) {
+    if (!mEngines[aOne.mEngine].TrySubmit(request)) {
       pool.OnEnded(
-        aOne.mPick, aOne.mWork, attempt_end::kDeclined, false, {}, mNow);
+        aOne.mPick, aOne.mProfile, attempt_end::kDeclined, false, {}, mNow);
       ++mResults[aOne.mKind].mDeclined;
       return;
     }
-    mLive.emplace(mLastId, aOne);
+    mActive.emplace(mLastId, aOne);
   }
 
   // Of the shared parts, what the engine has to read, or a copy's worth of it.
-  double Missing(const live& aOne)
+  double UncachedTokens(const active_request& aOne)
   {
-    std::vector<std::uint64_t>& held = mHeld[aOne.mEngine];
-    const std::uint64_t session = aOne.mWork.mSharedPrefix;
-    const bool holds = std::erase(held, session) > 0;
-    held.push_back(session);
-    if (held.size() > kSessionsHeld) {
-      held.erase(held.begin());
+    std::vector<std::uint64_t>& cached = mCachedSessions[aOne.mEngine];
+    const std::uint64_t session = aOne.mProfile.mSharedPrefix;
+    const bool isCached = std::erase(cached, session) > 0;
+    cached.push_back(session);
+    if (cached.size() > kMaxCachedSessions) {
+      cached.erase(cached.begin());
     }
-    const double shared = aOne.mWork.mSharedTokens;
-    if (holds) {
+    const double shared = aOne.mProfile.mSharedTokens;
+    if (isCached) {
       return 0;
     }
     return aOne.mPick.mCopyFrom.empty() ? shared
@@ -315,48 +322,48 @@
   {
     for (slot_engine& engine : mEngines) {
       for (const engine_event& each : engine.Step(kStep, mNow)) {
-        Take(each);
+        HandleEvent(each);
       }
     }
   }
 
-  void Take(const engine_event& aEvent)
+  void HandleEvent(const engine_event& aEvent)
   {
-    const auto found = mLive.find(aEvent.mId);
-    if (found == mLive.end()) {
+    const auto found = mActive.find(aEvent.mId);
+    if (found == mActive.end()) {
       return;
     }
-    live& one = found->second;
+    active_request& one = found->second;
     relay_pool& pool = *mInstances[one.mInstance].mPool;
     const duration since = mNow - one.mArrived;
     if (aEvent.mKind == engine_event_kind::kFirstEvent) {
-      one.mBegun = true;
-      one.mLate = since > one.mWork.mTarget;
-      pool.OnFirstByte(one.mPick, one.mWork, since, mNow);
+      one.mStarted = true;
+      one.mLate = since > one.mProfile.mTarget;
+      pool.OnFirstByte(one.mPick, one.mProfile, since, mNow);
       return;
     }
-    one.mLate = one.mLate || aEvent.mLongestPause > one.mWork.mPause;
+    one.mLate = one.mLate || aEvent.mMaxPause > one.mProfile.mPause;
     pool.OnEnded(
-      one.mPick, one.mWork, attempt_end::kCompleted, true, since, mNow);
+      one.mPick, one.mProfile, attempt_end::kCompleted, true, since, mNow);
     ++(one.mLate ? mResults[one.mKind].mLate : mResults[one.mKind].mInTime);
-    mLive.erase(found);
+    mActive.erase(found);
   }
 
-  void LeaveInVain()
+  void CancelExpired()
   {
-    std::erase_if(mLive, [this](const auto& aOne) {
-      const live& one = aOne.second;
-      if (mNow < one.mWork.mDeadline) {
+    std::erase_if(mActive, [this](const auto& aOne) {
+      const active_request& one = aOne.second;
+      if (mNow < one.mProfile.mDeadline) {
         return false;
       }
       mEngines[one.mEngine].Cancel(aOne.first);
       mInstances[one.mInstance].mPool->OnEnded(one.mPick,
-                                               one.mWork,
+                                               one.mProfile,
                                                attempt_end::kCancelled,
-                                               one.mBegun,
+                                               one.mStarted,
                                                mNow - one.mArrived,
                                                mNow);
-      ++mResults[one.mKind].mGivenUp;
+      ++mResults[one.mKind].mTimedOut;
       return true;
     });
   }
@@ -365,33 +372,33 @@
   {
     for (instance& each : mInstances) {
       if (mNow >= each.mNextTick) {
-        each.mNextTick = mNow + kTickEvery;
-        Tell(each);
-        UsePeers(each);
+        each.mNextTick = mNow + kTickInterval;
+        SendHello(each);
+        ApplyPeerLoad(each);
       }
     }
   }
 
-  void TellSums(instance& aOne)
+  void SendAggregation(instance& aOne)
   {
-    for (const sums_to_tell& each : aOne.mPeers->SumsToTell(
+    for (const outgoing_aggregation& each : aOne.mPeers->AggregationMessages(
            { { kPool, aOne.mPool->LocalView(mNow) } }, mNow)) {
-      relay_hello hello = Brief(aOne);
-      hello.mSums = each.mSums;
-      mInstances[mNumberOf.at(each.mAddress)].mPeers->OnHello(hello, mNow);
+      relay_hello hello = BriefHello(aOne);
+      hello.mAggregation = each.mMessage;
+      mInstances[mInstanceIndex.at(each.mAddress)].mPeers->OnHello(hello, mNow);
     }
   }
 
-  void Ask(instance& aOne, const std::vector<std::string>& aOthers)
+  void Probe(instance& aOne, const std::vector<std::string>& aOthers)
   {
     for (const std::string& each : aOthers) {
-      instance& other = mInstances[mNumberOf.at(each)];
-      other.mPeers->OnHello(Brief(aOne), mNow);
-      aOne.mPeers->OnHello(Brief(other), mNow);
+      instance& other = mInstances[mInstanceIndex.at(each)];
+      other.mPeers->OnHello(BriefHello(aOne), mNow);
+      aOne.mPeers->OnHello(BriefHello(other), mNow);
     }
   }
 
-  static relay_hello Brief(const instance& aOne)
+  static relay_hello BriefHello(const instance& aOne)
   {
     relay_hello hello;
     hello.mBrief = true;
@@ -400,47 +407,50 @@
     return hello;
   }
 
-  void Tell(instance& aOne)
+  void SendHello(instance& aOne)
   {
-    TellSums(aOne);
+    SendAggregation(aOne);
     const hello_round round = aOne.mPeers->Tick(mNow);
-    Ask(aOne, round.mAsked);
-    if (round.mWhole.empty()) {
+    Probe(aOne, round.mProbed);
+    if (round.mFull.empty()) {
       return;
     }
-    relay_hello hello = Brief(aOne);
+    relay_hello hello = BriefHello(aOne);
     hello.mBrief = false;
-    hello.mPeers = aOne.mPeers->SomePeers();
+    hello.mPeers = aOne.mPeers->SamplePeers();
     for (const relay_load& each : aOne.mPool->Loads(mNow)) {
       if (each.mPrefillTokens > 0 || each.mInFlight > 0) {
-        hello.mWork.push_back({ WorkKey(each.mName),
-                                each.mPrefillTokens,
-                                each.mPrefillNanoseconds,
-                                each.mInFlight });
+        hello.mLoads.push_back({ EndpointHash(each.mName),
+                                 each.mPrefillTokens,
+                                 each.mPrefillNanoseconds,
+                                 each.mInFlight });
       }
     }
     hello.mDemand = { { kPool, aOne.mPool->LocalView(mNow) } };
     hello.mWantsAnswer = aOne.mPeers->Alive() == 0;
-    for (const std::string& each : round.mWhole) {
-      const auto to = mNumberOf.find(each);
-      if (to != mNumberOf.end()) {
+    for (const std::string& each : round.mFull) {
+      const auto to = mInstanceIndex.find(each);
+      if (to != mInstanceIndex.end()) {
         mInstances[to->second].mPeers->OnHello(hello, mNow);
       }
     }
   }
 
-  void UsePeers(instance& aOne)
+  void ApplyPeerLoad(instance& aOne)
   {
-    const auto work = aOne.mPeers->OthersWork(mNow);
+    const auto work = aOne.mPeers->RemoteLoad(mNow);
     for (const relay_load& each : aOne.mPool->Loads(mNow)) {
-      const auto found = work.find(WorkKey(each.mName));
-      const endpoint_work its =
-        found == work.end() ? endpoint_work{} : found->second;
-      aOne.mPool->SetRemoteLoad(
-        { each.mName, its.mOpen, its.mToRead, its.mPace }, mNow);
+      const auto found = work.find(EndpointHash(each.mName));
+      const reported_load load =
+        found == work.end() ? reported_load{} : found->second;
+      aOne.mPool->SetRemoteLoad({ each.mName,
+                                  load.mInFlight,
+                                  load.mPrefillTokens,
+                                  load.mPrefillNanoseconds },
+                                mNow);
     }
     const auto views =
-      aOne.mPeers->AllViews({ { kPool, aOne.mPool->LocalView(mNow) } }, mNow);
+      aOne.mPeers->FleetViews({ { kPool, aOne.mPool->LocalView(mNow) } }, mNow);
     aOne.mPool->SetView(views.at(kPool), mNow);
   }
 
@@ -451,12 +461,12 @@
   time_point mNow = time_point() + Seconds(1'000);
   std::vector<slot_engine> mEngines;
   // Sessions whose parts each engine holds, the latest last.
-  std::vector<std::vector<std::uint64_t>> mHeld;
-  std::map<endpoint_name, std::size_t> mEngineOf;
+  std::vector<std::vector<std::uint64_t>> mCachedSessions;
+  std::map<endpoint_name, std::size_t> mEngineIndex;
   std::vector<instance> mInstances;
-  std::map<std::string, std::size_t> mNumberOf;
-  std::map<std::uint64_t, live> mLive;
-  std::multimap<time_point, returning> mReturning;
+  std::map<std::string, std::size_t> mInstanceIndex;
+  std::map<std::uint64_t, active_request> mActive;
+  std::multimap<time_point, scheduled_retry> mRetries;
   std::uint64_t mLastId = 0;
   std::vector<load_result> mResults;
   std::vector<double> mFactors;
--- a/thornhollow/fleet/testing/silent_source.h
+++ b/thornhollow/fleet/testing/silent_source.h
@@ -25,7 +25,7 @@
 
 namespace thornhollow {
 
-enum class followed : std::uint8_t
+enum class source_item_type : std::uint8_t
 {
   kConfiguration,
   kEndpoints,
@@ -34,13 +34,13 @@
 // One that was acknowledged.
 struct source_change
 {
-  followed mWhich{};
+  source_item_type mWhich{};
   std::string mKey;
   bool mRemoved = false;
   std::uint64_t mRevision = 0;
   time_point mAt{};
   // For whoever watches it: when all held it.
-  std::optional<time_point> mHeldByAll = std::nullopt;
+  std::optional<time_point> mAppliedEverywhereAt = std::nullopt;
 };
 
 class silent_source
@@ -55,61 +55,65 @@
   }
 
   // A change at that moment, or as soon as the source answers again.
-  void Plan(time_point aAt, followed aWhich, std::string aKey, bool aRemoves)
+  void ScheduleChange(time_point aAt,
+                      source_item_type aWhich,
+                      std::string aKey,
+                      bool aRemoves)
   {
-    const auto after =
-      std::ranges::upper_bound(mPlanned, aAt, {}, &planned::mAt);
-    mPlanned.insert(after, { aAt, aWhich, std::move(aKey), aRemoves });
+    const auto position =
+      std::ranges::upper_bound(mScheduled, aAt, {}, &scheduled_change::mAt);
+    mScheduled.insert(position, { aAt, aWhich, std::move(aKey), aRemoves });
   }
 
   // Does what was planned until now.
   void Publish(time_point aNow)
   {
-    while (!mPlanned.empty() && mPlanned.front().mAt <= aNow &&
-           !Silent(aNow, aNow)) {
-      const planned& next = mPlanned.front();
+    while (!mScheduled.empty() && mScheduled.front().mAt <= aNow &&
+           !IsSilent(aNow, aNow)) {
+      const scheduled_change& next = mScheduled.front();
       mChanges.push_back(
         { next.mWhich, next.mKey, next.mRemoved, ++mRevision, aNow });
-      mPlanned.erase(mPlanned.begin());
+      mScheduled.erase(mScheduled.begin());
     }
   }
 
   // Whether it is silent at some moment of the two and between.
-  bool Silent(time_point aFrom, time_point aUntil) const
+  bool IsSilent(time_point aFrom, time_point aUntil) const
   {
-    return std::ranges::any_of(mSilences, [&](const span& aOne) {
+    return std::ranges::any_of(mSilences, [&](const time_range& aOne) {
       return aOne.mFrom <= aUntil && aFrom < aOne.mUntil;
     });
   }
 
-  std::uint64_t At() const { return mRevision; }
+  std::uint64_t Revision() const { return mRevision; }
   const std::vector<source_change>& Changes() const { return mChanges; }
   std::vector<source_change>& Changes() { return mChanges; }
 
   // What a watch after that revision is answered with, by what was known at
   // `aUntil`.
-  std::vector<item_change> After(followed aWhich,
-                                 std::uint64_t aAt,
-                                 std::uint64_t aUntil = kNewest) const
+  std::vector<item_change> ChangesAfter(source_item_type aWhich,
+                                        std::uint64_t aAt,
+                                        std::uint64_t aUntil = kNewest) const
   {
-    std::vector<item_change> after;
+    std::vector<item_change> result;
     for (const source_change& each : mChanges) {
       if (each.mWhich == aWhich && each.mRevision > aAt &&
           each.mRevision <= aUntil) {
-        item_change told{ each.mKey, std::nullopt, each.mRevision };
+        item_change change{ each.mKey, std::nullopt, each.mRevision };
         if (!each.mRemoved) {
-          told.mValue = std::to_string(each.mRevision);
+          change.mValue = std::to_string(each.mRevision);
         }
-        after.push_back(told);
+        result.push_back(change);
       }
     }
-    return after;
+    return result;
   }
 
-  source_listing Listing(followed aWhich, std::uint64_t aUntil = kNewest) const
+  source_listing Listing(source_item_type aWhich,
+                         std::uint64_t aUntil = kNewest) const
   {
     std::map<std::string, source_item> items;
-    for (const item_change& each : After(aWhich, 0, aUntil)) {
+    for (const item_change& each : ChangesAfter(aWhich, 0, aUntil)) {
       items.erase(each.mKey);
       if (each.mValue) {
         items[each.mKey] = { each.mKey, *each.mValue, each.mRevision };
@@ -123,22 +127,22 @@
   }
 
 private:
-  struct span
+  struct time_range
   {
     time_point mFrom{};
     time_point mUntil{};
   };
-  struct planned
+  struct scheduled_change
   {
     time_point mAt{};
-    followed mWhich{};
+    source_item_type mWhich{};
     std::string mKey;
     bool mRemoved = false;
   };
 
-  std::vector<span> mSilences;
+  std::vector<time_range> mSilences;
   // By time.
-  std::vector<planned> mPlanned;
+  std::vector<scheduled_change> mScheduled;
   std::vector<source_change> mChanges;
   std::uint64_t mRevision = 1;
 };
--- a/thornhollow/fleet/testing/silent_source_fleet.h
+++ b/thornhollow/fleet/testing/silent_source_fleet.h
@@ -7,7 +7,7 @@
 //   fleet.Silence(Seconds(20), Seconds(22));
 //   fleet.Change(Seconds(22), followed::kConfiguration);
 //   fleet.Run(Seconds(40));
-//   CHECK(fleet.Worst().mTook <= silent_source_fleet::kInForceWithin);
+//   CHECK(fleet.Worst().mDelay <= silent_source_fleet::kMaxChangeDelay);
 //
 #ifndef THORNHOLLOW_FLEET_TESTING_SILENT_SOURCE_FLEET_H_
 #define THORNHOLLOW_FLEET_TESTING_SILENT_SOURCE_FLEET_H_
@@ -30,7 +30,7 @@
 #include "thornhollow/discovery/item_mirror.h"
 #include "thornhollow/discovery/source_follower.h"
 #include "thornhollow/fleet/copy_requests.h"
-#include "thornhollow/fleet/large_copies.h"
+#include "thornhollow/fleet/large_copy_limiter.h"
 #include "thornhollow/fleet/relay_peers.h"
 #include "thornhollow/fleet/testing/fleet_shape.h"
 #include "thornhollow/fleet/testing/modelled_instance.h"
@@ -42,7 +42,7 @@
 {
 public:
   // In force everywhere within so long of the acknowledgement.
-  static constexpr duration kInForceWithin = Seconds(2);
+  static constexpr duration kMaxChangeDelay = Seconds(2);
 
   silent_source_fleet(const fleet_shape& aShape, std::uint64_t aSeed)
     : mShape(aShape)
@@ -64,35 +64,37 @@
 
   // A change of one item, acknowledged at that moment, or as soon as the source
   // answers again.
-  void Change(duration aAt, followed aWhich)
+  void Change(duration aAt, source_item_type aWhich)
   {
-    mSource.Plan(mStart + aAt, aWhich, "item", false);
+    mSource.ScheduleChange(mStart + aAt, aWhich, "item", false);
   }
 
   // An endpoint joins, or leaves.
   void Join(duration aAt, int aEndpoint)
   {
-    mSource.Plan(mStart + aAt, followed::kEndpoints, NameOf(aEndpoint), false);
+    mSource.ScheduleChange(
+      mStart + aAt, source_item_type::kEndpoints, NameOf(aEndpoint), false);
   }
   void Leave(duration aAt, int aEndpoint)
   {
-    mSource.Plan(mStart + aAt, followed::kEndpoints, NameOf(aEndpoint), true);
+    mSource.ScheduleChange(
+      mStart + aAt, source_item_type::kEndpoints, NameOf(aEndpoint), true);
   }
 
   // From then on the domain's instances reach the source and each other only.
-  void CutOff(int aDomain, duration aFrom)
+  void IsolateDomain(int aDomain, duration aFrom)
   {
-    mCutDomain = aDomain;
-    mCutFrom = mStart + aFrom;
+    mIsolatedDomain = aDomain;
+    mIsolatedFrom = mStart + aFrom;
   }
 
   // What the instance asks the source meanwhile, and what waits there for it,
   // is never answered.
-  void TurnAway(int aInstance, duration aFrom, duration aUntil)
+  void BlockSource(int aInstance, duration aFrom, duration aUntil)
   {
     instance& one = mInstances.at(static_cast<std::size_t>(aInstance));
-    one.mTurnedAwayFrom = mStart + aFrom;
-    one.mTurnedAwayUntil = mStart + aUntil;
+    one.mBlockedFrom = mStart + aFrom;
+    one.mBlockedUntil = mStart + aUntil;
   }
 
   // The instance is gone from then on, without a word.
@@ -105,31 +107,34 @@
   {
     for (; mNow < mStart + aUntil; mNow += kStep) {
       mSource.Publish(mNow);
-      MoveBytes(mInstances,
-                mShape.mLinkBytes * ToSeconds(kStep),
-                [this](const instance& aTo, const copy_on_its_way& aCopy) {
-                  return Begun(aCopy) ? Reached(aTo, aCopy.mFrom) : nullptr;
-                });
+      AdvanceTransfers(mInstances,
+                       mShape.mLinkBytesPerSecond * ToSeconds(kStep),
+                       [this](const instance& aTo, const pending_copy& aCopy) {
+                         return HasStarted(aCopy)
+                                  ? FindReachable(aTo, aCopy.mFrom)
+                                  : nullptr;
+                       });
       for (instance& each : mInstances) {
         Step(each);
       }
-      NoteHeld();
+      UpdateApplied();
     }
   }
 
   // The longest delay of a change of the configuration after which the source
-  // answered for `kInForceWithin`; one that not all hold yet took until now.
-  change_delay Worst() const
+  // answered for `kMaxChangeDelay`; one that not all hold yet took until now.
+  change_delay WorstDelay() const
   {
     change_delay worst;
     for (const source_change& each : mSource.Changes()) {
-      if (each.mWhich != followed::kConfiguration ||
-          mSource.Silent(each.mAt, each.mAt + kInForceWithin)) {
+      if (each.mWhich != source_item_type::kConfiguration ||
+          mSource.IsSilent(each.mAt, each.mAt + kMaxChangeDelay)) {
         continue;
       }
-      const duration took = each.mHeldByAll.value_or(mNow) - each.mAt;
-      if (took > worst.mTook) {
-        worst = { each.mAt - mStart, took };
+      const duration delay =
+        each.mAppliedEverywhereAt.value_or(mNow) - each.mAt;
+      if (delay > worst.mDelay) {
+        worst = { each.mAt - mStart, delay };
       }
     }
     return worst;
@@ -137,16 +142,17 @@
 
   // The longest time from the acknowledged leaving of an endpoint until no
   // instance sends it work; one that some still do took until now.
-  change_delay WorstLeaving() const
+  change_delay WorstLeaveDelay() const
   {
     change_delay worst;
     for (const source_change& each : mSource.Changes()) {
       if (each.mRemoved) {
-        const duration took = each.mHeldByAll.value_or(mNow) - each.mAt;
+        const duration delay =
+          each.mAppliedEverywhereAt.value_or(mNow) - each.mAt;
         worst = std::max(worst,
-                         { each.mAt - mStart, took },
+                         { each.mAt - mStart, delay },
                          [](const auto& aOne, const auto& aOther) {
-                           return aOne.mTook < aOther.mTook;
+                           return aOne.mDelay < aOther.mDelay;
                          });
       }
     }
@@ -178,17 +184,17 @@
 
 private:
   static constexpr duration kStep = Milliseconds(10);
-  static constexpr duration kTickEvery = Milliseconds(100);
+  static constexpr duration kTickInterval = Milliseconds(100);
   // As the daemon does: nobody waits longer for a part of a copy.
-  static constexpr duration kCopyLimit = Milliseconds(600);
+  static constexpr duration kCopyTimeout = Milliseconds(600);
   static constexpr double kEndpointBytes = 300;
   // A longer answer of a peer is refused.
-  static constexpr double kMostCopyBytes = 1'048'576 + 4'096;
+  static constexpr double kMaxCopyBytes = 1'048'576 + 4'096;
   // As the daemon does: what it tells its peers of the source.
-  static constexpr duration kTellsOfFailure = Seconds(5);
+  static constexpr duration kFailureReportPeriod = Seconds(5);
 
   using instance = modelled_instance;
-  using link = modelled_link;
+  using subscription = modelled_subscription;
 
   void Add(int aDomain, int aEach, std::uint64_t aSeed)
   {
@@ -212,17 +218,18 @@
                   {},
                   {},
                   mStart + seed % 10 * kStep };
-    for (const followed which :
-         { followed::kConfiguration, followed::kEndpoints }) {
-      one.mLinks.push_back({ which,
-                             source_follower(source_follower_settings{},
-                                             seed * 2 + one.mLinks.size()),
-                             {},
-                             mStart });
-    }
-    large_copy_settings copies;
-    copies.mLinkBytesPerSecond = mShape.mLinkBytes;
-    one.mLargeCopies = large_copies(copies);
+    for (const source_item_type which :
+         { source_item_type::kConfiguration, source_item_type::kEndpoints }) {
+      one.mSubscriptions.push_back(
+        { which,
+          source_follower(source_follower_settings{},
+                          seed * 2 + one.mSubscriptions.size()),
+          {},
+          mStart });
+    }
+    large_copy_limiter_settings copies;
+    copies.mLinkBytesPerSecond = mShape.mLinkBytesPerSecond;
+    one.mCopyLimiter = large_copy_limiter(copies);
     mInstances.push_back(std::move(one));
   }
 
@@ -238,88 +245,96 @@
     if (Stopped(aOne)) {
       return;
     }
-    TakeCopies(aOne);
-    for (link& each : aOne.mLinks) {
-      if (LookForAnswers(aOne, each)) {
-        TellBriefly(aOne, aOne.mPeers->OnNews());
+    ProcessCopies(aOne);
+    for (subscription& each : aOne.mSubscriptions) {
+      if (ProcessAnswers(aOne, each)) {
+        SendBriefHello(aOne, aOne.mPeers->OnNewRevision());
       }
-      if (each.mToSend && mNow >= each.mSendAt) {
+      if (each.mSendPending && mNow >= each.mSendAt) {
         Send(each, each.mFollower.Start(each.mMirror));
       }
     }
     if (mNow >= aOne.mNextTick) {
-      aOne.mNextTick = mNow + kTickEvery;
+      aOne.mNextTick = mNow + kTickInterval;
       Tick(aOne);
     }
   }
 
-  void Ask(const instance& aOne, link& aLink, const source_call& aCall)
+  void StartCall(const instance& aOne,
+                 subscription& aSubscription,
+                 const source_call& aCall)
   {
-    std::ranges::move(aLink.mOpen, std::back_inserter(aLink.mGivenUp));
-    aLink.mOpen.clear();
-    aLink.mRound.End();
-    aLink.mIdle = !aOne.mAsksSource;
-    if (aLink.mIdle) {
-      aLink.mToSend = false;
-      aLink.mFollower.StopAsking();
+    std::ranges::move(aSubscription.mOutstanding,
+                      std::back_inserter(aSubscription.mAbandoned));
+    aSubscription.mOutstanding.clear();
+    aSubscription.mRound.End();
+    aSubscription.mIdle = !aOne.mFollowsSource;
+    if (aSubscription.mIdle) {
+      aSubscription.mSendPending = false;
+      aSubscription.mFollower.StopAsking();
       return;
     }
-    aLink.mToSend = true;
-    aLink.mSendAt = mNow + aCall.mPause;
+    aSubscription.mSendPending = true;
+    aSubscription.mSendAt = mNow + aCall.mPause;
     if (aCall.mPause <= duration::zero()) {
-      Send(aLink, aCall);
+      Send(aSubscription, aCall);
     }
   }
 
-  void Send(link& aLink, const source_call& aCall)
+  void Send(subscription& aSubscription, const source_call& aCall)
   {
-    aLink.mToSend = false;
-    aLink.mOpen.push_back({ aCall, mNow, false });
-    aLink.mRound.OnSent(aCall, mNow);
+    aSubscription.mSendPending = false;
+    aSubscription.mOutstanding.push_back({ aCall, mNow, false });
+    aSubscription.mRound.OnSent(aCall, mNow);
     ++mCalls;
   }
 
   // Whether there was news.
-  bool LookForAnswers(instance& aOne, link& aLink)
-  {
-    LookAt(aOne, aLink, aLink.mGivenUp);
-    LookAt(aOne, aLink, aLink.mOpen);
-    if (std::ranges::any_of(aLink.mOpen, [this](const open_call& aCall) {
-          return aCall.mLastBytes == mNow;
-        })) {
-      aLink.mRound.OnBytes(mNow);
-    }
-    std::erase_if(aLink.mGivenUp, [this](const open_call& aCall) {
-      return Came(aCall) || Expired(aCall);
-    });
-    if (const auto came = std::ranges::find_if(aLink.mOpen, Came);
-        came != aLink.mOpen.end()) {
-      const open_call answered = *came;
-      aLink.mOpen.erase(came);
-      NoteDelay(aLink, answered);
-      return Answer(aOne, aLink, answered);
-    }
-    if (!aLink.mOpen.empty() && Expired(aLink.mOpen.back())) {
-      Fail(aOne, aLink);
+  bool ProcessAnswers(instance& aOne, subscription& aSubscription)
+  {
+    UpdateCalls(aOne, aSubscription, aSubscription.mAbandoned);
+    UpdateCalls(aOne, aSubscription, aSubscription.mOutstanding);
+    if (std::ranges::any_of(aSubscription.mOutstanding,
+                            [this](const outstanding_call& aCall) {
+                              return aCall.mLastBytes == mNow;
+                            })) {
+      aSubscription.mRound.OnBytes(mNow);
+    }
+    std::erase_if(aSubscription.mAbandoned,
+                  [this](const outstanding_call& aCall) {
+                    return IsComplete(aCall) || Expired(aCall);
+                  });
+    if (const auto complete =
+          std::ranges::find_if(aSubscription.mOutstanding, IsComplete);
+        complete != aSubscription.mOutstanding.end()) {
+      const outstanding_call answered = *complete;
+      aSubscription.mOutstanding.erase(complete);
+      NoteDelay(aSubscription, answered);
+      return HandleAnswer(aOne, aSubscription, answered);
+    }
+    if (!aSubscription.mOutstanding.empty() &&
+        Expired(aSubscription.mOutstanding.back())) {
+      Fail(aOne, aSubscription);
       return false;
     }
-    std::erase_if(aLink.mOpen,
-                  [this](const open_call& aCall) { return Expired(aCall); });
+    std::erase_if(
+      aSubscription.mOutstanding,
+      [this](const outstanding_call& aCall) { return Expired(aCall); });
     return false;
   }
 
   // Answers begin to come, or never will.
-  void LookAt(const instance& aOne,
-              const link& aLink,
-              std::vector<open_call>& aCalls)
-  {
-    const bool away =
-      mNow >= aOne.mTurnedAwayFrom && mNow < aOne.mTurnedAwayUntil;
-    for (open_call& each : aCalls) {
-      each.mLost = each.mLost || away || mSource.Silent(mNow, mNow);
-      if (!each.mLost && !each.mBytesLeft && Begins(aLink, each)) {
-        each.mBytesLeft = AnswerBytes(aLink, each);
-        each.mTellsUpTo = mSource.At();
+  void UpdateCalls(const instance& aOne,
+                   const subscription& aSubscription,
+                   std::vector<outstanding_call>& aCalls)
+  {
+    const bool blocked = mNow >= aOne.mBlockedFrom && mNow < aOne.mBlockedUntil;
+    for (outstanding_call& each : aCalls) {
+      each.mLost = each.mLost || blocked || mSource.IsSilent(mNow, mNow);
+      if (!each.mLost && !each.mBytesLeft &&
+          AnswerStarts(aSubscription, each)) {
+        each.mBytesLeft = AnswerBytes(aSubscription, each);
+        each.mAnswerRevision = mSource.Revision();
       }
       if (!each.mLost && each.mBytesLeft) {
         each.mLastBytes = mNow;
@@ -327,113 +342,125 @@
     }
   }
 
-  static bool Came(const open_call& aCall)
+  static bool IsComplete(const outstanding_call& aCall)
   {
     return !aCall.mLost && aCall.mBytesLeft && *aCall.mBytesLeft <= 0;
   }
 
-  bool Begun(const copy_on_its_way& aCopy) const
+  bool HasStarted(const pending_copy& aCopy) const
   {
-    return mNow >= aCopy.mAskedAt + mShape.mCopyTakes;
+    return mNow >= aCopy.mAskedAt + mShape.mCopyLatency;
   }
 
-  bool Expired(const open_call& aCall) const
+  bool Expired(const outstanding_call& aCall) const
   {
     return mNow >= std::max(Due(aCall), aCall.mLastBytes) + aCall.mCall.mLimit;
   }
 
   // The newest call is given up.
-  void Fail(const instance& aOne, link& aLink)
+  void Fail(const instance& aOne, subscription& aSubscription)
   {
     std::vector<item_change> none;
     const source_failure failure{ "no answer" };
-    Ask(aOne,
-        aLink,
-        aLink.mOpen.back().mCall.mList
-          ? aLink.mFollower.OnListed(failure, aLink.mMirror, none, mNow)
-          : aLink.mFollower.OnWatched(failure, aLink.mMirror, none, mNow));
+    StartCall(aOne,
+              aSubscription,
+              aSubscription.mOutstanding.back().mCall.mList
+                ? aSubscription.mFollower.OnListed(
+                    failure, aSubscription.mMirror, none, mNow)
+                : aSubscription.mFollower.OnWatched(
+                    failure, aSubscription.mMirror, none, mNow));
   }
 
-  static time_point Due(const open_call& aOpen)
+  static time_point Due(const outstanding_call& aCall)
   {
-    return aOpen.mSent + aOpen.mCall.mWait;
+    return aCall.mSent + aCall.mCall.mWait;
   }
 
-  bool Begins(const link& aLink, const open_call& aOpen) const
+  bool AnswerStarts(const subscription& aSubscription,
+                    const outstanding_call& aCall) const
   {
-    const bool news = !aOpen.mCall.mList &&
-                      !mSource.After(aLink.mWhich, aOpen.mCall.mAfter).empty();
-    return mNow >= (news ? aOpen.mSent : Due(aOpen)) + mShape.mLatency;
+    const bool changes =
+      !aCall.mCall.mList &&
+      !mSource.ChangesAfter(aSubscription.mWhich, aCall.mCall.mAfter).empty();
+    return mNow >= (changes ? aCall.mSent : Due(aCall)) + mShape.mSourceLatency;
   }
 
   // A listing has the newest configuration, a watch each one since.
-  double AnswerBytes(const link& aLink, const open_call& aOpen) const
+  double AnswerBytes(const subscription& aSubscription,
+                     const outstanding_call& aCall) const
   {
-    if (aLink.mWhich != followed::kConfiguration) {
+    if (aSubscription.mWhich != source_item_type::kConfiguration) {
       return 0;
     }
     const std::size_t documents =
-      aOpen.mCall.mList
-        ? mSource.Listing(aLink.mWhich).mItems.size()
-        : mSource.After(aLink.mWhich, aOpen.mCall.mAfter).size();
+      aCall.mCall.mList
+        ? mSource.Listing(aSubscription.mWhich).mItems.size()
+        : mSource.ChangesAfter(aSubscription.mWhich, aCall.mCall.mAfter).size();
     return static_cast<double>(documents) * mShape.mDocumentBytes *
-           mShape.mSourceEncoding;
+           mShape.mSourceEncodingRatio;
   }
 
-  void NoteDelay(link& aLink, const open_call& aOpen)
+  void NoteDelay(subscription& aSubscription, const outstanding_call& aCall)
   {
-    if (mNow > Due(aOpen)) {
-      aLink.mFollower.NoteDelay(mNow - Due(aOpen));
+    if (mNow > Due(aCall)) {
+      aSubscription.mFollower.NoteDelay(mNow - Due(aCall));
     }
   }
 
   // The daemon looks at each tick.
-  void AskBesideOverdue(link& aLink)
+  void RetryOverdue(subscription& aSubscription)
   {
-    if (aLink.mRound.Overdue(mNow)) {
-      Send(aLink, aLink.mFollower.OnOverdue(aLink.mMirror, mNow));
+    if (aSubscription.mRound.Overdue(mNow)) {
+      Send(aSubscription,
+           aSubscription.mFollower.OnOverdue(aSubscription.mMirror, mNow));
     }
   }
 
-  void Doubt(link& aLink, watch_doubt aWhy)
+  void Suspect(subscription& aSubscription, watch_doubt aWhy)
   {
-    if (!aLink.mRound.MayBeDoubted(aWhy, mNow)) {
+    if (!aSubscription.mRound.MayBeDoubted(aWhy, mNow)) {
       return;
     }
-    if (const auto call = aLink.mFollower.OnDoubt(aWhy, aLink.mMirror, mNow)) {
-      Send(aLink, *call);
+    if (const auto call =
+          aSubscription.mFollower.OnDoubt(aWhy, aSubscription.mMirror, mNow)) {
+      Send(aSubscription, *call);
     }
   }
 
-  bool Answer(instance& aOne, link& aLink, const open_call& aOpen)
+  bool HandleAnswer(instance& aOne,
+                    subscription& aSubscription,
+                    const outstanding_call& aCall)
   {
-    const source_call& call = aOpen.mCall;
-    const std::uint64_t upTo = aOpen.mTellsUpTo;
-    std::vector<item_change> news;
+    const source_call& call = aCall.mCall;
+    const std::uint64_t upTo = aCall.mAnswerRevision;
+    std::vector<item_change> changes;
     const source_call next =
-      call.mList
-        ? aLink.mFollower.OnListed(
-            mSource.Listing(aLink.mWhich, upTo), aLink.mMirror, news, mNow)
-        : aLink.mFollower.OnWatched(
-            source_changes{ mSource.After(aLink.mWhich, call.mAfter, upTo),
-                            upTo },
-            aLink.mMirror,
-            news,
-            mNow);
-    Apply(aOne, aLink.mWhich, news);
-    Ask(aOne, aLink, next);
-    return !news.empty();
+      call.mList ? aSubscription.mFollower.OnListed(
+                     mSource.Listing(aSubscription.mWhich, upTo),
+                     aSubscription.mMirror,
+                     changes,
+                     mNow)
+                 : aSubscription.mFollower.OnWatched(
+                     source_changes{ mSource.ChangesAfter(
+                                       aSubscription.mWhich, call.mAfter, upTo),
+                                     upTo },
+                     aSubscription.mMirror,
+                     changes,
+                     mNow);
+    Apply(aOne, aSubscription.mWhich, changes);
+    StartCall(aOne, aSubscription, next);
+    return !changes.empty();
   }
 
   void Apply(instance& aOne,
-             followed aWhich,
-             const std::vector<item_change>& aNews)
+             source_item_type aWhich,
+             const std::vector<item_change>& aChanges)
   {
-    if (aWhich != followed::kEndpoints) {
+    if (aWhich != source_item_type::kEndpoints) {
       return;
     }
-    NoteSource(aOne);
-    for (const item_change& each : aNews) {
+    ReportSourceAnswers(aOne);
+    for (const item_change& each : aChanges) {
       if (each.mValue) {
         listed_endpoint entry;
         entry.mName = endpoint_name(each.mKey);
@@ -446,120 +473,124 @@
 
   void Tick(instance& aOne)
   {
-    const auto fails = [](const link& aLink) {
-      return aLink.mFollower.Failing();
+    const auto fails = [](const subscription& aSubscription) {
+      return aSubscription.mFollower.Failing();
     };
-    if (std::ranges::any_of(aOne.mLinks, fails)) {
-      aOne.mSourceFailsUntil = mNow + kTellsOfFailure;
+    if (std::ranges::any_of(aOne.mSubscriptions, fails)) {
+      aOne.mSourceFailsUntil = mNow + kFailureReportPeriod;
     }
     const bool peerFails = aOne.mPeers->SourceFailsElsewhere(mNow);
-    NoteSource(aOne);
+    ReportSourceAnswers(aOne);
     if (mNow < aOne.mSourceFailsUntil || peerFails) {
       aOne.mRoster.OnSourceFails(mNow);
     }
     aOne.mReads = aOne.mPeers->Reads(mNow);
-    aOne.mAsksSource = aOne.mReads || aOne.mRequests.NeedsSource(mNow);
+    aOne.mFollowsSource = aOne.mReads || aOne.mRequests.NeedsSource(mNow);
     aOne.mRoster.Tick(mNow);
     const watch_turn turn = aOne.mPeers->Turn(mNow);
-    for (link& each : aOne.mLinks) {
+    for (subscription& each : aOne.mSubscriptions) {
       each.mFollower.SetTurn(turn);
-      if (!aOne.mAsksSource) {
+      if (!aOne.mFollowsSource) {
         each.mFollower.StopAsking();
         continue;
       }
       if (each.mIdle) {
-        Ask(aOne, each, each.mFollower.Start(each.mMirror));
+        StartCall(aOne, each, each.mFollower.Start(each.mMirror));
       }
-      AskBesideOverdue(each);
-      if (std::ranges::any_of(aOne.mLinks, fails)) {
-        Doubt(each, watch_doubt::kOtherCallFails);
+      RetryOverdue(each);
+      if (std::ranges::any_of(aOne.mSubscriptions, fails)) {
+        Suspect(each, watch_doubt::kOtherCallFails);
       }
       if (peerFails) {
-        Doubt(each, watch_doubt::kPeerFails);
+        Suspect(each, watch_doubt::kPeerFails);
       }
     }
     const hello_round round = aOne.mPeers->Tick(mNow);
-    Tell(aOne, round.mWhole, aOne.mPeers->Alive() == 0);
-    TellBriefly(aOne, round.mBrief);
-    relay_hello asks = BriefHello(aOne);
-    asks.mWantsAnswer = true;
-    Send(aOne, asks, round.mAsked);
-    const auto from =
-      aOne.mRequests.Tick(*aOne.mPeers, Known(aOne), aOne.mReads, mNow);
+    SendHello(aOne, round.mFull, aOne.mPeers->Alive() == 0);
+    SendBriefHello(aOne, round.mBrief);
+    relay_hello probe = BriefHello(aOne);
+    probe.mWantsAnswer = true;
+    Send(aOne, probe, round.mProbed);
+    const auto from = aOne.mRequests.Tick(
+      *aOne.mPeers, KnownRevisions(aOne), aOne.mReads, mNow);
     if (from && from->mConfiguration) {
-      AskForCopy(aOne, from->mAddress, 0);
+      RequestCopy(aOne, from->mAddress, 0);
     }
     if (from && from->mEndpoints) {
-      AskForCopy(aOne, from->mAddress, 1);
+      RequestCopy(aOne, from->mAddress, 1);
     }
   }
 
   // The peer answers as the daemon does.
-  void AskForCopy(instance& aOne, const std::string& aFrom, std::size_t aWhich)
+  void RequestCopy(instance& aOne, const std::string& aFrom, std::size_t aWhich)
   {
-    instance* const from = Reached(aOne, aFrom);
+    instance* const from = FindReachable(aOne, aFrom);
     if (from == nullptr) {
       return;
     }
-    const item_mirror& its = from->mLinks[aWhich].mMirror;
-    copy_on_its_way copy;
+    const item_mirror& mirror = from->mSubscriptions[aWhich].mMirror;
+    pending_copy copy;
     copy.mFrom = aFrom;
     copy.mWhich = aWhich;
-    copy.mAsked = aOne.mLinks[aWhich].mMirror.At();
-    copy.mAt = its.At();
+    copy.mAfter = aOne.mSubscriptions[aWhich].mMirror.At();
+    copy.mAt = mirror.At();
     copy.mAskedAt = mNow;
-    if (copy.mAt <= copy.mAsked) {
+    if (copy.mAt <= copy.mAfter) {
       return;
     }
     std::size_t items = 0;
-    if (auto changes = its.Since(copy.mAsked)) {
+    if (auto changes = mirror.Since(copy.mAfter)) {
       copy.mChanges = std::move(*changes);
       items = copy.mChanges.size();
     } else {
-      copy.mItems = its.Items();
+      copy.mItems = mirror.Items();
       items = copy.mItems->size();
     }
     const double each = aWhich == 0 ? mShape.mDocumentBytes : kEndpointBytes;
-    copy.mBytesLeft = each * static_cast<double>(items) * mShape.mPacking;
+    copy.mBytesLeft =
+      each * static_cast<double>(items) * mShape.mCompressionRatio;
     if (aWhich == 1) {
       copy.mSourceBackFor = from->mRoster.RegainedFor(mNow);
     }
-    if (!from->mLargeCopies.Gives(static_cast<std::size_t>(copy.mBytesLeft),
-                                  mNow)) {
-      aOne.mRequests.OnPutOff();
-    } else if (copy.mBytesLeft <= kMostCopyBytes) {
+    if (!from->mCopyLimiter.TryAdmit(static_cast<std::size_t>(copy.mBytesLeft),
+                                     mNow)) {
+      aOne.mRequests.OnDeclined();
+    } else if (copy.mBytesLeft <= kMaxCopyBytes) {
       aOne.mCopies.push_back(std::move(copy));
     }
   }
 
-  static known_revisions Known(const instance& aOne)
+  static known_revisions KnownRevisions(const instance& aOne)
   {
-    return { aOne.mLinks[0].mMirror.At(), aOne.mLinks[1].mMirror.At() };
+    return { aOne.mSubscriptions[0].mMirror.At(),
+             aOne.mSubscriptions[1].mMirror.At() };
   }
 
-  instance* Reached(const instance& aFrom, const std::string& aAddress)
+  instance* FindReachable(const instance& aFrom, const std::string& aAddress)
   {
     const auto found =
       std::ranges::find(mInstances, aAddress, &instance::mAddress);
     if (found == mInstances.end()) {
       return nullptr;
     }
-    const bool cut = mCutDomain && mNow >= mCutFrom &&
-                     (found->mDomainIndex == *mCutDomain) !=
-                       (aFrom.mDomainIndex == *mCutDomain);
-    return cut || Stopped(*found) ? nullptr : &*found;
+    const bool isolated = mIsolatedDomain && mNow >= mIsolatedFrom &&
+                          (found->mDomainIndex == *mIsolatedDomain) !=
+                            (aFrom.mDomainIndex == *mIsolatedDomain);
+    return isolated || Stopped(*found) ? nullptr : &*found;
   }
 
-  void Tell(instance& aOne, const std::vector<std::string>& aTo, bool aAsk)
+  void SendHello(instance& aOne,
+                 const std::vector<std::string>& aTo,
+                 bool aWantsAnswer)
   {
     relay_hello hello = BriefHello(aOne);
     hello.mBrief = false;
-    hello.mPeers = aOne.mPeers->SomePeers();
-    hello.mWantsAnswer = aAsk;
+    hello.mPeers = aOne.mPeers->SamplePeers();
+    hello.mWantsAnswer = aWantsAnswer;
     Send(aOne, hello, aTo);
   }
 
-  void TellBriefly(instance& aOne, const std::vector<std::string>& aTo)
+  void SendBriefHello(instance& aOne, const std::vector<std::string>& aTo)
   {
     Send(aOne, BriefHello(aOne), aTo);
   }
@@ -570,10 +601,11 @@
     hello.mBrief = true;
     hello.mAddress = aOne.mAddress;
     hello.mDomain = aOne.mDomain;
-    hello.mKnown = aOne.mPeers->AllReadHere()
-                     ? Known(aOne)
-                     : known_revisions{ aOne.mLinks[0].mMirror.ChangedAt(),
-                                        aOne.mLinks[1].mMirror.ChangedAt() };
+    hello.mRevisions =
+      aOne.mPeers->AllReadInDomain()
+        ? KnownRevisions(aOne)
+        : known_revisions{ aOne.mSubscriptions[0].mMirror.ChangedAt(),
+                           aOne.mSubscriptions[1].mMirror.ChangedAt() };
     hello.mSourceFails = mNow < aOne.mSourceFailsUntil;
     if (const auto answered = SourceAnswered(aOne)) {
       hello.mSourceAnswerAge = mNow - *answered;
@@ -586,99 +618,100 @@
             const std::vector<std::string>& aTo)
   {
     for (const std::string& each : aTo) {
-      instance* const to = Reached(aOne, each);
-      if (to == nullptr || Lost()) {
+      instance* const to = FindReachable(aOne, each);
+      if (to == nullptr || IsDropped()) {
         continue;
       }
-      if (const auto back = to->mPeers->OnHello(aHello, mNow)) {
-        TellBriefly(*to, { *back });
+      if (const auto replyTo = to->mPeers->OnHello(aHello, mNow)) {
+        SendBriefHello(*to, { *replyTo });
       }
     }
   }
 
-  bool Lost()
+  bool IsDropped()
   {
-    return std::uniform_real_distribution<double>(0, 1)(mRandom) < mShape.mLoss;
+    return std::uniform_real_distribution<double>(0, 1)(mRandom) <
+           mShape.mLossRate;
   }
 
-  void TakeCopies(instance& aOne)
+  void ProcessCopies(instance& aOne)
   {
-    std::vector<copy_on_its_way> came;
-    std::erase_if(aOne.mCopies, [&](copy_on_its_way& aCopy) {
-      if (Begun(aCopy) && Reached(aOne, aCopy.mFrom) != nullptr) {
+    std::vector<pending_copy> complete;
+    std::erase_if(aOne.mCopies, [&](pending_copy& aCopy) {
+      if (HasStarted(aCopy) && FindReachable(aOne, aCopy.mFrom) != nullptr) {
         aCopy.mLastBytes = mNow;
         aOne.mRequests.OnBytes(WhichOf(aCopy), mNow);
       }
-      const bool whole = aCopy.mLastBytes == mNow && aCopy.mBytesLeft <= 0;
-      const bool late =
-        mNow - std::max(aCopy.mAskedAt, aCopy.mLastBytes) >= kCopyLimit;
-      if (whole || late) {
+      const bool isComplete = aCopy.mLastBytes == mNow && aCopy.mBytesLeft <= 0;
+      const bool timedOut =
+        mNow - std::max(aCopy.mAskedAt, aCopy.mLastBytes) >= kCopyTimeout;
+      if (isComplete || timedOut) {
         aOne.mRequests.OnEnded(WhichOf(aCopy));
       }
-      if (whole) {
-        came.push_back(std::move(aCopy));
+      if (isComplete) {
+        complete.push_back(std::move(aCopy));
       }
-      return whole || late;
+      return isComplete || timedOut;
     });
-    for (const copy_on_its_way& each : came) {
-      TakeCopy(aOne, each);
+    for (const pending_copy& each : complete) {
+      ApplyCopy(aOne, each);
     }
   }
 
-  static copied_items WhichOf(const copy_on_its_way& aCopy)
+  static copied_items WhichOf(const pending_copy& aCopy)
   {
     return aCopy.mWhich == 0 ? copied_items::kConfiguration
                              : copied_items::kEndpoints;
   }
 
-  void TakeCopy(instance& aTo, const copy_on_its_way& aCopy)
+  void ApplyCopy(instance& aTo, const pending_copy& aCopy)
   {
-    link& link = aTo.mLinks[aCopy.mWhich];
-    if (aCopy.mSourceBackFor && !aTo.mAsksSource) {
+    subscription& subscription = aTo.mSubscriptions[aCopy.mWhich];
+    if (aCopy.mSourceBackFor && !aTo.mFollowsSource) {
       aTo.mRoster.OnToldRegained(mNow - *aCopy.mSourceBackFor);
     }
-    if (aCopy.mAt <= link.mMirror.At()) {
+    if (aCopy.mAt <= subscription.mMirror.At()) {
       return;
     }
-    const auto taken =
-      aCopy.mItems
-        ? link.mMirror.OnListing(*aCopy.mItems, aCopy.mAt)
-        : link.mMirror.OnPeerChanges(aCopy.mChanges, aCopy.mAsked, aCopy.mAt);
-    Apply(aTo, link.mWhich, taken);
-    if (!taken.empty()) {
-      Doubt(link, watch_doubt::kPeerKnewFirst);
-      TellBriefly(aTo, aTo.mPeers->OnNews());
+    const auto applied =
+      aCopy.mItems ? subscription.mMirror.OnListing(*aCopy.mItems, aCopy.mAt)
+                   : subscription.mMirror.OnPeerChanges(
+                       aCopy.mChanges, aCopy.mAfter, aCopy.mAt);
+    Apply(aTo, subscription.mWhich, applied);
+    if (!applied.empty()) {
+      Suspect(subscription, watch_doubt::kPeerKnewFirst);
+      SendBriefHello(aTo, aTo.mPeers->OnNewRevision());
     }
   }
 
-  static std::uint64_t Holds(const instance& aOne)
+  static std::uint64_t ConfigurationRevision(const instance& aOne)
   {
-    const auto items = aOne.mLinks[0].mMirror.Items();
+    const auto items = aOne.mSubscriptions[0].mMirror.Items();
     return items.empty() ? 0 : items.front().mRevision;
   }
 
-  void NoteHeld()
+  void UpdateApplied()
   {
     for (source_change& each : mSource.Changes()) {
-      if (!each.mHeldByAll && HeldByAll(each)) {
-        each.mHeldByAll = mNow;
+      if (!each.mAppliedEverywhereAt && IsAppliedEverywhere(each)) {
+        each.mAppliedEverywhereAt = mNow;
       }
     }
   }
 
-  bool HeldByAll(const source_change& aChange) const
+  bool IsAppliedEverywhere(const source_change& aChange) const
   {
     return std::ranges::all_of(mInstances, [&](const instance& aOne) {
-      return Stopped(aOne) || HeldBy(aOne, aChange);
+      return Stopped(aOne) || HasApplied(aOne, aChange);
     });
   }
 
-  static bool HeldBy(const instance& aOne, const source_change& aChange)
+  static bool HasApplied(const instance& aOne, const source_change& aChange)
   {
     if (aChange.mRemoved) {
       return !aOne.mRoster.Counts(endpoint_name(aChange.mKey));
     }
-    return Holds(aOne) >= aChange.mRevision;
+    return ConfigurationRevision(aOne) >= aChange.mRevision;
   }
 
   fleet_shape mShape;
@@ -686,8 +719,8 @@
   time_point mStart = time_point() + Seconds(1'000);
   time_point mNow = mStart;
   silent_source mSource;
-  std::optional<int> mCutDomain;
-  time_point mCutFrom{};
+  std::optional<int> mIsolatedDomain;
+  time_point mIsolatedFrom{};
   std::vector<instance> mInstances;
   std::size_t mCalls = 0;
 };
--- a/thornhollow/fleet/testing/slot_engine.h
+++ b/thornhollow/fleet/testing/slot_engine.h
@@ -2,7 +2,7 @@
 // chunks between the tokens of its streams, in virtual time.
 //
 //   slot_engine engine(engine_shape{});
-//   engine.Put({ .mId = 7, .mRank = 2, .mToRead = 6'000, .mTokens = 385 });
+//   engine.TrySubmit({ .mId = 7, .mPriority = 2, .mPrefillTokens = 6'000 });
 //   for (const engine_event& each : engine.Step(Milliseconds(5), now)) { ... }
 //
 #ifndef THORNHOLLOW_FLEET_TESTING_SLOT_ENGINE_H_
@@ -22,15 +22,15 @@
   // Requests that it runs at a time; the others wait, the urgent ones first.
   std::size_t mSlots = 12;
   // Refused beyond so many that wait.
-  std::size_t mQueue = 25;
-  double mReadPerSecond = 66'200;
+  std::size_t mMaxWaiting = 25;
+  double mPrefillTokensPerSecond = 66'200;
   // A chunk of a prompt is read between two tokens of all streams.
   double mChunkTokens = 2'048;
   // Between two tokens of a stream, and more for each request beside it.
   double mStepSeconds = 0.0045;
-  double mStepSecondsForEach = 0.00003;
+  double mStepSecondsPerRequest = 0.00003;
   // Tokens of one event.
-  double mTokensOfEvent = 7;
+  double mTokensPerEvent = 7;
 
   friend bool operator==(const engine_shape&, const engine_shape&) = default;
 };
@@ -39,14 +39,14 @@
 {
   std::uint64_t mId = 0;
   // 0 is admitted first.
-  std::uint32_t mRank = 0;
-  double mToRead = 0;
-  double mTokens = 0;
+  std::uint32_t mPriority = 0;
+  double mPrefillTokens = 0;
+  double mAnswerTokens = 0;
   // What follows is the engine's own.
-  double mMade = 0;
-  double mTold = 0;
+  double mGenerated = 0;
+  double mReported = 0;
   time_point mLastEvent{};
-  duration mLongestPause{};
+  duration mMaxPause{};
 };
 
 enum class engine_event_kind : std::uint8_t
@@ -60,7 +60,7 @@
   engine_event_kind mKind{};
   std::uint64_t mId = 0;
   // Of a stream that ended.
-  duration mLongestPause{};
+  duration mMaxPause{};
 
   friend bool operator==(const engine_event&, const engine_event&) = default;
 };
@@ -74,13 +74,13 @@
   }
 
   // False: it is full, and the request doesn't run.
-  bool Put(const engine_request& aRequest)
+  bool TrySubmit(const engine_request& aRequest)
   {
-    if (mWaiting.size() >= mShape.mQueue) {
+    if (mWaiting.size() >= mShape.mMaxWaiting) {
       return false;
     }
     const auto after = std::ranges::upper_bound(
-      mWaiting, aRequest.mRank, {}, &engine_request::mRank);
+      mWaiting, aRequest.mPriority, {}, &engine_request::mPriority);
     mWaiting.insert(after, aRequest);
     return true;
   }
@@ -88,47 +88,49 @@
   // The caller left.
   void Cancel(std::uint64_t aId)
   {
-    const auto its = [aId](const engine_request& aOne) {
+    const auto matches = [aId](const engine_request& aOne) {
       return aOne.mId == aId;
     };
-    std::erase_if(mWaiting, its);
-    std::erase_if(mRunning, its);
+    std::erase_if(mWaiting, matches);
+    std::erase_if(mRunning, matches);
   }
 
-  std::vector<engine_event> Step(duration aLength, time_point aNow)
+  std::vector<engine_event> Step(duration aDuration, time_point aNow)
   {
     while (mRunning.size() < mShape.mSlots && !mWaiting.empty()) {
       mRunning.push_back(mWaiting.front());
       mWaiting.erase(mWaiting.begin());
     }
     std::vector<engine_event> events;
-    const double seconds = ToSeconds(aLength);
-    const bool reads = Read(seconds * mShape.mReadPerSecond);
+    const double seconds = ToSeconds(aDuration);
+    const bool prefilling = Prefill(seconds * mShape.mPrefillTokensPerSecond);
     const double step =
-      reads ? mShape.mChunkTokens / mShape.mReadPerSecond
-            : mShape.mStepSeconds + mShape.mStepSecondsForEach *
-                                      static_cast<double>(mRunning.size());
+      prefilling ? mShape.mChunkTokens / mShape.mPrefillTokensPerSecond
+                 : mShape.mStepSeconds + mShape.mStepSecondsPerRequest *
+                                           static_cast<double>(mRunning.size());
     for (engine_request& each : mRunning) {
-      if (each.mToRead <= 0) {
+      if (each.mPrefillTokens <= 0) {
         Stream(each, seconds / step, aNow, events);
       }
     }
     std::erase_if(mRunning, [](const engine_request& aOne) {
-      return aOne.mMade >= aOne.mTokens;
+      return aOne.mGenerated >= aOne.mAnswerTokens;
     });
     return events;
   }
 
 private:
   // Whether there was something to read. One prompt after the other.
-  bool Read(double aTokens)
+  bool Prefill(double aTokens)
   {
-    const auto first = std::ranges::find_if(
-      mRunning, [](const engine_request& aOne) { return aOne.mToRead > 0; });
+    const auto first =
+      std::ranges::find_if(mRunning, [](const engine_request& aOne) {
+        return aOne.mPrefillTokens > 0;
+      });
     if (first == mRunning.end()) {
       return false;
     }
-    first->mToRead -= aTokens;
+    first->mPrefillTokens -= aTokens;
     return true;
   }
 
@@ -137,22 +139,22 @@
               time_point aNow,
               std::vector<engine_event>& aEvents) const
   {
-    const bool begun = aOne.mMade > 0;
-    aOne.mMade += aTokens;
-    const bool ends = aOne.mMade >= aOne.mTokens;
-    if (!begun) {
+    const bool started = aOne.mGenerated > 0;
+    aOne.mGenerated += aTokens;
+    const bool ends = aOne.mGenerated >= aOne.mAnswerTokens;
+    if (!started) {
       aEvents.push_back({ engine_event_kind::kFirstEvent, aOne.mId, {} });
       aOne.mLastEvent = aNow;
-      aOne.mTold = aOne.mMade;
-    } else if (ends || aOne.mMade - aOne.mTold >= mShape.mTokensOfEvent) {
-      aOne.mLongestPause =
-        std::max<duration>(aOne.mLongestPause, aNow - aOne.mLastEvent);
+      aOne.mReported = aOne.mGenerated;
+    } else if (ends ||
+               aOne.mGenerated - aOne.mReported >= mShape.mTokensPerEvent) {
+      aOne.mMaxPause =
+        std::max<duration>(aOne.mMaxPause, aNow - aOne.mLastEvent);
       aOne.mLastEvent = aNow;
-      aOne.mTold = aOne.mMade;
+      aOne.mReported = aOne.mGenerated;
     }
     if (ends) {
-      aEvents.push_back(
-        { engine_event_kind::kEnd, aOne.mId, aOne.mLongestPause });
+      aEvents.push_back({ engine_event_kind::kEnd, aOne.mId, aOne.mMaxPause });
     }
   }
 
--- a/thornhollow/wire/relay_codec.cc
+++ b/thornhollow/wire/relay_codec.cc
@@ -137,7 +137,7 @@
 }
 
 wire::summed_views
-Told(const summed_views& aSums)
+Told(const aggregated_views& aSums)
 {
   wire::summed_views told;
   told.__set_instances(static_cast<std::int32_t>(aSums.mInstances));
@@ -148,10 +148,10 @@
   return told;
 }
 
-summed_views
+aggregated_views
 Heard(const wire::summed_views& aTold)
 {
-  summed_views sums;
+  aggregated_views sums;
   sums.mInstances = static_cast<std::size_t>(
     std::clamp<double>(aTold.instances, 0, kMostInstances));
   for (const wire::pool_demand& each : aTold.demand) {
@@ -163,16 +163,16 @@
 }
 
 wire::told_sums
-Told(const told_sums& aSums)
+Told(const aggregation_message& aSums)
 {
   wire::told_sums told;
   told.__set_level(static_cast<std::int32_t>(aSums.mLevel));
-  told.__set_run(Told(aSums.mRun));
-  told.__set_rest(Told(aSums.mRest));
+  told.__set_run(Told(aSums.mBlock));
+  told.__set_rest(Told(aSums.mRemainder));
   return told;
 }
 
-told_sums
+aggregation_message
 Heard(const wire::told_sums& aTold)
 {
   return { static_cast<std::size_t>(std::max(aTold.level, 0)),
@@ -257,17 +257,17 @@
   wire::relay_hello out;
   out.__set_address(aHello.mAddress);
   out.__set_domain(aHello.mDomain.Text());
-  out.__set_configuration_at(Signed(aHello.mKnown.mConfiguration));
-  out.__set_endpoints_at(Signed(aHello.mKnown.mEndpoints));
+  out.__set_configuration_at(Signed(aHello.mRevisions.mConfiguration));
+  out.__set_endpoints_at(Signed(aHello.mRevisions.mEndpoints));
   out.__set_peers(aHello.mPeers);
-  for (const endpoint_work& each : aHello.mWork) {
+  for (const reported_load& each : aHello.mLoads) {
     wire::endpoint_work work;
     work.__set_endpoint(static_cast<std::int32_t>(each.mEndpoint));
-    work.__set_to_read(Signed(each.mToRead));
-    work.__set_pace_ns(
-      static_cast<std::int32_t>(std::min(each.mPace, kSlowestPace)));
+    work.__set_to_read(Signed(each.mPrefillTokens));
+    work.__set_pace_ns(static_cast<std::int32_t>(
+      std::min(each.mPrefillNanoseconds, kSlowestPace)));
     work.__set_open(static_cast<std::int32_t>(
-      std::min<std::uint32_t>(each.mOpen, kMostOpen)));
+      std::min<std::uint32_t>(each.mInFlight, kMostOpen)));
     out.work.push_back(work);
   }
   out.__isset.work = true;
@@ -278,8 +278,8 @@
   out.__set_wants_answer(aHello.mWantsAnswer);
   out.__set_source_fails(aHello.mSourceFails);
   out.__set_brief(aHello.mBrief);
-  if (aHello.mSums) {
-    out.__set_sums(Told(*aHello.mSums));
+  if (aHello.mAggregation) {
+    out.__set_sums(Told(*aHello.mAggregation));
   }
   if (aHello.mLinkMegabits > 0) {
     out.__set_link_megabits(static_cast<std::int32_t>(
@@ -303,18 +303,20 @@
   relay_hello hello;
   hello.mAddress = in->address;
   hello.mDomain = domain_name(in->domain);
-  hello.mKnown = { Unsigned(in->configuration_at), Unsigned(in->endpoints_at) };
+  hello.mRevisions = { Unsigned(in->configuration_at),
+                       Unsigned(in->endpoints_at) };
   for (const std::string& each : in->peers) {
     if (each.size() <= kMaxTextBytes) {
       hello.mPeers.push_back(each);
     }
   }
   for (const wire::endpoint_work& each : in->work) {
-    hello.mWork.push_back({ static_cast<std::uint32_t>(each.endpoint),
-                            Unsigned(each.to_read),
-                            Sane(each.pace_ns),
-                            static_cast<std::uint32_t>(std::clamp<std::int32_t>(
-                              each.open, 0, kMostOpen)) });
+    hello.mLoads.push_back(
+      { static_cast<std::uint32_t>(each.endpoint),
+        Unsigned(each.to_read),
+        Sane(each.pace_ns),
+        static_cast<std::uint32_t>(
+          std::clamp<std::int32_t>(each.open, 0, kMostOpen)) });
   }
   for (const wire::pool_demand& each : in->demand) {
     if (each.pool.size() <= kMaxTextBytes) {
@@ -325,7 +327,7 @@
   hello.mSourceFails = in->source_fails;
   hello.mBrief = in->brief;
   if (in->__isset.sums) {
-    hello.mSums = Heard(in->sums);
+    hello.mAggregation = Heard(in->sums);
   }
   if (in->__isset.link_megabits) {
     hello.mLinkMegabits =
--- a/thornhollow/wire/relay_codec_test.cc
+++ b/thornhollow/wire/relay_codec_test.cc
@@ -17,9 +17,9 @@
   relay_hello hello;
   hello.mAddress = "10.0.0.1:7";
   hello.mDomain = domain_name("hall");
-  hello.mKnown = { 12, 34 };
+  hello.mRevisions = { 12, 34 };
   hello.mPeers = { "10.0.0.2:7" };
-  hello.mWork = { { 0xfedcba98, 1200, 15000, 7 } };
+  hello.mLoads = { { 0xfedcba98, 1200, 15000, 7 } };
   hello.mDemand = { { pool_name("engines"),
                       { { { kNote, 41.25, 30'000, 30'000 * 800.0, 92 },
                           { kPlan, 12.5, 110'000, 110'000 * 9'000.0, 21 } },
@@ -58,7 +58,7 @@
   demand.push_back({ { Seconds(3), Seconds(2) }, 300, 3e6, 3e6 * 40'000, 900 });
   // What an instance sends at most (relay_peer_link.cc); CAPACITY.md counts on
   // it.
-  hello.mWork.assign(44, { 0x7edcba98, 200'000, 30'000, 64 });
+  hello.mLoads.assign(44, { 0x7edcba98, 200'000, 30'000, 64 });
   CHECK(EncodeHello(hello).size() <= 1100);
 }
 
@@ -76,12 +76,13 @@
   hello.mBrief = true;
   hello.mAddress = "255.255.255.255:65535";
   hello.mDomain = domain_name("a-failure-domain");
-  const summed_views sums{ 128, { { pool_name("a-pool-of-engines"), view } } };
-  hello.mSums = { 7, sums, sums };
+  const aggregated_views sums{ 128,
+                               { { pool_name("a-pool-of-engines"), view } } };
+  hello.mAggregation = { 7, sums, sums };
   CHECK(EncodeHello(hello).size() <= 280);
   const auto result = DecodeHello(EncodeHello(hello));
   REQUIRE(result.has_value());
-  CHECK(result->mSums == hello.mSums);
+  CHECK(result->mAggregation == hello.mAggregation);
 }
 
 // A reader tells 38 others of its domain each second; CAPACITY.md counts on it.
@@ -91,7 +92,7 @@
   hello.mBrief = true;
   hello.mAddress = "255.255.255.255:65535";
   hello.mDomain = domain_name("a-failure-domain");
-  hello.mKnown = { 1'000'000, 1'000'000 };
+  hello.mRevisions = { 1'000'000, 1'000'000 };
   hello.mSourceFails = true;
   hello.mSourceAnswerAge = Milliseconds(1'250);
   hello.mLinkMegabits = 10'000;
@@ -110,7 +111,7 @@
     }
     bytes.resize(random() % (bytes.size() + 1));
     if (const auto hello = DecodeHello(bytes)) {
-      CHECK(hello->mWork.size() <= 128);
+      CHECK(hello->mLoads.size() <= 128);
       for (const pool_demand& each : hello->mDemand) {
         CHECK(each.mView.mReadSum >= 0);
         CHECK(each.mView.mDemand.size() <= 128);
