--- a/thornhollow/daemon/control_plane.cc
+++ b/thornhollow/daemon/control_plane.cc
@@ -292,7 +292,7 @@
     mLink.Ask(
       aPeer,
       aRequest,
-      key_claim_settings{}.mAskTimeout,
+      key_claim_settings{}.mRequestTimeout,
       [done = std::move(aDone)](const std::optional<stream_message>& aAnswer) {
         const auto* claim = AnswerAs<claim_answer>(aAnswer);
         done(claim == nullptr ? std::nullopt : std::optional(*claim));
--- a/thornhollow/daemon/daemon.cc
+++ b/thornhollow/daemon/daemon.cc
@@ -159,8 +159,10 @@
     listener.mEndpointState = [this](const endpoint_state_change& aChange) {
       mRouter.OnEndpointState(aChange.mEndpoint, aChange.mState);
     };
-    listener.mKeys.mRun = [this](submission aOne) { mRouter.OnKeyRun(aOne); };
-    listener.mKeys.mRefused = [this](submission aOne, error_kind aKind) {
+    listener.mKeys.mRun = [this](submission_id aOne) {
+      mRouter.OnKeyRun(aOne);
+    };
+    listener.mKeys.mRefused = [this](submission_id aOne, error_kind aKind) {
       mRouter.OnKeyRefused(aOne, aKind);
     };
     listener.mRouters = [this](const std::vector<instance_name>& aRouters) {
--- a/thornhollow/daemon/key_gate.cc
+++ b/thornhollow/daemon/key_gate.cc
@@ -34,7 +34,7 @@
   void Stop() { mStopped = true; }
 
 private:
-  void Carry(const ask_witness& aAction)
+  void Carry(const request_grant& aAction)
   {
     if (aAction.mTo == mSelf) {
       Apply(
@@ -51,7 +51,7 @@
          });
   }
 
-  void OnOutcome(const ask_witness& aAsked,
+  void OnOutcome(const request_grant& aAsked,
                  const std::optional<claim_answer>& aAnswer)
   {
     // An answer in another witness's name would let one vouch for all.
@@ -62,11 +62,11 @@
     }
   }
 
-  void Carry(const tell_witness& aAction)
+  void Carry(const notify_witness& aAction)
   {
     if (aAction.mTo == mSelf) {
       mWitness.OnRequest(aAction.mRequest, Now());
-      mHolder.OnTold(mSelf, aAction.mRequest);
+      mHolder.OnNotified(mSelf, aAction.mRequest);
       return;
     }
     mAsk(aAction.mTo,
@@ -76,14 +76,17 @@
            const auto self = weak.lock();
            if (self && !self->mStopped && aAnswer &&
                aAnswer->mWitness == told.mTo) {
-             self->mHolder.OnTold(told.mTo, told.mRequest);
+             self->mHolder.OnNotified(told.mTo, told.mRequest);
            }
          });
   }
 
-  void Carry(const run_key& aAction) { mListener.mRun(aAction.mSubmission); }
+  void Carry(const run_submission& aAction)
+  {
+    mListener.mRun(aAction.mSubmission);
+  }
 
-  void Carry(const refuse_key& aAction)
+  void Carry(const refuse_submission& aAction)
   {
     mListener.mRefused(aAction.mSubmission, aAction.mKind);
   }
@@ -120,7 +123,7 @@
 }
 
 void
-key_gate::Submit(submission aSubmission,
+key_gate::Submit(submission_id aSubmission,
                  const team_name& aTeam,
                  std::string_view aIdempotencyKey,
                  std::uint64_t aFingerprint)
@@ -130,13 +133,13 @@
 }
 
 void
-key_gate::BeforeSend(submission aSubmission)
+key_gate::BeforeSend(submission_id aSubmission)
 {
   mCore->Apply(mCore->Holder().BeforeSend(aSubmission, Now()));
 }
 
 void
-key_gate::OnEnded(submission aSubmission, ran aRan)
+key_gate::OnEnded(submission_id aSubmission, ran aRan)
 {
   mCore->Apply(mCore->Holder().OnEnded(aSubmission, aRan, Now()));
 }
--- a/thornhollow/daemon/key_gate.h
+++ b/thornhollow/daemon/key_gate.h
@@ -34,8 +34,8 @@
 {
   // The submission may be sent now. Called from within `Submit` and
   // `BeforeSend`, or later.
-  std::function<void(submission)> mRun;
-  std::function<void(submission, error_kind)> mRefused;
+  std::function<void(submission_id)> mRun;
+  std::function<void(submission_id, error_kind)> mRefused;
 };
 
 class key_gate
@@ -52,12 +52,12 @@
   // The declared domains and the platform's list of instances.
   void OnView(const claim_view& aView);
 
-  void Submit(submission aSubmission,
+  void Submit(submission_id aSubmission,
               const team_name& aTeam,
               std::string_view aIdempotencyKey,
               std::uint64_t aFingerprint);
-  void BeforeSend(submission aSubmission);
-  void OnEnded(submission aSubmission, ran aRan);
+  void BeforeSend(submission_id aSubmission);
+  void OnEnded(submission_id aSubmission, ran aRan);
 
   // A peer's claim.
   claim_answer OnPeerClaim(const claim_request& aRequest);
--- a/thornhollow/fleet/key_claims.h
+++ b/thornhollow/fleet/key_claims.h
@@ -35,7 +35,7 @@
   duration mViewLag = Seconds(30);
   // For each of the two rounds. A witness answers within a few milliseconds, in
   // another region within a hundred or two, or not at all.
-  duration mAskTimeout = Milliseconds(300);
+  duration mRequestTimeout = Milliseconds(300);
   // A longer time between two calls is a pause of this process.
   duration mClockGap = Seconds(2);
   // Witnesses of a key. Three: two may be lost within a key's lifetime.
--- a/thornhollow/fleet/key_claims_test.cc
+++ b/thornhollow/fleet/key_claims_test.cc
@@ -15,12 +15,12 @@
 
   key_fleet() { mFleet.Start(5); }
 
-  std::optional<error_kind> Refused(std::size_t aSubmission) const
+  std::optional<error_kind> RefusalOf(std::size_t aSubmission) const
   {
     return mFleet.At(aSubmission).mRefused;
   }
 
-  std::size_t NotAWitness() const
+  std::size_t NonWitnessNode() const
   {
     const auto witnesses = mFleet.WitnessNodes(kKey);
     std::size_t node = 0;
@@ -38,7 +38,7 @@
   CHECK(mFleet.Runs(kKey) == 1);
   // Each of three witnesses is asked and told the end; no more than that, or
   // the claims of a busy fleet's peak would exceed the budget for control.
-  CHECK(mFleet.Exchanges() == 6);
+  CHECK(mFleet.RequestsSent() == 6);
 }
 
 TEST_CASE_FIXTURE(key_fleet, "key/both_submissions_at_once/exactly_one_runs")
@@ -61,7 +61,7 @@
   mFleet.Submit(0, kKey);
   const auto second = mFleet.Submit(0, kKey);
   mFleet.RunFor(Seconds(3));
-  CHECK(Refused(second) == error_kind::kKeyHeldElsewhere);
+  CHECK(RefusalOf(second) == error_kind::kKeyHeldElsewhere);
   CHECK(mFleet.Runs(kKey) == 1);
 }
 
@@ -72,8 +72,8 @@
   const auto same = mFleet.Submit(0, kKey);
   const auto other = mFleet.Submit(3, kKey);
   mFleet.RunFor(Seconds(3));
-  CHECK(Refused(same) == error_kind::kKeyAlreadyUsed);
-  CHECK(Refused(other) == error_kind::kKeyAlreadyUsed);
+  CHECK(RefusalOf(same) == error_kind::kKeyAlreadyUsed);
+  CHECK(RefusalOf(other) == error_kind::kKeyAlreadyUsed);
 }
 
 TEST_CASE_FIXTURE(key_fleet, "key/end_not_heard_and_sent_again/runs_once")
@@ -82,15 +82,15 @@
   // ended. Later the caller's second try reaches the same daemon. The witnesses
   // still know it as the holder, and a grant to the process instead of the
   // submission would run the order twice. Found by key_search, seed 2367.
-  const std::size_t holder = NotAWitness();
+  const std::size_t holder = NonWitnessNode();
   mFleet.Submit(holder, kKey);
   mFleet.RunFor(Milliseconds(600));
   REQUIRE(mFleet.Runs(kKey) == 1);
-  mFleet.CutOff(holder, Milliseconds(600));
+  mFleet.Isolate(holder, Milliseconds(600));
   mFleet.RunFor(Milliseconds(700));
   const auto again = mFleet.Submit(holder, kKey);
   mFleet.RunFor(Milliseconds(600));
-  CHECK(Refused(again).has_value());
+  CHECK(RefusalOf(again).has_value());
   CHECK(mFleet.Runs(kKey) == 1);
 }
 
@@ -101,8 +101,8 @@
   mFleet.RunFor(Seconds(3));
   const auto later = mFleet.Submit(3, kKey, 2);
   mFleet.RunFor(Seconds(3));
-  CHECK(Refused(here) == error_kind::kKeyOfOtherRequest);
-  CHECK(Refused(later) == error_kind::kKeyOfOtherRequest);
+  CHECK(RefusalOf(here) == error_kind::kKeyOfOtherRequest);
+  CHECK(RefusalOf(later) == error_kind::kKeyOfOtherRequest);
 }
 
 TEST_CASE_FIXTURE(key_fleet, "key/holder_killed/later_ones_are_held")
@@ -117,8 +117,8 @@
   const auto same = mFleet.Submit(0, kKey);
   const auto other = mFleet.Submit(2, kKey);
   mFleet.RunFor(Seconds(3));
-  CHECK(Refused(same) == error_kind::kKeyHeldElsewhere);
-  CHECK(Refused(other) == error_kind::kKeyHeldElsewhere);
+  CHECK(RefusalOf(same) == error_kind::kKeyHeldElsewhere);
+  CHECK(RefusalOf(other) == error_kind::kKeyHeldElsewhere);
   CHECK(mFleet.Runs(kKey) == 1);
 }
 
@@ -126,7 +126,7 @@
 {
   // A daemon gets its grants and is paused before it sends. It wakes after the
   // witnesses forgot the key and another daemon ran the order.
-  mFleet.mLongestWait = Milliseconds(0);
+  mFleet.mMaxSendDelay = Milliseconds(0);
   const auto first = mFleet.Submit(0, kKey);
   mFleet.RunFor(Milliseconds(2));
   mFleet.Pause(0, Seconds(90));
@@ -142,7 +142,7 @@
   // An order runs for longer than a key lives, and its daemon stops for three
   // seconds meanwhile. Without renewals after that, the witnesses would forget
   // the key and a second submission would run beside the first.
-  mFleet.mRunLength = Seconds(300);
+  mFleet.mRunDuration = Seconds(300);
   mFleet.Submit(0, kKey);
   mFleet.RunFor(Seconds(5));
   REQUIRE(mFleet.Runs(kKey) == 1);
@@ -150,18 +150,18 @@
   mFleet.RunFor(Seconds(150));
   const auto second = mFleet.Submit(1, kKey);
   mFleet.RunFor(Seconds(2));
-  CHECK(Refused(second) == error_kind::kKeyHeldElsewhere);
+  CHECK(RefusalOf(second) == error_kind::kKeyHeldElsewhere);
   CHECK(mFleet.Runs(kKey) == 1);
 }
 
 TEST_CASE_FIXTURE(key_fleet, "key/cut_off_from_witnesses/says_not_run")
 {
-  const std::size_t outside = NotAWitness();
-  mFleet.CutOff(outside, Seconds(20));
+  const std::size_t outside = NonWitnessNode();
+  mFleet.Isolate(outside, Seconds(20));
   const auto first = mFleet.Submit(outside, kKey);
   mFleet.RunFor(Seconds(1));
-  CHECK(Refused(first) == error_kind::kKeyWitnessUnreachable);
-  CHECK(AnswerFor(*Refused(first)).mRan == ran::kNo);
+  CHECK(RefusalOf(first) == error_kind::kKeyWitnessUnreachable);
+  CHECK(AnswerFor(*RefusalOf(first)).mRan == ran::kNo);
   const auto second = mFleet.Submit(mFleet.WitnessNodes(kKey)[0], kKey);
   mFleet.RunFor(Seconds(2));
   CHECK(mFleet.At(second).mRan);
@@ -172,10 +172,10 @@
   // One of three witnesses doesn't answer: refused, "not run". The grants of
   // the other two must not block the caller's next try for a whole lifetime.
   const auto witnesses = mFleet.WitnessNodes(kKey);
-  mFleet.CutOff(witnesses[2], Seconds(5));
-  const auto first = mFleet.Submit(NotAWitness(), kKey);
+  mFleet.Isolate(witnesses[2], Seconds(5));
+  const auto first = mFleet.Submit(NonWitnessNode(), kKey);
   mFleet.RunFor(Seconds(6));
-  CHECK(Refused(first) == error_kind::kKeyWitnessUnreachable);
+  CHECK(RefusalOf(first) == error_kind::kKeyWitnessUnreachable);
   const auto second = mFleet.Submit(witnesses[0], kKey);
   mFleet.RunFor(Seconds(2));
   CHECK(mFleet.At(second).mRan);
@@ -184,14 +184,14 @@
 TEST_CASE_FIXTURE(key_fleet, "key/fewer_than_all_witnesses_replaced/runs_once")
 {
   const auto witnesses = mFleet.WitnessNodes(kKey);
-  mFleet.Submit(NotAWitness(), kKey);
+  mFleet.Submit(NonWitnessNode(), kKey);
   mFleet.RunFor(Seconds(2));
   mFleet.Restart(witnesses[0]);
   mFleet.Restart(witnesses[1]);
   mFleet.RunFor(Seconds(10));
-  const auto again = mFleet.Submit(NotAWitness(), kKey);
+  const auto again = mFleet.Submit(NonWitnessNode(), kKey);
   mFleet.RunFor(Seconds(2));
-  CHECK(Refused(again) == error_kind::kKeyAlreadyUsed);
+  CHECK(RefusalOf(again) == error_kind::kKeyAlreadyUsed);
 }
 
 TEST_CASE_FIXTURE(key_fleet,
@@ -201,19 +201,19 @@
   // the order ran; all would grant it. They refuse until no key from before can
   // be live.
   const auto witnesses = mFleet.WitnessNodes(kKey);
-  mFleet.Submit(NotAWitness(), kKey);
+  mFleet.Submit(NonWitnessNode(), kKey);
   // Past the last repetition of the end, which would tell the new ones.
   mFleet.RunFor(Seconds(35));
   for (const std::size_t each : witnesses) {
     mFleet.Restart(each);
   }
   mFleet.RunFor(Seconds(6));
-  const auto again = mFleet.Submit(NotAWitness(), kKey);
+  const auto again = mFleet.Submit(NonWitnessNode(), kKey);
   mFleet.RunFor(Seconds(2));
-  CHECK(Refused(again) == error_kind::kKeyWitnessUnreachable);
+  CHECK(RefusalOf(again) == error_kind::kKeyWitnessUnreachable);
   CHECK(mFleet.Runs(kKey) == 1);
   mFleet.RunFor(Seconds(90));
-  const auto other = mFleet.Submit(NotAWitness(), kKey + 1);
+  const auto other = mFleet.Submit(NonWitnessNode(), kKey + 1);
   mFleet.RunFor(Seconds(2));
   CHECK(mFleet.At(other).mRan);
 }
@@ -239,7 +239,7 @@
     claim_kind::kClaim, kKey, 1, {}, 1, 1, WitnessesOf(kKey, view(2, 2), 3)
   };
   CHECK(witness.OnRequest(request, time_point{}).mVerdict ==
-        claim_verdict::kViewDiffers);
+        claim_verdict::kViewMismatch);
   request.mWitnesses = WitnessesOf(kKey, view(1, 1), 3);
   CHECK(witness.OnRequest(request, time_point{}).mVerdict ==
         claim_verdict::kGranted);
@@ -256,22 +256,22 @@
   time_point now{};
   key_witness witness(settings, instance_name("a"), now);
   witness.OnView(view, now);
-  const auto ask = [&](claim_key aKey) {
+  const auto requestClaim = [&](claim_key aKey) {
     const claim_request request{ claim_kind::kClaim,    aKey, 1, {}, aKey, 1,
                                  { instance_name("a") } };
     return witness.OnRequest(request, now).mVerdict;
   };
   for (claim_key key = 1; key <= 100; ++key) {
-    CHECK(ask(key) == claim_verdict::kGranted);
+    CHECK(requestClaim(key) == claim_verdict::kGranted);
   }
-  CHECK(ask(101) == claim_verdict::kNoRoom);
+  CHECK(requestClaim(101) == claim_verdict::kCapacityExceeded);
   CHECK(witness.size() == 100);
   for (int second = 0; second < 600; ++second) {
     now += Seconds(1);
     witness.Tick(now);
   }
   CHECK(witness.size() == 0);
-  CHECK(ask(101) == claim_verdict::kGranted);
+  CHECK(requestClaim(101) == claim_verdict::kGranted);
 }
 
 TEST_CASE("key_witness/claim_after_its_own_release/is_not_granted")
--- a/thornhollow/fleet/key_holder.cc
+++ b/thornhollow/fleet/key_holder.cc
@@ -9,26 +9,26 @@
 
 // The end of a submission is told again after these: past a lost message, a
 // short pause of the witness and a longer one.
-constexpr std::array<duration, 3> kRepeatAfter = { Seconds(1),
-                                                   Seconds(5),
-                                                   Seconds(25) };
+constexpr std::array<duration, 3> kNotificationRetryDelays = { Seconds(1),
+                                                               Seconds(5),
+                                                               Seconds(25) };
 // Ends that wait for their repetition; at letter 1's 7.4 requests a second and
 // 31 seconds there are 230.
-constexpr std::size_t kMaxRepetitions = 4096;
+constexpr std::size_t kMaxPendingNotifications = 4096;
 
 error_kind
-KindOf(claim_verdict aVerdict)
+ErrorKindOf(claim_verdict aVerdict)
 {
   switch (aVerdict) {
     case claim_verdict::kHeld:
       return error_kind::kKeyHeldElsewhere;
     case claim_verdict::kUsed:
       return error_kind::kKeyAlreadyUsed;
-    case claim_verdict::kOtherRequest:
+    case claim_verdict::kFingerprintMismatch:
       return error_kind::kKeyOfOtherRequest;
     case claim_verdict::kGranted:
-    case claim_verdict::kViewDiffers:
-    case claim_verdict::kNoRoom:
+    case claim_verdict::kViewMismatch:
+    case claim_verdict::kCapacityExceeded:
       break;
   }
   return error_kind::kKeyWitnessUnreachable;
@@ -51,7 +51,7 @@
 void
 key_holder::OnView(const claim_view& aView, time_point aNow)
 {
-  Observe(aNow);
+  DetectPause(aNow);
   if (aView.mList.mVersion >= mLastListVersion) {
     mLastListVersion = aView.mList.mVersion;
     mView = aView;
@@ -59,24 +59,26 @@
 }
 
 key_actions
-key_holder::Submit(submission aSubmission,
+key_holder::Submit(submission_id aSubmission,
                    claim_key aKey,
                    std::uint64_t aFingerprint,
                    time_point aNow)
 {
   key_actions out;
-  Observe(aNow);
+  DetectPause(aNow);
   if (const auto found = mClaims.find(aKey); found != mClaims.end()) {
-    const bool same = found->second.mRequest.mFingerprint == aFingerprint;
-    out.emplace_back(refuse_key{ aSubmission,
-                                 same ? error_kind::kKeyHeldElsewhere
-                                      : error_kind::kKeyOfOtherRequest });
+    const bool sameRequest =
+      found->second.mRequest.mFingerprint == aFingerprint;
+    out.emplace_back(refuse_submission{ aSubmission,
+                                        sameRequest
+                                          ? error_kind::kKeyHeldElsewhere
+                                          : error_kind::kKeyOfOtherRequest });
     return out;
   }
   claim& added = mClaims[aKey];
-  mKeys[aSubmission] = aKey;
+  mKeyBySubmission[aSubmission] = aKey;
   added.mSubmission = aSubmission;
-  added.mSubmitted = aNow;
+  added.mSubmittedAt = aNow;
   added.mRequest.mKey = aKey;
   added.mRequest.mFingerprint = aFingerprint;
   added.mRequest.mHolder = mSelf;
@@ -86,23 +88,23 @@
 }
 
 key_actions
-key_holder::BeforeSend(submission aSubmission, time_point aNow)
+key_holder::BeforeSend(submission_id aSubmission, time_point aNow)
 {
   key_actions out;
-  Observe(aNow);
+  DetectPause(aNow);
   claim* const found = FindBySubmission(aSubmission);
   if (found == nullptr) {
     // Refused before; sending it now would break that promise.
     out.emplace_back(
-      refuse_key{ aSubmission, error_kind::kKeyWitnessUnreachable });
+      refuse_submission{ aSubmission, error_kind::kKeyWitnessUnreachable });
     return out;
   }
-  if (aNow - found->mSubmitted >= mSettings.mLifetime) {
+  if (aNow - found->mSubmittedAt >= mSettings.mLifetime) {
     Refuse(*found, error_kind::kKeyWitnessUnreachable, aNow, out);
   } else if (found->mHeld &&
-             aNow - found->mRoundStarted < mSettings.mLifetime / 2) {
-    out.emplace_back(run_key{ aSubmission });
-  } else if (found->mAwaited.empty()) {
+             aNow - found->mRoundStartedAt < mSettings.mLifetime / 2) {
+    out.emplace_back(run_submission{ aSubmission });
+  } else if (found->mPending.empty()) {
     StartRound(*found, aNow, out);
   }
   return out;
@@ -112,67 +114,69 @@
 key_holder::OnAnswer(const claim_answer& aAnswer, time_point aNow)
 {
   key_actions out;
-  Observe(aNow);
+  DetectPause(aNow);
   const auto found = mClaims.find(aAnswer.mKey);
   // Answers to an earlier round, and of witnesses that were not asked in this
   // one, say nothing about the present.
   if (found == mClaims.end() ||
       found->second.mRequest.mClaim != aAnswer.mClaim ||
       found->second.mRequest.mRound != aAnswer.mRound ||
-      !Contains(found->second.mAwaited, aAnswer.mWitness)) {
+      !Contains(found->second.mPending, aAnswer.mWitness)) {
     return out;
   }
-  claim& asked = found->second;
-  if (aNow - asked.mLastAsked >= mSettings.mAskTimeout) {
+  claim& pendingClaim = found->second;
+  if (aNow - pendingClaim.mLastRequestAt >= mSettings.mRequestTimeout) {
     // Read after a pause: the witness may have forgotten the grant by now.
-    Refuse(asked, error_kind::kKeyWitnessUnreachable, aNow, out);
+    Refuse(pendingClaim, error_kind::kKeyWitnessUnreachable, aNow, out);
   } else if (aAnswer.mVerdict == claim_verdict::kGranted) {
-    TakeGrant(asked, aAnswer, aNow, out);
+    OnGranted(pendingClaim, aAnswer, aNow, out);
   } else {
-    Refuse(asked, KindOf(aAnswer.mVerdict), aNow, out);
+    Refuse(pendingClaim, ErrorKindOf(aAnswer.mVerdict), aNow, out);
   }
   return out;
 }
 
 key_actions
 key_holder::OnUnreachable(const instance_name& aWitness,
-                          const claim_request& aAsked,
+                          const claim_request& aRequest,
                           time_point aNow)
 {
   key_actions out;
-  Observe(aNow);
-  const auto found = mClaims.find(aAsked.mKey);
+  DetectPause(aNow);
+  const auto found = mClaims.find(aRequest.mKey);
   if (found != mClaims.end() &&
-      found->second.mRequest.mClaim == aAsked.mClaim &&
-      found->second.mRequest.mRound == aAsked.mRound &&
-      Contains(found->second.mAwaited, aWitness)) {
+      found->second.mRequest.mClaim == aRequest.mClaim &&
+      found->second.mRequest.mRound == aRequest.mRound &&
+      Contains(found->second.mPending, aWitness)) {
     Refuse(found->second, error_kind::kKeyWitnessUnreachable, aNow, out);
   }
   return out;
 }
 
 void
-key_holder::OnTold(const instance_name& aWitness, const claim_request& aTold)
+key_holder::OnNotified(const instance_name& aWitness,
+                       const claim_request& aRequest)
 {
-  const auto told = std::ranges::find_if(mRepetitions, [&](const auto& aEach) {
-    return aEach.mRequest.mClaim == aTold.mClaim &&
-           aEach.mRequest.mKind == aTold.mKind;
-  });
-  if (told != mRepetitions.end()) {
-    std::erase(told->mTo, aWitness);
+  const auto notification =
+    std::ranges::find_if(mPendingNotifications, [&](const auto& aEach) {
+      return aEach.mRequest.mClaim == aRequest.mClaim &&
+             aEach.mRequest.mKind == aRequest.mKind;
+    });
+  if (notification != mPendingNotifications.end()) {
+    std::erase(notification->mUnacknowledged, aWitness);
   }
 }
 
 key_actions
-key_holder::OnEnded(submission aSubmission, ran aRan, time_point aNow)
+key_holder::OnEnded(submission_id aSubmission, ran aRan, time_point aNow)
 {
   key_actions out;
-  Observe(aNow);
+  DetectPause(aNow);
   if (const claim* const found = FindBySubmission(aSubmission)) {
-    End(*found,
-        aRan == ran::kNo ? claim_kind::kRelease : claim_kind::kUsed,
-        aNow,
-        out);
+    FinishClaim(*found,
+                aRan == ran::kNo ? claim_kind::kRelease : claim_kind::kUsed,
+                aNow,
+                out);
   }
   return out;
 }
@@ -181,25 +185,25 @@
 key_holder::Tick(time_point aNow)
 {
   key_actions out;
-  Observe(aNow);
-  std::vector<claim_key> late;
+  DetectPause(aNow);
+  std::vector<claim_key> timedOut;
   for (auto& [key, each] : mClaims) {
-    if (!each.mAwaited.empty() &&
-        aNow - each.mLastAsked >= mSettings.mAskTimeout) {
-      late.push_back(key);
+    if (!each.mPending.empty() &&
+        aNow - each.mLastRequestAt >= mSettings.mRequestTimeout) {
+      timedOut.push_back(key);
     } else if (each.mNextRenewal && aNow >= *each.mNextRenewal) {
       Renew(each, aNow, out);
     }
   }
-  for (const claim_key key : late) {
+  for (const claim_key key : timedOut) {
     Refuse(mClaims.at(key), error_kind::kKeyWitnessUnreachable, aNow, out);
   }
-  Repeat(aNow, out);
+  RetryNotifications(aNow, out);
   return out;
 }
 
 void
-key_holder::Observe(time_point aNow)
+key_holder::DetectPause(time_point aNow)
 {
   if (mLastCall && aNow - *mLastCall > mSettings.mClockGap) {
     for (auto& [key, each] : mClaims) {
@@ -211,10 +215,10 @@
 }
 
 key_holder::claim*
-key_holder::FindBySubmission(submission aSubmission)
+key_holder::FindBySubmission(submission_id aSubmission)
 {
-  const auto key = mKeys.find(aSubmission);
-  return key == mKeys.end() ? nullptr : &mClaims.at(key->second);
+  const auto key = mKeyBySubmission.find(aSubmission);
+  return key == mKeyBySubmission.end() ? nullptr : &mClaims.at(key->second);
 }
 
 void
@@ -224,45 +228,45 @@
   ++aClaim.mRequest.mRound;
   aClaim.mRequest.mWitnesses =
     WitnessesOf(aClaim.mRequest.mKey, mView, mSettings.mWitnesses);
-  aClaim.mAwaited.clear();
+  aClaim.mPending.clear();
   aClaim.mGranted.clear();
   aClaim.mVouched = false;
   aClaim.mHeld = false;
-  aClaim.mRoundStarted = aNow;
+  aClaim.mRoundStartedAt = aNow;
   if (aClaim.mRequest.mWitnesses.size() < mSettings.mMinWitnesses) {
     Refuse(aClaim, error_kind::kKeyWitnessUnreachable, aNow, aOut);
     return;
   }
-  Ask(aClaim, aClaim.mRequest.mWitnesses.front(), aNow, aOut);
+  RequestGrant(aClaim, aClaim.mRequest.mWitnesses.front(), aNow, aOut);
 }
 
 void
-key_holder::Ask(claim& aClaim,
-                const instance_name& aWitness,
-                time_point aNow,
-                key_actions& aOut)
+key_holder::RequestGrant(claim& aClaim,
+                         const instance_name& aWitness,
+                         time_point aNow,
+                         key_actions& aOut)
 {
-  aClaim.mLastAsked = aNow;
-  aClaim.mAwaited.push_back(aWitness);
-  if (!Contains(aClaim.mAsked, aWitness)) {
-    aClaim.mAsked.push_back(aWitness);
+  aClaim.mLastRequestAt = aNow;
+  aClaim.mPending.push_back(aWitness);
+  if (!Contains(aClaim.mContacted, aWitness)) {
+    aClaim.mContacted.push_back(aWitness);
   }
-  aOut.emplace_back(ask_witness{ aWitness, aClaim.mRequest });
+  aOut.emplace_back(request_grant{ aWitness, aClaim.mRequest });
 }
 
 void
-key_holder::TakeGrant(claim& aClaim,
+key_holder::OnGranted(claim& aClaim,
                       const claim_answer& aAnswer,
                       time_point aNow,
                       key_actions& aOut)
 {
-  std::erase(aClaim.mAwaited, aAnswer.mWitness);
+  std::erase(aClaim.mPending, aAnswer.mWitness);
   aClaim.mGranted.push_back(aAnswer.mWitness);
   aClaim.mVouched = aClaim.mVouched || aAnswer.mVouches;
   const auto& witnesses = aClaim.mRequest.mWitnesses;
   if (aClaim.mGranted.size() == 1) {
     for (std::size_t rank = 1; rank < witnesses.size(); ++rank) {
-      Ask(aClaim, witnesses[rank], aNow, aOut);
+      RequestGrant(aClaim, witnesses[rank], aNow, aOut);
     }
   }
   if (aClaim.mGranted.size() < witnesses.size()) {
@@ -273,8 +277,8 @@
     return;
   }
   aClaim.mHeld = true;
-  aClaim.mNextRenewal = aClaim.mRoundStarted + mSettings.mLifetime / 4;
-  aOut.emplace_back(run_key{ aClaim.mSubmission });
+  aClaim.mNextRenewal = aClaim.mRoundStartedAt + mSettings.mLifetime / 4;
+  aOut.emplace_back(run_submission{ aClaim.mSubmission });
 }
 
 void
@@ -283,25 +287,28 @@
                    time_point aNow,
                    key_actions& aOut)
 {
-  aOut.emplace_back(refuse_key{ aClaim.mSubmission, aKind });
-  End(aClaim, claim_kind::kRelease, aNow, aOut);
+  aOut.emplace_back(refuse_submission{ aClaim.mSubmission, aKind });
+  FinishClaim(aClaim, claim_kind::kRelease, aNow, aOut);
 }
 
 void
-key_holder::End(const claim& aClaim,
-                claim_kind aKind,
-                time_point aNow,
-                key_actions& aOut)
+key_holder::FinishClaim(const claim& aClaim,
+                        claim_kind aKind,
+                        time_point aNow,
+                        key_actions& aOut)
 {
-  repetition told{ aClaim.mRequest, aClaim.mAsked, 0, aNow + kRepeatAfter[0] };
-  told.mRequest.mKind = aKind;
-  for (const instance_name& each : told.mTo) {
-    aOut.emplace_back(tell_witness{ each, told.mRequest });
+  pending_notification notification{
+    aClaim.mRequest, aClaim.mContacted, 0, aNow + kNotificationRetryDelays[0]
+  };
+  notification.mRequest.mKind = aKind;
+  for (const instance_name& each : notification.mUnacknowledged) {
+    aOut.emplace_back(notify_witness{ each, notification.mRequest });
   }
-  mKeys.erase(aClaim.mSubmission);
-  mClaims.erase(told.mRequest.mKey);
-  if (!told.mTo.empty() && mRepetitions.size() < kMaxRepetitions) {
-    mRepetitions.push_back(std::move(told));
+  mKeyBySubmission.erase(aClaim.mSubmission);
+  mClaims.erase(notification.mRequest.mKey);
+  if (!notification.mUnacknowledged.empty() &&
+      mPendingNotifications.size() < kMaxPendingNotifications) {
+    mPendingNotifications.push_back(std::move(notification));
   }
 }
 
@@ -314,31 +321,32 @@
   aClaim.mRequest.mWitnesses =
     WitnessesOf(aClaim.mRequest.mKey, mView, mSettings.mWitnesses);
   for (const instance_name& each : aClaim.mRequest.mWitnesses) {
-    if (!Contains(aClaim.mAsked, each)) {
-      aClaim.mAsked.push_back(each);
+    if (!Contains(aClaim.mContacted, each)) {
+      aClaim.mContacted.push_back(each);
     }
   }
-  for (const instance_name& each : aClaim.mAsked) {
-    aOut.emplace_back(tell_witness{ each, aClaim.mRequest });
+  for (const instance_name& each : aClaim.mContacted) {
+    aOut.emplace_back(notify_witness{ each, aClaim.mRequest });
   }
 }
 
 void
-key_holder::Repeat(time_point aNow, key_actions& aOut)
+key_holder::RetryNotifications(time_point aNow, key_actions& aOut)
 {
-  for (repetition& each : mRepetitions) {
-    if (each.mDue > aNow) {
+  for (pending_notification& each : mPendingNotifications) {
+    if (each.mRetryAt > aNow) {
       continue;
     }
-    for (const instance_name& to : each.mTo) {
-      aOut.emplace_back(tell_witness{ to, each.mRequest });
+    for (const instance_name& to : each.mUnacknowledged) {
+      aOut.emplace_back(notify_witness{ to, each.mRequest });
     }
-    if (++each.mRound < kRepeatAfter.size()) {
-      each.mDue = aNow + kRepeatAfter[each.mRound];
+    if (++each.mRetries < kNotificationRetryDelays.size()) {
+      each.mRetryAt = aNow + kNotificationRetryDelays[each.mRetries];
     }
   }
-  std::erase_if(mRepetitions, [](const repetition& aEach) {
-    return aEach.mTo.empty() || aEach.mRound >= kRepeatAfter.size();
+  std::erase_if(mPendingNotifications, [](const pending_notification& aEach) {
+    return aEach.mUnacknowledged.empty() ||
+           aEach.mRetries >= kNotificationRetryDelays.size();
   });
 }
 
--- a/thornhollow/fleet/key_holder.h
+++ b/thornhollow/fleet/key_holder.h
@@ -2,8 +2,8 @@
 // from the key's witnesses before anything is sent to an endpoint.
 //
 //   key_holder holder(key_claim_settings{}, { self, epoch });
-//   Apply(holder.Submit(ticket, key, fingerprint, now));  // run_key,
-//   refuse_key
+//   Apply(holder.Submit(ticket, key, fingerprint, now));  // run_submission,
+//   refuse_submission
 //   ...                                                   // or later
 //   Apply(holder.BeforeSend(ticket, now));                // before each
 //   attempt Apply(holder.OnEnded(ticket, ran::kYes, now));
@@ -36,46 +36,50 @@
 namespace thornhollow {
 
 // Names a submission within one process.
-using submission = std::uint64_t;
+using submission_id = std::uint64_t;
 
 // Send this to the witness (possibly this daemon itself) and hand its answer to
 // `OnAnswer`, or the lack of one to `OnUnreachable`.
-struct ask_witness
+struct request_grant
 {
   instance_name mTo;
   claim_request mRequest;
 
-  friend bool operator==(const ask_witness&, const ask_witness&) = default;
+  friend bool operator==(const request_grant&, const request_grant&) = default;
 };
 
-// Send this to the witness and report any answer to `OnTold`.
-struct tell_witness
+// Send this to the witness and report any answer to `OnNotified`.
+struct notify_witness
 {
   instance_name mTo;
   claim_request mRequest;
 
-  friend bool operator==(const tell_witness&, const tell_witness&) = default;
+  friend bool operator==(const notify_witness&,
+                         const notify_witness&) = default;
 };
 
 // The submission holds its key: send it now.
-struct run_key
+struct run_submission
 {
-  submission mSubmission = 0;
+  submission_id mSubmission = 0;
 
-  friend bool operator==(const run_key&, const run_key&) = default;
+  friend bool operator==(const run_submission&,
+                         const run_submission&) = default;
 };
 
-// The submission must not run. It has not been sent by a `run_key` that
+// The submission must not run. It has not been sent by a `run_submission` that
 // followed from the refused call; it is forgotten.
-struct refuse_key
+struct refuse_submission
 {
-  submission mSubmission = 0;
+  submission_id mSubmission = 0;
   error_kind mKind = error_kind::kKeyWitnessUnreachable;
 
-  friend bool operator==(const refuse_key&, const refuse_key&) = default;
+  friend bool operator==(const refuse_submission&,
+                         const refuse_submission&) = default;
 };
 
-using key_action = std::variant<ask_witness, tell_witness, run_key, refuse_key>;
+using key_action = std::
+  variant<request_grant, notify_witness, run_submission, refuse_submission>;
 using key_actions = std::vector<key_action>;
 
 class key_holder
@@ -90,29 +94,29 @@
   void OnView(const claim_view& aView, time_point aNow);
 
   // A new submission. `aFingerprint` is a hash of the request.
-  key_actions Submit(submission aSubmission,
+  key_actions Submit(submission_id aSubmission,
                      claim_key aKey,
                      std::uint64_t aFingerprint,
                      time_point aNow);
 
   // Must be called before the submission is sent to an endpoint, each time, and
-  // only while nothing has been run yet. Comes back with `run_key` at once
-  // while the claim is sure, else when it has been claimed again.
-  key_actions BeforeSend(submission aSubmission, time_point aNow);
+  // only while nothing has been run yet. Comes back with `run_submission` at
+  // once while the claim is sure, else when it has been claimed again.
+  key_actions BeforeSend(submission_id aSubmission, time_point aNow);
 
   key_actions OnAnswer(const claim_answer& aAnswer, time_point aNow);
 
-  // The witness could not be asked `aAsked`, or did not answer in time.
+  // The witness could not be asked `aRequest`, or did not answer in time.
   key_actions OnUnreachable(const instance_name& aWitness,
-                            const claim_request& aAsked,
+                            const claim_request& aRequest,
                             time_point aNow);
 
   // The witness answered what it was told; it need not be told again.
-  void OnTold(const instance_name& aWitness, const claim_request& aTold);
+  void OnNotified(const instance_name& aWitness, const claim_request& aRequest);
 
   // The submission got its final answer. After `ran::kNo` its key is free
   // again; else it is used up.
-  key_actions OnEnded(submission aSubmission, ran aRan, time_point aNow);
+  key_actions OnEnded(submission_id aSubmission, ran aRan, time_point aNow);
 
   // Renews claims, repeats messages, ends what waited too long. To be called
   // every 100 ms.
@@ -124,19 +128,19 @@
 private:
   struct claim
   {
-    submission mSubmission = 0;
+    submission_id mSubmission = 0;
     claim_request mRequest;
-    std::vector<instance_name> mAwaited;
+    std::vector<instance_name> mPending;
     std::vector<instance_name> mGranted;
     // Everyone who was ever asked; all of them are told the end.
-    std::vector<instance_name> mAsked;
+    std::vector<instance_name> mContacted;
     bool mVouched = false;
     bool mHeld = false;
-    time_point mSubmitted{};
+    time_point mSubmittedAt{};
     // When the present round of questions began.
-    time_point mRoundStarted{};
+    time_point mRoundStartedAt{};
     // When the last question of it was asked.
-    time_point mLastAsked{};
+    time_point mLastRequestAt{};
     // Set once the submission may have been sent, also while the claim isn't
     // sure any more: it may be running.
     std::optional<time_point> mNextRenewal;
@@ -144,23 +148,23 @@
 
   // Told once more to those that didn't answer, as a lost message would keep
   // the key held for a lifetime.
-  struct repetition
+  struct pending_notification
   {
     claim_request mRequest;
-    std::vector<instance_name> mTo;
-    std::size_t mRound = 0;
-    time_point mDue{};
+    std::vector<instance_name> mUnacknowledged;
+    std::size_t mRetries = 0;
+    time_point mRetryAt{};
   };
 
-  void Observe(time_point aNow);
-  claim* FindBySubmission(submission aSubmission);
+  void DetectPause(time_point aNow);
+  claim* FindBySubmission(submission_id aSubmission);
   // Starts asking, from the first witness on.
   void StartRound(claim& aClaim, time_point aNow, key_actions& aOut);
-  void Ask(claim& aClaim,
-           const instance_name& aWitness,
-           time_point aNow,
-           key_actions& aOut);
-  void TakeGrant(claim& aClaim,
+  void RequestGrant(claim& aClaim,
+                    const instance_name& aWitness,
+                    time_point aNow,
+                    key_actions& aOut);
+  void OnGranted(claim& aClaim,
                  const claim_answer& aAnswer,
                  time_point aNow,
                  key_actions& aOut);
@@ -169,12 +173,12 @@
               time_point aNow,
               key_actions& aOut);
   // Tells all witnesses and forgets the claim.
-  void End(const claim& aClaim,
-           claim_kind aKind,
-           time_point aNow,
-           key_actions& aOut);
+  void FinishClaim(const claim& aClaim,
+                   claim_kind aKind,
+                   time_point aNow,
+                   key_actions& aOut);
   void Renew(claim& aClaim, time_point aNow, key_actions& aOut);
-  void Repeat(time_point aNow, key_actions& aOut);
+  void RetryNotifications(time_point aNow, key_actions& aOut);
 
   key_claim_settings mSettings;
   claim_holder mSelf;
@@ -183,8 +187,8 @@
   std::uint64_t mLastClaim = 0;
   std::optional<time_point> mLastCall;
   std::unordered_map<claim_key, claim> mClaims;
-  std::unordered_map<submission, claim_key> mKeys;
-  std::vector<repetition> mRepetitions;
+  std::unordered_map<submission_id, claim_key> mKeyBySubmission;
+  std::vector<pending_notification> mPendingNotifications;
 };
 
 } // namespace thornhollow
--- a/thornhollow/fleet/key_search_test.cc
+++ b/thornhollow/fleet/key_search_test.cc
@@ -23,14 +23,14 @@
   kPause,
   kRestart,
   kReplace,
-  kCutOff,
+  kIsolate,
 };
 
 struct search_event
 {
   // Since the event before.
   duration mAfter{};
-  fault mFault = fault::kSubmit;
+  fault mKind = fault::kSubmit;
   std::size_t mNode = 0;
   claim_key mKey = 0;
   duration mLength{};
@@ -38,39 +38,39 @@
 
 struct key_search
 {
-  key_guard mGuard;
+  key_protections mProtections;
   // Milliseconds. As set, all submissions of a key come within its lifetime
   // (60 s here): 30 events at most 1.9 s apart.
-  std::int64_t mLongestGap = 1'900;
+  std::int64_t mMaxEventGap = 1'900;
   std::int64_t mNodes = 5;
   std::size_t mDomains = 1;
-  std::int64_t mShortestPause = 0;
-  std::int64_t mLongestPause = 40'000;
+  std::int64_t mMinPause = 0;
+  std::int64_t mMaxPause = 40'000;
   // From the grant to sending, as in a queue.
-  duration mLongestWait = Seconds(3);
-  duration mRunLength = Milliseconds(700);
+  duration mMaxSendDelay = Seconds(3);
+  duration mRunDuration = Milliseconds(700);
   // Two runs of a key closer than this are a failure.
-  duration mClosest = Seconds(1'000'000);
+  duration mMinAllowedInterval = Seconds(1'000'000);
 
   std::vector<search_event> Events(std::uint64_t aSeed) const
   {
     std::mt19937_64 random(aSeed);
-    const auto upTo = [&](std::int64_t aMost) {
-      return std::uniform_int_distribution<std::int64_t>(0, aMost)(random);
+    const auto upTo = [&](std::int64_t aMax) {
+      return std::uniform_int_distribution<std::int64_t>(0, aMax)(random);
     };
     std::vector<search_event> out;
     for (int count = 0; count < 30; ++count) {
-      search_event next{ Milliseconds(upTo(mLongestGap)),
+      search_event next{ Milliseconds(upTo(mMaxEventGap)),
                          fault::kSubmit,
                          static_cast<std::size_t>(upTo(mNodes - 1)),
                          static_cast<claim_key>(upTo(1)),
-                         Milliseconds(mShortestPause +
-                                      upTo(mLongestPause - mShortestPause)) };
+                         Milliseconds(mMinPause +
+                                      upTo(mMaxPause - mMinPause)) };
       if (upTo(1) == 0) {
-        next.mFault = static_cast<fault>(upTo(4));
+        next.mKind = static_cast<fault>(upTo(4));
       }
       // Half of the pauses hit a holder that may not have sent yet.
-      if (next.mFault == fault::kPause && !out.empty() && upTo(1) == 0) {
+      if (next.mKind == fault::kPause && !out.empty() && upTo(1) == 0) {
         next.mNode = out.back().mNode;
       }
       out.push_back(next);
@@ -81,25 +81,27 @@
   bool Fails(const std::vector<search_event>& aEvents, std::uint64_t aSeed)
   {
     fake_key_fleet fleet(link_quality{ 0.03, 0.1, 0.05 }, aSeed);
-    fleet.mGuard = mGuard;
-    fleet.mLongestWait = mLongestWait;
-    fleet.mRunLength = mRunLength;
+    fleet.mProtections = mProtections;
+    fleet.mMaxSendDelay = mMaxSendDelay;
+    fleet.mRunDuration = mRunDuration;
     fleet.mDomains = mDomains;
     fleet.Start(static_cast<int>(mNodes));
     for (const search_event& each : aEvents) {
       fleet.RunFor(each.mAfter);
-      Do(fleet, each);
-      if (fleet.ClosestRuns().value_or(mClosest) < mClosest) {
+      ApplyFault(fleet, each);
+      if (fleet.MinRunInterval().value_or(mMinAllowedInterval) <
+          mMinAllowedInterval) {
         return true;
       }
     }
     fleet.RunFor(Seconds(120));
-    return fleet.ClosestRuns().value_or(mClosest) < mClosest;
+    return fleet.MinRunInterval().value_or(mMinAllowedInterval) <
+           mMinAllowedInterval;
   }
 
-  static void Do(fake_key_fleet& aFleet, const search_event& aEvent)
+  static void ApplyFault(fake_key_fleet& aFleet, const search_event& aEvent)
   {
-    switch (aEvent.mFault) {
+    switch (aEvent.mKind) {
       case fault::kSubmit:
         aFleet.Submit(aEvent.mNode, aEvent.mKey);
         break;
@@ -112,20 +114,21 @@
       case fault::kReplace:
         aFleet.Replace(aEvent.mNode);
         break;
-      case fault::kCutOff:
-        aFleet.CutOff(aEvent.mNode, aEvent.mLength / 4);
+      case fault::kIsolate:
+        aFleet.Isolate(aEvent.mNode, aEvent.mLength / 4);
         break;
     }
   }
 
   std::string Describe(std::uint64_t aSeed)
   {
-    const auto fewest = Shorten(
-      Events(aSeed), [&](const auto& aSome) { return Fails(aSome, aSeed); });
+    const auto fewest = Shorten(Events(aSeed), [&](const auto& aSubset) {
+      return Fails(aSubset, aSeed);
+    });
     std::string out = "seed " + std::to_string(aSeed) + ":";
     for (const search_event& each : fewest) {
       out += " [+" + std::to_string(ToMilliseconds(each.mAfter)) + "ms fault " +
-             std::to_string(static_cast<int>(each.mFault)) + " node " +
+             std::to_string(static_cast<int>(each.mKind)) + " node " +
              std::to_string(each.mNode) + " key " + std::to_string(each.mKey) +
              " for " + std::to_string(ToMilliseconds(each.mLength)) + "ms]";
     }
@@ -133,7 +136,7 @@
   }
 
   // Seeds, of the first `aSeeds`, whose events make a key run twice.
-  std::vector<std::uint64_t> Failing(int aSeeds)
+  std::vector<std::uint64_t> FailingSeeds(int aSeeds)
   {
     std::vector<std::uint64_t> out;
     for (int seed = 1; seed <= aSeeds; ++seed) {
@@ -145,7 +148,7 @@
     return out;
   }
 
-  static int Seeds()
+  static int SeedCount()
   {
     const char* const asked = std::getenv("THORNHOLLOW_KEY_SEEDS");
     return asked == nullptr ? kSeedsInCi : std::atoi(asked);
@@ -157,8 +160,8 @@
   // Daemons die, are replaced with no memory, pause and wake late, are cut off,
   // and messages are lost, repeated and late, while callers send the same order
   // through several daemons. Two runs would be two lorries.
-  const auto failing = Failing(Seeds());
-  MESSAGE("seeds ", Seeds(), ", failing ", failing.size());
+  const auto failing = FailingSeeds(SeedCount());
+  MESSAGE("seeds ", SeedCount(), ", failing ", failing.size());
   for (const std::uint64_t seed : failing) {
     FAIL_CHECK(Describe(seed));
   }
@@ -177,16 +180,16 @@
 // else the case above would show nothing.
 TEST_CASE_FIXTURE(key_search, "key_search/without_claims/keys_run_twice")
 {
-  mGuard.mClaims = false;
-  const auto failing = Failing(kSeedsInCi);
+  mProtections.mClaims = false;
+  const auto failing = FailingSeeds(kSeedsInCi);
   MESSAGE("without claims: ", failing.size(), " of ", kSeedsInCi);
   CHECK(!failing.empty());
 }
 
 TEST_CASE_FIXTURE(key_search, "key_search/without_vouching/keys_run_twice")
 {
-  mGuard.mVouching = false;
-  const auto failing = Failing(kSeedsInCi);
+  mProtections.mVouching = false;
+  const auto failing = FailingSeeds(kSeedsInCi);
   MESSAGE("without vouching: ", failing.size(), " of ", kSeedsInCi);
   CHECK(!failing.empty());
 }
@@ -197,23 +200,23 @@
 {
   long_key_search()
   {
-    mLongestGap = 8'000;
+    mMaxEventGap = 8'000;
     // Most daemons aren't witnesses, whose pauses would only refuse keys.
     mNodes = 12;
     mDomains = 3;
-    mShortestPause = 50'000;
-    mLongestPause = 100'000;
-    mLongestWait = Seconds(20);
-    mRunLength = Seconds(40);
-    mClosest = Seconds(30);
+    mMinPause = 50'000;
+    mMaxPause = 100'000;
+    mMaxSendDelay = Seconds(20);
+    mRunDuration = Seconds(40);
+    mMinAllowedInterval = Seconds(30);
   }
 };
 
 TEST_CASE_FIXTURE(long_key_search,
                   "key_search/after_a_lifetime/runs_are_half_of_it_apart")
 {
-  const auto failing = Failing(Seeds());
-  MESSAGE("seeds ", Seeds(), ", failing ", failing.size());
+  const auto failing = FailingSeeds(SeedCount());
+  MESSAGE("seeds ", SeedCount(), ", failing ", failing.size());
   for (const std::uint64_t seed : failing) {
     FAIL_CHECK(Describe(seed));
   }
@@ -222,8 +225,8 @@
 TEST_CASE_FIXTURE(long_key_search,
                   "key_search/without_second_look/runs_are_closer")
 {
-  mGuard.mBeforeSend = false;
-  const auto failing = Failing(kSeedsInCi);
+  mProtections.mBeforeSend = false;
+  const auto failing = FailingSeeds(kSeedsInCi);
   MESSAGE("without BeforeSend: ", failing.size(), " of ", kSeedsInCi);
   CHECK(!failing.empty());
 }
--- a/thornhollow/fleet/key_witness.cc
+++ b/thornhollow/fleet/key_witness.cc
@@ -10,21 +10,21 @@
                          time_point aNow)
   : mSettings(aSettings)
   , mSelf(std::move(aSelf))
-  , mRemembersSince(aNow)
+  , mHistoryCompleteSince(aNow)
   , mLastCall(aNow)
 {
 }
 
 key_witness::~key_witness()
 {
-  mByExpiry.clear();
+  mExpiryOrder.clear();
 }
 
 void
 key_witness::OnView(const claim_view& aView, time_point aNow)
 {
-  Observe(aNow);
-  claim_view trimmed = Trimmed(aView);
+  DetectPause(aNow);
+  claim_view trimmed = RestrictToOwnDomain(aView);
   if (!mViews.empty()) {
     const claim_view& last = mViews.back().mView;
     if (trimmed.mList.mVersion < last.mList.mVersion) {
@@ -40,14 +40,15 @@
   if (mViews.size() > mSettings.mMaxViews) {
     mViews.pop_front();
     // What was in force before is no longer known.
-    mRemembersSince = std::max(mRemembersSince, mViews.front().mSince);
+    mHistoryCompleteSince =
+      std::max(mHistoryCompleteSince, mViews.front().mSince);
   }
 }
 
 claim_answer
 key_witness::OnRequest(const claim_request& aRequest, time_point aNow)
 {
-  Observe(aNow);
+  DetectPause(aNow);
   Expire(aNow);
   claim_answer answer{ aRequest.mKey, aRequest.mClaim,      aRequest.mRound,
                        mSelf,         claim_verdict::kHeld, false };
@@ -58,10 +59,10 @@
                         Vouches(aRequest.mKey, aNow);
       break;
     case claim_kind::kUsed:
-      NoteUsed(aRequest, aNow);
+      RecordUsed(aRequest, aNow);
       break;
     case claim_kind::kRelease:
-      NoteReleased(aRequest, aNow);
+      RecordReleased(aRequest, aNow);
       break;
   }
   return answer;
@@ -70,17 +71,17 @@
 void
 key_witness::Tick(time_point aNow)
 {
-  Observe(aNow);
+  DetectPause(aNow);
   Expire(aNow);
 }
 
 void
-key_witness::Observe(time_point aNow)
+key_witness::DetectPause(time_point aNow)
 {
   // While paused, this instance may have been taken off the list and put back:
   // keys were then granted without it. Its view is older than the bound.
   if (aNow - mLastCall > mSettings.mClockGap) {
-    mRemembersSince = aNow;
+    mHistoryCompleteSince = aNow;
     mViews.clear();
   }
   mLastCall = aNow;
@@ -89,15 +90,15 @@
 void
 key_witness::Expire(time_point aNow)
 {
-  while (!mByExpiry.empty() && mByExpiry.front().mExpires <= aNow) {
-    const claim_key key = mByExpiry.front().mKey;
-    mByExpiry.pop_front();
+  while (!mExpiryOrder.empty() && mExpiryOrder.front().mExpires <= aNow) {
+    const claim_key key = mExpiryOrder.front().mKey;
+    mExpiryOrder.pop_front();
     mEntries.erase(key);
   }
 }
 
 claim_view
-key_witness::Trimmed(const claim_view& aView) const
+key_witness::RestrictToOwnDomain(const claim_view& aView) const
 {
   // Only the own domain decides whether this instance is a witness.
   const auto self =
@@ -117,16 +118,17 @@
 bool
 key_witness::Vouches(claim_key aKey, time_point aNow) const
 {
-  const time_point from = aNow - mSettings.mLifetime - 2 * mSettings.mViewLag;
-  if (mRemembersSince > from || mViews.empty() ||
-      mViews.front().mSince > from) {
+  const time_point requiredSince =
+    aNow - mSettings.mLifetime - 2 * mSettings.mViewLag;
+  if (mHistoryCompleteSince > requiredSince || mViews.empty() ||
+      mViews.front().mSince > requiredSince) {
     return false;
   }
   for (auto view = mViews.rbegin(); view != mViews.rend(); ++view) {
-    if (!IsWitness(aKey, view->mView)) {
+    if (!IsWitnessIn(aKey, view->mView)) {
       return false;
     }
-    if (view->mSince <= from) {
+    if (view->mSince <= requiredSince) {
       break;
     }
   }
@@ -134,7 +136,7 @@
 }
 
 bool
-key_witness::IsWitness(claim_key aKey, const claim_view& aView) const
+key_witness::IsWitnessIn(claim_key aKey, const claim_view& aView) const
 {
   const auto witnesses = WitnessesOf(aKey, aView, mSettings.mWitnesses);
   return std::ranges::find(witnesses, mSelf) != witnesses.end();
@@ -145,18 +147,18 @@
 {
   const auto found = mEntries.find(aRequest.mKey);
   if (found == mEntries.end()) {
-    return DecideFree(aRequest, aNow);
+    return DecideUnclaimed(aRequest, aNow);
   }
   entry& known = found->second;
   const bool sameHolder = known.mHolder == aRequest.mHolder;
-  if (known.mState == state::kReleased) {
-    const bool late = sameHolder && aRequest.mClaim <= known.mClaim;
-    return late ? claim_verdict::kHeld : DecideFree(aRequest, aNow);
+  if (known.mState == entry_state::kReleased) {
+    const bool isDelayed = sameHolder && aRequest.mClaim <= known.mClaim;
+    return isDelayed ? claim_verdict::kHeld : DecideUnclaimed(aRequest, aNow);
   }
   if (known.mFingerprint != aRequest.mFingerprint) {
-    return claim_verdict::kOtherRequest;
+    return claim_verdict::kFingerprintMismatch;
   }
-  if (known.mState == state::kUsed) {
+  if (known.mState == entry_state::kUsed) {
     return claim_verdict::kUsed;
   }
   // The holder's process may have ended an earlier submission and the message
@@ -164,56 +166,57 @@
   if (!sameHolder || aRequest.mClaim != known.mClaim) {
     return claim_verdict::kHeld;
   }
-  Touch(known, aNow);
+  ExtendExpiry(known, aNow);
   return claim_verdict::kGranted;
 }
 
 claim_verdict
-key_witness::DecideFree(const claim_request& aRequest, time_point aNow)
+key_witness::DecideUnclaimed(const claim_request& aRequest, time_point aNow)
 {
   // With another view the holder may have left out a witness that knows of
   // another submission.
   if (mViews.empty() ||
       WitnessesOf(aRequest.mKey, mViews.back().mView, mSettings.mWitnesses) !=
         aRequest.mWitnesses) {
-    return claim_verdict::kViewDiffers;
+    return claim_verdict::kViewMismatch;
   }
-  return Hold(aRequest, aNow) != nullptr ? claim_verdict::kGranted
-                                         : claim_verdict::kNoRoom;
+  return StoreEntry(aRequest, aNow) != nullptr
+           ? claim_verdict::kGranted
+           : claim_verdict::kCapacityExceeded;
 }
 
 void
-key_witness::NoteUsed(const claim_request& aRequest, time_point aNow)
+key_witness::RecordUsed(const claim_request& aRequest, time_point aNow)
 {
   // Also where the key isn't known here (this witness is new), and where
   // another submission holds it: it may have run, so nobody is granted it.
-  entry* const used = Hold(aRequest, aNow);
+  entry* const used = StoreEntry(aRequest, aNow);
   if (used != nullptr) {
-    used->mState = state::kUsed;
+    used->mState = entry_state::kUsed;
   }
 }
 
 void
-key_witness::NoteReleased(const claim_request& aRequest, time_point aNow)
+key_witness::RecordReleased(const claim_request& aRequest, time_point aNow)
 {
   const auto found = mEntries.find(aRequest.mKey);
   if (found == mEntries.end()) {
     // The claim itself is still on its way; it is known when it comes.
-    if (entry* const released = Hold(aRequest, aNow)) {
-      released->mState = state::kReleased;
+    if (entry* const released = StoreEntry(aRequest, aNow)) {
+      released->mState = entry_state::kReleased;
     }
     return;
   }
   entry& held = found->second;
-  if (held.mState == state::kHeld && held.mHolder == aRequest.mHolder &&
+  if (held.mState == entry_state::kHeld && held.mHolder == aRequest.mHolder &&
       held.mClaim == aRequest.mClaim) {
-    held.mState = state::kReleased;
-    Touch(held, aNow);
+    held.mState = entry_state::kReleased;
+    ExtendExpiry(held, aNow);
   }
 }
 
 key_witness::entry*
-key_witness::Hold(const claim_request& aRequest, time_point aNow)
+key_witness::StoreEntry(const claim_request& aRequest, time_point aNow)
 {
   const auto found = mEntries.find(aRequest.mKey);
   if (found == mEntries.end() && mEntries.size() >= mSettings.mMaxKeys) {
@@ -224,19 +227,19 @@
   held.mFingerprint = aRequest.mFingerprint;
   held.mHolder = aRequest.mHolder;
   held.mClaim = aRequest.mClaim;
-  held.mState = state::kHeld;
-  Touch(held, aNow);
+  held.mState = entry_state::kHeld;
+  ExtendExpiry(held, aNow);
   return &held;
 }
 
 void
-key_witness::Touch(entry& aEntry, time_point aNow)
+key_witness::ExtendExpiry(entry& aEntry, time_point aNow)
 {
   if (aEntry.is_linked()) {
-    mByExpiry.erase(mByExpiry.iterator_to(aEntry));
+    mExpiryOrder.erase(mExpiryOrder.iterator_to(aEntry));
   }
   aEntry.mExpires = aNow + mSettings.mLifetime;
-  mByExpiry.push_back(aEntry);
+  mExpiryOrder.push_back(aEntry);
 }
 
 } // namespace thornhollow
--- a/thornhollow/fleet/key_witness.h
+++ b/thornhollow/fleet/key_witness.h
@@ -56,7 +56,7 @@
   std::size_t size() const { return mEntries.size(); }
 
 private:
-  enum class state : std::uint8_t
+  enum class entry_state : std::uint8_t
   {
     kHeld,
     kUsed,
@@ -71,7 +71,7 @@
     std::uint64_t mFingerprint = 0;
     claim_holder mHolder;
     std::uint64_t mClaim = 0;
-    state mState = state::kHeld;
+    entry_state mState = entry_state::kHeld;
     time_point mExpires{};
   };
 
@@ -82,31 +82,31 @@
     time_point mSince{};
   };
 
-  void Observe(time_point aNow);
+  void DetectPause(time_point aNow);
   void Expire(time_point aNow);
-  claim_view Trimmed(const claim_view& aView) const;
+  claim_view RestrictToOwnDomain(const claim_view& aView) const;
   bool Vouches(claim_key aKey, time_point aNow) const;
-  bool IsWitness(claim_key aKey, const claim_view& aView) const;
+  bool IsWitnessIn(claim_key aKey, const claim_view& aView) const;
 
   claim_verdict Decide(const claim_request& aRequest, time_point aNow);
   // Of a key that nobody holds.
-  claim_verdict DecideFree(const claim_request& aRequest, time_point aNow);
-  void NoteUsed(const claim_request& aRequest, time_point aNow);
-  void NoteReleased(const claim_request& aRequest, time_point aNow);
+  claim_verdict DecideUnclaimed(const claim_request& aRequest, time_point aNow);
+  void RecordUsed(const claim_request& aRequest, time_point aNow);
+  void RecordReleased(const claim_request& aRequest, time_point aNow);
   // The entry of a request's key, made where there is none; null where there is
   // no room.
-  entry* Hold(const claim_request& aRequest, time_point aNow);
-  void Touch(entry& aEntry, time_point aNow);
+  entry* StoreEntry(const claim_request& aRequest, time_point aNow);
+  void ExtendExpiry(entry& aEntry, time_point aNow);
 
   key_claim_settings mSettings;
   instance_name mSelf;
   // Since when nothing was forgotten and every view was seen.
-  time_point mRemembersSince;
+  time_point mHistoryCompleteSince;
   time_point mLastCall;
   std::deque<past_view> mViews;
   std::unordered_map<claim_key, entry> mEntries;
   // In order of expiry: every entry lives equally long from its last message.
-  boost::intrusive::list<entry> mByExpiry;
+  boost::intrusive::list<entry> mExpiryOrder;
 };
 
 } // namespace thornhollow
--- a/thornhollow/fleet/peer_messages.h
+++ b/thornhollow/fleet/peer_messages.h
@@ -165,11 +165,11 @@
   // A submission with the key ended.
   kUsed,
   // The key belongs to a request with another fingerprint.
-  kOtherRequest,
+  kFingerprintMismatch,
   // The witness has another view of who the witnesses are.
-  kViewDiffers,
+  kViewMismatch,
   // The witness has no room for another key.
-  kNoRoom,
+  kCapacityExceeded,
 };
 
 struct claim_answer
--- a/thornhollow/fleet/testing/fake_key_fleet.h
+++ b/thornhollow/fleet/testing/fake_key_fleet.h
@@ -29,7 +29,7 @@
 namespace thornhollow {
 
 // Parts of the guard that a test may switch off, to show that it needs them.
-struct key_guard
+struct key_protections
 {
   // Ask witnesses at all.
   bool mClaims = true;
@@ -38,7 +38,8 @@
   // Claim again before sending when paused.
   bool mBeforeSend = true;
 
-  friend bool operator==(const key_guard&, const key_guard&) = default;
+  friend bool operator==(const key_protections&,
+                         const key_protections&) = default;
 };
 
 class fake_key_fleet
@@ -53,20 +54,20 @@
   };
 
   fake_key_fleet(const link_quality& aQuality, std::uint64_t aSeed)
-    : mQuality(aQuality)
+    : mLinkQuality(aQuality)
     , mRandom(aSeed)
   {
   }
 
   key_claim_settings mSettings{ .mLifetime = Seconds(60),
                                 .mViewLag = Seconds(5) };
-  key_guard mGuard;
+  key_protections mProtections;
   // Between a grant and the moment when the daemon sends.
-  duration mLongestWait = Milliseconds(500);
+  duration mMaxSendDelay = Milliseconds(500);
   // Domains over which the daemons are spread.
   std::size_t mDomains = 1;
   // What a run takes.
-  duration mRunLength = Milliseconds(700);
+  duration mRunDuration = Milliseconds(700);
 
   // Starts the daemons and lets their witnesses grow old enough
   // to vouch.
@@ -74,7 +75,8 @@
   {
     for (int number = 0; number < aCount; ++number) {
       mNodes.emplace_back();
-      Launch(static_cast<std::size_t>(number), "n" + std::to_string(number));
+      StartProcess(static_cast<std::size_t>(number),
+                   "n" + std::to_string(number));
       Schedule(Milliseconds(100), [this, number] { Tick(number); });
     }
     Publish();
@@ -86,9 +88,9 @@
                      std::uint64_t aFingerprint = 1)
   {
     mOutcomes.push_back({ aKey, std::nullopt, false });
-    const submission id = mOutcomes.size() - 1;
-    WhenAwake(aNode, [this, aNode, id, aKey, aFingerprint] {
-      if (!mGuard.mClaims) {
+    const submission_id id = mOutcomes.size() - 1;
+    RunWhenAwake(aNode, [this, aNode, id, aKey, aFingerprint] {
+      if (!mProtections.mClaims) {
         Run(aNode, id);
         return;
       }
@@ -114,21 +116,21 @@
   // The process dies and another one starts under its name, with no memory.
   void Restart(std::size_t aNode)
   {
-    Launch(aNode, mNodes[aNode].mName);
-    GiveView(aNode);
+    StartProcess(aNode, mNodes[aNode].mName);
+    DeliverView(aNode);
   }
 
   // The instance is replaced by one of another name; the list tells later.
   void Replace(std::size_t aNode)
   {
-    Launch(aNode, "r" + std::to_string(++mReplaced));
+    StartProcess(aNode, "r" + std::to_string(++mReplaced));
     Publish();
   }
 
-  void CutOff(std::size_t aNode, duration aFor)
+  void Isolate(std::size_t aNode, duration aFor)
   {
-    mNodes[aNode].mSide = 1;
-    Schedule(aFor, [this, aNode] { mNodes[aNode].mSide = 0; });
+    mNodes[aNode].mPartition = 1;
+    Schedule(aFor, [this, aNode] { mNodes[aNode].mPartition = 0; });
   }
 
   void RunFor(duration aLength)
@@ -138,7 +140,7 @@
       const event next = mEvents.top();
       mEvents.pop();
       mNow = next.mAt;
-      next.mDo();
+      next.mCallback();
     }
     mNow = end;
   }
@@ -150,10 +152,10 @@
   }
 
   // Messages sent to witnesses.
-  std::uint64_t Exchanges() const { return mExchanges; }
+  std::uint64_t RequestsSent() const { return mRequestsSent; }
 
   // The shortest time between two runs of one key, if any key ran twice.
-  std::optional<duration> ClosestRuns() const { return mClosestRuns; }
+  std::optional<duration> MinRunInterval() const { return mMinRunInterval; }
 
   const outcome& At(std::size_t aSubmission) const
   {
@@ -179,11 +181,11 @@
     std::string mName;
     std::uint64_t mEpoch = 0;
     bool mPaused = false;
-    int mSide = 0;
+    int mPartition = 0;
     std::unique_ptr<key_holder> mHolder;
     std::unique_ptr<key_witness> mWitness;
     // Submissions whose `BeforeSend` was asked.
-    std::map<submission, bool> mSending;
+    std::map<submission_id, bool> mBeforeSendCalled;
     // Happens on waking.
     std::vector<std::function<void()>> mInbox;
   };
@@ -191,41 +193,41 @@
   struct event
   {
     time_point mAt;
-    std::uint64_t mOrder = 0;
-    std::function<void()> mDo;
+    std::uint64_t mSequence = 0;
+    std::function<void()> mCallback;
 
     friend bool operator<(const event& aLeft, const event& aRight)
     {
-      return std::pair(aRight.mAt, aRight.mOrder) <
-             std::pair(aLeft.mAt, aLeft.mOrder);
+      return std::pair(aRight.mAt, aRight.mSequence) <
+             std::pair(aLeft.mAt, aLeft.mSequence);
     }
   };
 
-  void Schedule(duration aAfter, std::function<void()> aDo)
+  void Schedule(duration aAfter, std::function<void()> aCallback)
   {
-    mEvents.push({ mNow + aAfter, ++mOrder, std::move(aDo) });
+    mEvents.push({ mNow + aAfter, ++mSequence, std::move(aCallback) });
   }
 
-  void Launch(std::size_t aNode, const std::string& aName)
+  void StartProcess(std::size_t aNode, const std::string& aName)
   {
     node& started = mNodes[aNode];
     started.mName = aName;
     ++started.mEpoch;
     started.mPaused = false;
     started.mInbox.clear();
-    started.mSending.clear();
+    started.mBeforeSendCalled.clear();
     const instance_name self(aName);
     started.mHolder = std::make_unique<key_holder>(
       mSettings, claim_holder{ self, started.mEpoch });
     started.mWitness = std::make_unique<key_witness>(mSettings, self, mNow);
   }
 
-  void WhenAwake(std::size_t aNode, std::function<void()> aDo)
+  void RunWhenAwake(std::size_t aNode, std::function<void()> aCallback)
   {
     if (mNodes[aNode].mPaused) {
-      mNodes[aNode].mInbox.push_back(std::move(aDo));
+      mNodes[aNode].mInbox.push_back(std::move(aCallback));
     } else {
-      aDo();
+      aCallback();
     }
   }
 
@@ -236,7 +238,7 @@
       each();
     }
     // A daemon that was paused reads the list again.
-    GiveView(aNode);
+    DeliverView(aNode);
   }
 
   void Tick(int aNumber)
@@ -267,12 +269,12 @@
         { instance_name(mNodes[index].mName), DomainOf(index), "", false });
     }
     for (std::size_t index = 0; index < mNodes.size(); ++index) {
-      GiveView(index);
+      DeliverView(index);
     }
   }
 
   // The list of now, at a daemon of now, some time later.
-  void GiveView(std::size_t aNode)
+  void DeliverView(std::size_t aNode)
   {
     const auto lag = std::uniform_int_distribution<std::int64_t>(
       0, ToMilliseconds(mSettings.mViewLag))(mRandom);
@@ -297,30 +299,31 @@
   void Apply(std::size_t aNode, const key_actions& aActions)
   {
     for (const key_action& each : aActions) {
-      if (const auto* ask = std::get_if<ask_witness>(&each)) {
-        Carry(aNode, ask->mTo, ask->mRequest);
-      } else if (const auto* tell = std::get_if<tell_witness>(&each)) {
-        Carry(aNode, tell->mTo, tell->mRequest);
-      } else if (const auto* run = std::get_if<run_key>(&each)) {
+      if (const auto* request = std::get_if<request_grant>(&each)) {
+        SendRequest(aNode, request->mTo, request->mRequest);
+      } else if (const auto* notification =
+                   std::get_if<notify_witness>(&each)) {
+        SendRequest(aNode, notification->mTo, notification->mRequest);
+      } else if (const auto* run = std::get_if<run_submission>(&each)) {
         OnRun(aNode, run->mSubmission);
-      } else if (const auto* refused = std::get_if<refuse_key>(&each)) {
+      } else if (const auto* refused = std::get_if<refuse_submission>(&each)) {
         mOutcomes[refused->mSubmission].mRefused = refused->mKind;
       }
     }
   }
 
-  void OnRun(std::size_t aNode, submission aSubmission)
+  void OnRun(std::size_t aNode, submission_id aSubmission)
   {
-    node& at = mNodes[aNode];
-    if (at.mSending[aSubmission]) {
+    node& sender = mNodes[aNode];
+    if (sender.mBeforeSendCalled[aSubmission]) {
       Run(aNode, aSubmission);
       return;
     }
-    at.mSending[aSubmission] = true;
+    sender.mBeforeSendCalled[aSubmission] = true;
     const auto wait = std::uniform_int_distribution<std::int64_t>(
-      0, ToMilliseconds(mLongestWait))(mRandom);
-    Later(aNode, Milliseconds(wait), [this, aNode, aSubmission] {
-      if (mGuard.mBeforeSend) {
+      0, ToMilliseconds(mMaxSendDelay))(mRandom);
+    ScheduleOnProcess(aNode, Milliseconds(wait), [this, aNode, aSubmission] {
+      if (mProtections.mBeforeSend) {
         Apply(aNode, mNodes[aNode].mHolder->BeforeSend(aSubmission, mNow));
       } else {
         Run(aNode, aSubmission);
@@ -329,88 +332,93 @@
   }
 
   // Once the daemon is awake, if the process is still the same.
-  void Later(std::size_t aNode, duration aAfter, std::function<void()> aDo)
+  void ScheduleOnProcess(std::size_t aNode,
+                         duration aAfter,
+                         std::function<void()> aCallback)
   {
     const std::uint64_t epoch = mNodes[aNode].mEpoch;
-    Schedule(aAfter, [this, aNode, epoch, act = std::move(aDo)] {
+    Schedule(aAfter, [this, aNode, epoch, act = std::move(aCallback)] {
       if (mNodes[aNode].mEpoch == epoch) {
-        WhenAwake(aNode, act);
+        RunWhenAwake(aNode, act);
       }
     });
   }
 
-  void Run(std::size_t aNode, submission aSubmission)
+  void Run(std::size_t aNode, submission_id aSubmission)
   {
     const claim_key key = mOutcomes[aSubmission].mKey;
     if (++mRuns[key] > 1) {
       const duration apart = mNow - mLastRun[key];
-      mClosestRuns = std::min(apart, mClosestRuns.value_or(apart));
+      mMinRunInterval = std::min(apart, mMinRunInterval.value_or(apart));
     }
     mLastRun[key] = mNow;
     mOutcomes[aSubmission].mRan = true;
-    Later(aNode, mRunLength, [this, aNode, aSubmission] {
+    ScheduleOnProcess(aNode, mRunDuration, [this, aNode, aSubmission] {
       Apply(aNode,
             mNodes[aNode].mHolder->OnEnded(aSubmission, ran::kYes, mNow));
     });
   }
 
-  bool Happens(double aShare)
+  bool WithProbability(double aProbability)
   {
-    return std::uniform_real_distribution<double>()(mRandom) < aShare;
+    return std::uniform_real_distribution<double>()(mRandom) < aProbability;
   }
 
-  // Calls `aArrived` at the node once for each copy that arrives.
-  void Transfer(std::size_t aFrom,
+  // Calls `aOnArrival` at the node once for each copy that arrives.
+  void Transmit(std::size_t aFrom,
                 std::size_t aTo,
-                const std::function<void()>& aArrived)
+                const std::function<void()>& aOnArrival)
   {
-    if (mNodes[aFrom].mSide != mNodes[aTo].mSide || Happens(mQuality.mLost)) {
+    if (mNodes[aFrom].mPartition != mNodes[aTo].mPartition ||
+        WithProbability(mLinkQuality.mLost)) {
       return;
     }
-    const int copies = Happens(mQuality.mRepeated) ? 2 : 1;
+    const int copies = WithProbability(mLinkQuality.mRepeated) ? 2 : 1;
     for (int copy = 0; copy < copies; ++copy) {
-      const std::int64_t longest = Happens(mQuality.mLate) ? 2'000 : 2;
-      Later(aTo,
-            Milliseconds(
-              std::uniform_int_distribution<std::int64_t>(0, longest)(mRandom)),
-            aArrived);
+      const std::int64_t longest =
+        WithProbability(mLinkQuality.mLate) ? 2'000 : 2;
+      ScheduleOnProcess(
+        aTo,
+        Milliseconds(
+          std::uniform_int_distribution<std::int64_t>(0, longest)(mRandom)),
+        aOnArrival);
     }
   }
 
-  void Carry(std::size_t aFrom,
-             const instance_name& aTo,
-             const claim_request& aRequest)
+  void SendRequest(std::size_t aFrom,
+                   const instance_name& aTo,
+                   const claim_request& aRequest)
   {
-    ++mExchanges;
+    ++mRequestsSent;
     const auto to = IndexOf(aTo);
     if (!to) {
       return;
     }
-    Transfer(aFrom, *to, [this, aFrom, to = *to, aRequest] {
+    Transmit(aFrom, *to, [this, aFrom, to = *to, aRequest] {
       claim_answer answer = mNodes[to].mWitness->OnRequest(aRequest, mNow);
-      answer.mVouches = answer.mVouches || !mGuard.mVouching;
-      Transfer(to, aFrom, [this, aFrom, answer, aRequest] {
+      answer.mVouches = answer.mVouches || !mProtections.mVouching;
+      Transmit(to, aFrom, [this, aFrom, answer, aRequest] {
         if (aRequest.mKind == claim_kind::kClaim) {
           Apply(aFrom, mNodes[aFrom].mHolder->OnAnswer(answer, mNow));
         } else {
-          mNodes[aFrom].mHolder->OnTold(answer.mWitness, aRequest);
+          mNodes[aFrom].mHolder->OnNotified(answer.mWitness, aRequest);
         }
       });
     });
   }
 
-  link_quality mQuality;
+  link_quality mLinkQuality;
   std::mt19937_64 mRandom;
   time_point mNow{ Seconds(1000) };
-  std::uint64_t mOrder = 0;
+  std::uint64_t mSequence = 0;
   int mReplaced = 0;
-  std::uint64_t mExchanges = 0;
+  std::uint64_t mRequestsSent = 0;
   claim_view mView;
   std::vector<node> mNodes;
   std::vector<outcome> mOutcomes;
   std::map<claim_key, int> mRuns;
   std::map<claim_key, time_point> mLastRun;
-  std::optional<duration> mClosestRuns;
+  std::optional<duration> mMinRunInterval;
   std::priority_queue<event> mEvents;
 };
 
--- a/thornhollow/wire/codec.cc
+++ b/thornhollow/wire/codec.cc
@@ -292,7 +292,8 @@
 std::optional<stream_message>
 FromWire(const wire::claim_answer& aWire)
 {
-  const auto verdict = Enumerator(aWire.verdict, claim_verdict::kNoRoom);
+  const auto verdict =
+    Enumerator(aWire.verdict, claim_verdict::kCapacityExceeded);
   if (!verdict || !IsName(aWire.witness)) {
     return std::nullopt;
   }
--- a/thornhollow/wire/codec_test.cc
+++ b/thornhollow/wire/codec_test.cc
@@ -53,7 +53,8 @@
                    6,
                    7,
                    { instance_name("a"), instance_name("b") } },
-    claim_answer{ 1, 2, 3, instance_name("a"), claim_verdict::kNoRoom, true },
+    claim_answer{
+      1, 2, 3, instance_name("a"), claim_verdict::kCapacityExceeded, true },
     part_request{ std::string(64, 'a') },
     part_answer{ std::string(64, 'a'), true, std::string(4096, '\0') },
     word_exchange{ { revision{ 12, std::string(64, 'a') },
