--- a/thornhollow/daemon/control_plane.cc
+++ b/thornhollow/daemon/control_plane.cc
@@ -262,11 +262,11 @@
   {
     mLink.Ask(
       aPeer,
-      word_exchange{ mKeeper.Word() },
+      config_status_exchange{ mKeeper.Word() },
       kWordLimit,
       [done = std::move(aDone)](const std::optional<stream_message>& aAnswer) {
-        const auto* word = AnswerAs<word_exchange>(aAnswer);
-        done(word == nullptr ? std::nullopt : std::optional(word->mWord));
+        const auto* word = AnswerAs<config_status_exchange>(aAnswer);
+        done(word == nullptr ? std::nullopt : std::optional(word->mStatus));
       });
   }
 
--- a/thornhollow/daemon/peer_link.cc
+++ b/thornhollow/daemon/peer_link.cc
@@ -129,7 +129,7 @@
 
   std::vector<pool_pressure> PeerPressure() const
   {
-    return mMembers.Shared().OfPeers(Now());
+    return mMembers.Shared().PeerPressures(Now());
   }
 
   void Drain() { Apply(mMembers.Drain(Now())); }
@@ -297,10 +297,11 @@
                         std::move(bytes).value_or(std::string()) };
   }
 
-  std::optional<stream_message> Answer(const instance_name& /*aSender*/,
-                                       const word_exchange& /*aRequest*/)
+  std::optional<stream_message> Answer(
+    const instance_name& /*aSender*/,
+    const config_status_exchange& /*aRequest*/)
   {
-    return word_exchange{ mListener.mOwnWord() };
+    return config_status_exchange{ mListener.mOwnWord() };
   }
 
   // Answers aren't requests.
@@ -341,12 +342,12 @@
   // The hint on each datagram tells the same.
   void Carry(const newer_configuration&) {}
 
-  void Carry(const endpoint_leaves& aAction)
+  void Carry(const endpoint_leave_reported& aAction)
   {
     mListener.mOnEndpointLeaves(aAction.mEndpoint, aAction.mUntil);
   }
 
-  void Carry(const was_paused& aAction)
+  void Carry(const process_paused& aAction)
   {
     mLog.Write(log_level::kWarning,
                "paused",
@@ -355,12 +356,12 @@
     mListener.mOnPaused(aAction.mLength);
   }
 
-  void Carry(const refreshed& aAction)
+  void Carry(const refresh_finished& aAction)
   {
-    mLog.Write(
-      log_level::kInfo,
-      "refreshed",
-      { { "heard_a_peer", std::string(aAction.mHeard ? "yes" : "no") } });
+    mLog.Write(log_level::kInfo,
+               "refreshed",
+               { { "heard_a_peer",
+                   std::string(aAction.mPeerResponded ? "yes" : "no") } });
   }
 
   void Carry(const superseded&)
@@ -381,7 +382,7 @@
         return "recovered";
       case member_change::kRemoved:
         return "removed";
-      case member_change::kReturned:
+      case member_change::kRejoined:
         return "returned";
       case member_change::kRestarted:
         return "restarted";
--- a/thornhollow/fleet/gossip_size.h
+++ b/thornhollow/fleet/gossip_size.h
@@ -1,8 +1,8 @@
 // Upper bounds of what values take inside a datagram, so that the core can fill
 // one without knowing the codec. A test of the codec checks that they hold.
 //
-//   std::size_t room = kMaxDatagramBytes - HeadBound(message);
-//   if (EntryBound(digest) <= room) { ... }
+//   std::size_t room = kMaxDatagramBytes - MaxHeaderSize(message);
+//   if (MaxEntrySize(digest) <= room) { ... }
 //
 #ifndef THORNHOLLOW_FLEET_GOSSIP_SIZE_H_
 #define THORNHOLLOW_FLEET_GOSSIP_SIZE_H_
@@ -14,39 +14,40 @@
 namespace thornhollow {
 
 // The seal's bytes besides the sender's name.
-inline constexpr std::size_t kSealBound = 48;
+inline constexpr std::size_t kMaxSealOverhead = 48;
 
 // A field's header and a length take at most 3 bytes here, a 64-bit number at
 // most 11 with its header, a small enumerator 2.
 inline std::size_t
-EntryBound(const member_digest& aDigest)
+MaxEntrySize(const member_digest& aDigest)
 {
   return aDigest.mName.Text().size() + aDigest.mAddress.size() + 3 + 3 + 11 +
          11 + 2 + 1 + 1;
 }
 
 inline std::size_t
-EntryBound(const pool_pressure& aPressure)
+MaxEntrySize(const pool_pressure& aPressure)
 {
   return aPressure.mPool.Text().size() + 3 + 2 + 8 + 6 + 1;
 }
 
 inline std::size_t
-EntryBound(const leaving_endpoint& aLeaving)
+MaxEntrySize(const leaving_endpoint& aLeaving)
 {
   return aLeaving.mEndpoint.Text().size() + 3 + 11 + 6 + 1;
 }
 
 // The sealed datagram with its lists empty.
 inline std::size_t
-HeadBound(const gossip_message& aMessage)
+MaxHeaderSize(const gossip_message& aMessage)
 {
-  const std::size_t seal = kSealBound + aMessage.mSender.mName.Text().size();
+  const std::size_t seal =
+    kMaxSealOverhead + aMessage.mSender.mName.Text().size();
   const std::size_t names =
     aMessage.mDomain.Text().size() + aMessage.mTarget.Text().size() + 6;
   const std::size_t numbers = 2 + 11 + 11 + 11;
   const std::size_t lists = 9;
-  return seal + names + numbers + lists + 2 + EntryBound(aMessage.mSender);
+  return seal + names + numbers + lists + 2 + MaxEntrySize(aMessage.mSender);
 }
 
 } // namespace thornhollow
--- a/thornhollow/fleet/key_search_test.cc
+++ b/thornhollow/fleet/key_search_test.cc
@@ -122,11 +122,11 @@
 
   std::string Describe(std::uint64_t aSeed)
   {
-    const auto fewest = Shorten(Events(aSeed), [&](const auto& aSubset) {
+    const auto minimized = Minimize(Events(aSeed), [&](const auto& aSubset) {
       return Fails(aSubset, aSeed);
     });
     std::string out = "seed " + std::to_string(aSeed) + ":";
-    for (const search_event& each : fewest) {
+    for (const search_event& each : minimized) {
       out += " [+" + std::to_string(ToMilliseconds(each.mAfter)) + "ms fault " +
              std::to_string(static_cast<int>(each.mKind)) + " node " +
              std::to_string(each.mNode) + " key " + std::to_string(each.mKey) +
--- a/thornhollow/fleet/member_search_test.cc
+++ b/thornhollow/fleet/member_search_test.cc
@@ -19,7 +19,7 @@
 constexpr int kSeedsInCi = 40;
 constexpr int kNodes = 7;
 // One that runs and can be reached by all must be back in every view by then.
-constexpr duration kReturnBound = Seconds(15);
+constexpr duration kMaxRejoinTime = Seconds(15);
 
 enum class fault : std::uint8_t
 {
@@ -27,15 +27,15 @@
   kRestart,
   kPause,
   kResume,
-  kSideOne,
-  kSideZero,
+  kJoinPartitionOne,
+  kJoinPartitionZero,
   kConfiguration,
 };
 
 struct search_event
 {
   duration mAfter{};
-  fault mFault = fault::kKill;
+  fault mKind = fault::kKill;
   int mNode = 0;
 };
 
@@ -46,8 +46,8 @@
   static std::vector<search_event> Events(std::uint64_t aSeed)
   {
     std::mt19937_64 random(aSeed);
-    const auto upTo = [&](std::int64_t aMost) {
-      return std::uniform_int_distribution<std::int64_t>(0, aMost)(random);
+    const auto upTo = [&](std::int64_t aMax) {
+      return std::uniform_int_distribution<std::int64_t>(0, aMax)(random);
     };
     std::vector<search_event> out;
     out.reserve(25);
@@ -61,13 +61,13 @@
 
   static std::string Name(int aNode) { return "n" + std::to_string(aNode); }
 
-  static void Do(fake_network& aNetwork,
-                 const search_event& aEvent,
-                 std::uint64_t aVersion)
+  static void ApplyFault(fake_network& aNetwork,
+                         const search_event& aEvent,
+                         std::uint64_t aVersion)
   {
     const std::string name = Name(aEvent.mNode);
     auto& node = aNetwork.At(name);
-    switch (aEvent.mFault) {
+    switch (aEvent.mKind) {
       case fault::kKill:
         aNetwork.Kill(name);
         break;
@@ -82,11 +82,11 @@
           aNetwork.Resume(name);
         }
         break;
-      case fault::kSideOne:
-        aNetwork.SetSide(name, 1);
+      case fault::kJoinPartitionOne:
+        aNetwork.SetPartition(name, 1);
         break;
-      case fault::kSideZero:
-        aNetwork.SetSide(name, 0);
+      case fault::kJoinPartitionZero:
+        aNetwork.SetPartition(name, 0);
         break;
       case fault::kConfiguration:
         if (node.mRunning && !node.mPaused) {
@@ -98,20 +98,20 @@
   }
 
   // Whether `aNode` runs, undisturbed for long enough to be known.
-  static bool IsSteady(const fake_network& aNetwork,
+  static bool IsStable(const fake_network& aNetwork,
                        const fake_network::node& aNode)
   {
     return aNode.mRunning && !aNode.mPaused &&
-           aNetwork.Now() - aNode.mSteadySince >= kReturnBound;
+           aNetwork.Now() - aNode.mStableSince >= kMaxRejoinTime;
   }
 
   // What is wrong now; empty where nothing is.
-  static std::string Broken(fake_network& aNetwork)
+  static std::string FindViolation(fake_network& aNetwork)
   {
     for (const auto& [name, one] : aNetwork.Nodes()) {
       for (const auto& [otherName, other] : aNetwork.Nodes()) {
-        if (name != otherName && IsSteady(aNetwork, one) &&
-            IsSteady(aNetwork, other) && one.mSide == other.mSide &&
+        if (name != otherName && IsStable(aNetwork, one) &&
+            IsStable(aNetwork, other) && one.mPartition == other.mPartition &&
             !aNetwork.Sees(one, other)) {
           return name.Text() + " does not see " + otherName.Text();
         }
@@ -133,20 +133,20 @@
     std::uint64_t version = 1;
     for (const search_event& each : aEvents) {
       network.RunFor(each.mAfter);
-      Do(network, each, version);
-      version += each.mFault == fault::kConfiguration ? 1 : 0;
-      if (auto broken = Broken(network); !broken.empty()) {
-        return broken;
+      ApplyFault(network, each, version);
+      version += each.mKind == fault::kConfiguration ? 1 : 0;
+      if (auto violation = FindViolation(network); !violation.empty()) {
+        return violation;
       }
     }
-    return Heal(network);
+    return CheckAfterHealing(network);
   }
 
   // After healing, all views agree with what runs.
-  static std::string Heal(fake_network& aNetwork)
+  static std::string CheckAfterHealing(fake_network& aNetwork)
   {
     for (int node = 0; node < kNodes; ++node) {
-      aNetwork.SetSide(Name(node), 0);
+      aNetwork.SetPartition(Name(node), 0);
       if (aNetwork.At(Name(node)).mRunning && aNetwork.At(Name(node)).mPaused) {
         aNetwork.Resume(Name(node));
       }
@@ -161,25 +161,25 @@
         }
       }
     }
-    return Broken(aNetwork);
+    return FindViolation(aNetwork);
   }
 
   std::string Describe(std::uint64_t aSeed) const
   {
-    const auto fewest = Shorten(Events(aSeed), [&](const auto& aSome) {
-      return !Run(aSome, aSeed).empty();
+    const auto minimized = Minimize(Events(aSeed), [&](const auto& aSubset) {
+      return !Run(aSubset, aSeed).empty();
     });
     std::string out =
-      "seed " + std::to_string(aSeed) + ": " + Run(fewest, aSeed);
-    for (const search_event& each : fewest) {
+      "seed " + std::to_string(aSeed) + ": " + Run(minimized, aSeed);
+    for (const search_event& each : minimized) {
       out += " [+" + std::to_string(ToMilliseconds(each.mAfter)) + "ms fault " +
-             std::to_string(static_cast<int>(each.mFault)) + " node " +
+             std::to_string(static_cast<int>(each.mKind)) + " node " +
              std::to_string(each.mNode) + "]";
     }
     return out;
   }
 
-  std::vector<std::uint64_t> Failing(int aSeeds) const
+  std::vector<std::uint64_t> FailingSeeds(int aSeeds) const
   {
     std::vector<std::uint64_t> out;
     for (int seed = 1; seed <= aSeeds; ++seed) {
@@ -191,7 +191,7 @@
     return out;
   }
 
-  static int Seeds()
+  static int SeedCount()
   {
     const char* const asked = std::getenv("THORNHOLLOW_MEMBER_SEEDS");
     return asked == nullptr ? kSeedsInCi : std::atoi(asked);
@@ -203,8 +203,8 @@
   // Instances die, restart, pause and are cut off while datagrams are lost,
   // repeated and late. Two that run and reach each other must not stay apart:
   // each would refuse keys that the other witnesses, and miss configurations.
-  const auto failing = Failing(Seeds());
-  MESSAGE("seeds ", Seeds(), ", failing ", failing.size());
+  const auto failing = FailingSeeds(SeedCount());
+  MESSAGE("seeds ", SeedCount(), ", failing ", failing.size());
   for (const std::uint64_t seed : failing) {
     FAIL_CHECK(Describe(seed));
   }
@@ -223,9 +223,9 @@
 // The search finds faults as soon as members have no time to contradict.
 TEST_CASE_FIXTURE(member_search, "member_search/no_suspicion/views_are_wrong")
 {
-  mSettings.mSuspicion = duration::zero();
-  mSettings.mHelpers = 0;
-  const auto failing = Failing(kSeedsInCi);
+  mSettings.mSuspicionTimeout = duration::zero();
+  mSettings.mIndirectProbers = 0;
+  const auto failing = FailingSeeds(kSeedsInCi);
   MESSAGE("without suspicion: ", failing.size(), " of ", kSeedsInCi);
   CHECK(!failing.empty());
 }
--- a/thornhollow/fleet/membership.cc
+++ b/thornhollow/fleet/membership.cc
@@ -12,23 +12,23 @@
 namespace {
 
 // Pings in other members' place at a time; each ends within a second.
-constexpr std::size_t kMaxRelays = 64;
+constexpr std::size_t kMaxIndirectPings = 64;
 // Of what a datagram holds beside its head, the part that pressures may take.
-constexpr std::size_t kPressureShare = 2;
+constexpr std::size_t kPressureDivisor = 2;
 
 // As many entries as fit, starting at a random one, so that none is left out
 // of every message.
 template<class entry>
 void
-FillFrom(std::vector<entry>& aOut,
-         const std::vector<entry>& aAll,
-         std::size_t& aRoom,
-         std::mt19937_64& aRandom)
+AppendWhileFits(std::vector<entry>& aOut,
+                const std::vector<entry>& aAll,
+                std::size_t& aRoom,
+                std::mt19937_64& aRandom)
 {
   const std::size_t first = aAll.empty() ? 0 : aRandom() % aAll.size();
   for (std::size_t count = 0; count < aAll.size(); ++count) {
     const entry& each = aAll[(first + count) % aAll.size()];
-    const std::size_t bound = EntryBound(each);
+    const std::size_t bound = MaxEntrySize(each);
     if (bound > aRoom || aOut.size() >= kMaxMessageEntries) {
       return;
     }
@@ -39,7 +39,9 @@
 
 // What the step from one digest to the next means to others.
 std::vector<member_change>
-Changes(const member_digest& aOld, const member_digest& aNew, bool aFirst)
+ChangesBetween(const member_digest& aOld,
+               const member_digest& aNew,
+               bool aFirst)
 {
   std::vector<member_change> out;
   const bool wasRemoved = aOld.mStatus == member_status::kRemoved;
@@ -52,7 +54,7 @@
   if (aFirst) {
     out.push_back(member_change::kJoined);
   } else if (wasRemoved) {
-    out.push_back(member_change::kReturned);
+    out.push_back(member_change::kRejoined);
   } else if (aOld.mVersion.mEpoch != aNew.mVersion.mEpoch) {
     out.push_back(member_change::kRestarted);
   } else if (aOld.mStatus > aNew.mStatus) {
@@ -91,19 +93,19 @@
 membership::OnInstances(const instance_list& aList, time_point aNow)
 {
   membership_actions out;
-  Observe(aNow, out);
+  DetectPause(aNow, out);
   if (aList.mVersion < mListVersion) {
     return out;
   }
   mListVersion = aList.mVersion;
-  mOthers.clear();
+  mOtherDomains.clear();
   for (auto& [name, each] : mMembers) {
     each.mListed = false;
   }
   const bool first = mMembers.empty();
   for (const listed_instance& each : aList.mInstances) {
     if (each.mDomain != mDomain) {
-      mOthers[each.mDomain].push_back(each);
+      mOtherDomains[each.mDomain].push_back(each);
     } else if (each.mName != mSelf.mName &&
                (mMembers.contains(each.mName) ||
                 mMembers.size() < mSettings.mMaxMembers)) {
@@ -113,9 +115,9 @@
       listed.mDigest.mAddress = each.mAddress;
     }
   }
-  Forget(aNow);
+  PurgeMembers(aNow);
   for (std::size_t count = 0; first && count < mSettings.mFanout; ++count) {
-    PingAbsent(aNow, out);
+    PingNotAlive(aNow, out);
   }
   return out;
 }
@@ -124,30 +126,30 @@
 membership::OnMessage(const gossip_message& aMessage, time_point aNow)
 {
   membership_actions out;
-  Observe(aNow, out);
+  DetectPause(aNow, out);
   if (mLeft || aMessage.mSender.mName == mSelf.mName) {
     return out;
   }
   if (aMessage.mDomain == mDomain) {
-    TakeDigest(aMessage.mSender, aNow, out);
+    MergeDigest(aMessage.mSender, aNow, out);
     for (const member_digest& each : aMessage.mMembers) {
-      TakeDigest(each, aNow, out);
+      MergeDigest(each, aNow, out);
     }
     for (const pool_pressure& each : aMessage.mPressures) {
-      mShared.TakePressure(each, aNow);
+      mShared.MergePressure(each, aNow);
     }
   }
-  TakeConfiguration(aMessage, aNow, out);
-  TakeShared(aMessage, aNow, out);
+  CheckConfigurationVersion(aMessage, aNow, out);
+  MergeLeavingEndpoints(aMessage, aNow, out);
   switch (aMessage.mKind) {
     case gossip_kind::kPing:
-      Answer(aMessage, aNow, out);
+      SendAck(aMessage, aNow, out);
       break;
     case gossip_kind::kAck:
-      TakeAck(aMessage, aNow, out);
+      HandleAck(aMessage, aNow, out);
       break;
     case gossip_kind::kPingRequest:
-      RelayPing(aMessage, aNow, out);
+      ForwardPing(aMessage, aNow, out);
       break;
     case gossip_kind::kPush:
       break;
@@ -159,28 +161,28 @@
 membership::Tick(time_point aNow)
 {
   membership_actions out;
-  Observe(aNow, out);
+  DetectPause(aNow, out);
   if (mLeft) {
     return out;
   }
   mShared.Expire(aNow);
-  EndSuspicions(aNow, out);
+  ExpireSuspicions(aNow, out);
   AdvanceProbe(aNow, out);
   if (mRefreshUntil && aNow >= *mRefreshUntil) {
     EndRefresh(false, out);
   }
   if (aNow >= mNextProbe) {
     mNextProbe = aNow + mSettings.mProbeInterval;
-    Forget(aNow);
+    PurgeMembers(aNow);
     StartProbe(aNow, out);
     // One that sees nobody alive has no probes to spend, and is to be found
     // sooner: at one ping an interval, two members alone on one side of a
     // partition took more than fifteen seconds when two pings were lost.
-    const std::size_t absent = mProbe ? 1 : mSettings.mFanout;
-    for (std::size_t count = 0; count < absent; ++count) {
-      PingAbsent(aNow, out);
+    const std::size_t pingCount = mProbe ? 1 : mSettings.mFanout;
+    for (std::size_t count = 0; count < pingCount; ++count) {
+      PingNotAlive(aNow, out);
     }
-    PingLinks(gossip_kind::kPing, aNow, out);
+    SendToOtherDomains(gossip_kind::kPing, aNow, out);
   }
   return out;
 }
@@ -189,11 +191,11 @@
 membership::OnConfiguration(std::uint64_t aVersion, time_point aNow)
 {
   membership_actions out;
-  Observe(aNow, out);
+  DetectPause(aNow, out);
   if (!mLeft && aVersion > mConfigurationVersion) {
     mConfigurationVersion = aVersion;
-    PushNews(aNow, out);
-    PingLinks(gossip_kind::kPush, aNow, out);
+    PushUpdates(aNow, out);
+    SendToOtherDomains(gossip_kind::kPush, aNow, out);
   }
   return out;
 }
@@ -204,12 +206,12 @@
                               time_point aNow)
 {
   membership_actions out;
-  Observe(aNow, out);
+  DetectPause(aNow, out);
   // An endpoint repeats itself with each answer; the first time is news.
   if (!mLeft && !mShared.IsLeaving(aEndpoint, aNow)) {
     mShared.AddLeaving(aEndpoint, aFor, aNow);
-    PushNews(aNow, out);
-    PingLinks(gossip_kind::kPush, aNow, out);
+    PushUpdates(aNow, out);
+    SendToOtherDomains(gossip_kind::kPush, aNow, out);
   }
   return out;
 }
@@ -217,16 +219,16 @@
 void
 membership::OnPressure(const pool_pressure& aPressure, time_point aNow)
 {
-  mShared.SetOwn(aPressure, aNow);
+  mShared.SetOwnPressure(aPressure, aNow);
 }
 
 membership_actions
 membership::Drain(time_point aNow)
 {
   membership_actions out;
-  Observe(aNow, out);
+  DetectPause(aNow, out);
   mSelf.mDraining = true;
-  RaiseRevision(aNow, out);
+  RaiseIncarnation(aNow, out);
   return out;
 }
 
@@ -234,9 +236,9 @@
 membership::Leave(time_point aNow)
 {
   membership_actions out;
-  Observe(aNow, out);
+  DetectPause(aNow, out);
   mSelf.mStatus = member_status::kRemoved;
-  RaiseRevision(aNow, out);
+  RaiseIncarnation(aNow, out);
   mLeft = true;
   return out;
 }
@@ -264,7 +266,7 @@
 }
 
 void
-membership::Observe(time_point aNow, membership_actions& aOut)
+membership::DetectPause(time_point aNow, membership_actions& aOut)
 {
   if (!mLastCall) {
     // Daemons that start together don't probe together for good.
@@ -273,7 +275,7 @@
       static_cast<std::uint64_t>(mSettings.mProbeInterval.count())));
     mNextProbe = aNow + phase;
   } else if (aNow - *mLastCall > mSettings.mClockGap) {
-    aOut.emplace_back(was_paused{ aNow - *mLastCall });
+    aOut.emplace_back(process_paused{ aNow - *mLastCall });
     StartRefresh(aNow, aOut);
   }
   mLastCall = aNow;
@@ -283,14 +285,14 @@
 membership::StartRefresh(time_point aNow, membership_actions& aOut)
 {
   mProbe.reset();
-  mRelays.clear();
+  mIndirectPings.clear();
   for (auto& [name, each] : mMembers) {
-    each.mSince = aNow;
+    each.mStatusSince = aNow;
   }
-  mFirstFreshExchange = mNextExchange;
-  mRefreshUntil = aNow + mSettings.mRefreshLimit;
-  ++mSelf.mVersion.mRevision;
-  for (const member* each : Sample(mSettings.mFanout, mSelf.mName)) {
+  mFirstExchangeAfterPause = mNextExchange;
+  mRefreshUntil = aNow + mSettings.mRefreshTimeout;
+  ++mSelf.mVersion.mIncarnation;
+  for (const member* each : SampleAlive(mSettings.mFanout, mSelf.mName)) {
     SendTo(each->mDigest.mName,
            Compose(gossip_kind::kPing, mNextExchange++, {}),
            aNow,
@@ -299,19 +301,19 @@
 }
 
 void
-membership::EndRefresh(bool aHeard, membership_actions& aOut)
+membership::EndRefresh(bool aPeerResponded, membership_actions& aOut)
 {
   mRefreshUntil.reset();
-  aOut.emplace_back(refreshed{ aHeard });
+  aOut.emplace_back(refresh_finished{ aPeerResponded });
 }
 
 void
-membership::TakeDigest(const member_digest& aDigest,
-                       time_point aNow,
-                       membership_actions& aOut)
+membership::MergeDigest(const member_digest& aDigest,
+                        time_point aNow,
+                        membership_actions& aOut)
 {
   if (aDigest.mName == mSelf.mName) {
-    TakeOwnDigest(aDigest, aNow, aOut);
+    HandleOwnDigest(aDigest, aNow, aOut);
     return;
   }
   const auto found = mMembers.find(aDigest.mName);
@@ -319,7 +321,7 @@
     // An unknown member that is gone is of no use; it would only be spread.
     if (aDigest.mStatus != member_status::kRemoved &&
         mMembers.size() < mSettings.mMaxMembers) {
-      Update(mMembers[aDigest.mName], aDigest, aNow, aOut);
+      ApplyDigest(mMembers[aDigest.mName], aDigest, aNow, aOut);
     }
     return;
   }
@@ -328,14 +330,14 @@
   const bool worse = aDigest.mVersion == known.mDigest.mVersion &&
                      aDigest.mStatus > known.mDigest.mStatus;
   if (known.mListedOnly || newer || worse) {
-    Update(known, aDigest, aNow, aOut);
+    ApplyDigest(known, aDigest, aNow, aOut);
   }
 }
 
 void
-membership::TakeOwnDigest(const member_digest& aDigest,
-                          time_point aNow,
-                          membership_actions& aOut)
+membership::HandleOwnDigest(const member_digest& aDigest,
+                            time_point aNow,
+                            membership_actions& aOut)
 {
   if (aDigest.mVersion.mEpoch > mSelf.mVersion.mEpoch) {
     aOut.emplace_back(superseded{ aDigest.mVersion.mEpoch });
@@ -343,32 +345,32 @@
   }
   if (aDigest.mStatus != member_status::kAlive &&
       aDigest.mVersion >= mSelf.mVersion) {
-    mSelf.mVersion.mRevision = aDigest.mVersion.mRevision;
-    RaiseRevision(aNow, aOut);
+    mSelf.mVersion.mIncarnation = aDigest.mVersion.mIncarnation;
+    RaiseIncarnation(aNow, aOut);
   }
 }
 
 void
-membership::Update(member& aMember,
-                   const member_digest& aDigest,
-                   time_point aNow,
-                   membership_actions& aOut)
+membership::ApplyDigest(member& aMember,
+                        const member_digest& aDigest,
+                        time_point aNow,
+                        membership_actions& aOut)
 {
   const bool first = std::exchange(aMember.mListedOnly, false);
   const member_digest old = std::exchange(aMember.mDigest, aDigest);
-  aMember.mToSpread = SpreadCount();
+  aMember.mTransmissionsLeft = MaxTransmissions();
   if (first || old.mStatus != aDigest.mStatus) {
-    aMember.mSince = aNow;
+    aMember.mStatusSince = aNow;
   }
-  for (const member_change change : Changes(old, aDigest, first)) {
+  for (const member_change change : ChangesBetween(old, aDigest, first)) {
     aOut.emplace_back(member_changed{ aDigest.mName, change });
   }
 }
 
 void
-membership::TakeConfiguration(const gossip_message& aMessage,
-                              time_point aNow,
-                              membership_actions& aOut)
+membership::CheckConfigurationVersion(const gossip_message& aMessage,
+                                      time_point aNow,
+                                      membership_actions& aOut)
 {
   const std::uint64_t version = aMessage.mConfigurationVersion;
   if (version <= mConfigurationVersion) {
@@ -383,63 +385,68 @@
 }
 
 void
-membership::TakeShared(const gossip_message& aMessage,
-                       time_point aNow,
-                       membership_actions& aOut)
+membership::MergeLeavingEndpoints(const gossip_message& aMessage,
+                                  time_point aNow,
+                                  membership_actions& aOut)
 {
-  bool news = false;
+  bool hasUpdates = false;
   for (const leaving_endpoint& each : aMessage.mLeaving) {
-    if (mShared.TakeLeaving(each, aNow)) {
-      news = true;
-      aOut.emplace_back(endpoint_leaves{
-        each.mEndpoint, aNow + std::min(each.mRemaining, kLeavingLife) });
+    if (mShared.MergeLeaving(each, aNow)) {
+      hasUpdates = true;
+      aOut.emplace_back(endpoint_leave_reported{
+        each.mEndpoint, aNow + std::min(each.mRemaining, kLeavingLifetime) });
     }
   }
-  if (news) {
-    PushNews(aNow, aOut);
-    PingLinks(gossip_kind::kPush, aNow, aOut);
+  if (hasUpdates) {
+    PushUpdates(aNow, aOut);
+    SendToOtherDomains(gossip_kind::kPush, aNow, aOut);
   }
 }
 
 void
-membership::TakeAck(const gossip_message& aMessage,
-                    time_point aNow,
-                    membership_actions& aOut)
+membership::HandleAck(const gossip_message& aMessage,
+                      time_point aNow,
+                      membership_actions& aOut)
 {
   if (mProbe && mProbe->mExchange == aMessage.mExchange &&
       mProbe->mTarget == aMessage.mTarget) {
     mProbe.reset();
   }
-  if (mRefreshUntil && aMessage.mExchange >= mFirstFreshExchange &&
+  if (mRefreshUntil && aMessage.mExchange >= mFirstExchangeAfterPause &&
       aMessage.mExchange < mNextExchange) {
     EndRefresh(true, aOut);
   }
-  const auto relayed =
-    std::ranges::find(mRelays, aMessage.mExchange, &relay::mExchange);
-  if (relayed != mRelays.end() && relayed->mTarget == aMessage.mTarget) {
-    SendTo(relayed->mFor,
-           Compose(gossip_kind::kAck, relayed->mForExchange, relayed->mTarget),
+  const auto forwarded = std::ranges::find(
+    mIndirectPings, aMessage.mExchange, &indirect_ping::mExchange);
+  if (forwarded != mIndirectPings.end() &&
+      forwarded->mTarget == aMessage.mTarget) {
+    SendTo(forwarded->mRequester,
+           Compose(gossip_kind::kAck,
+                   forwarded->mRequesterExchange,
+                   forwarded->mTarget),
            aNow,
            aOut);
-    mRelays.erase(relayed);
+    mIndirectPings.erase(forwarded);
   }
 }
 
 void
-membership::RelayPing(const gossip_message& aMessage,
-                      time_point aNow,
-                      membership_actions& aOut)
+membership::ForwardPing(const gossip_message& aMessage,
+                        time_point aNow,
+                        membership_actions& aOut)
 {
-  std::erase_if(mRelays,
-                [aNow](const relay& aEach) { return aEach.mUntil <= aNow; });
-  if (mRelays.size() >= kMaxRelays || !mMembers.contains(aMessage.mTarget)) {
+  std::erase_if(mIndirectPings, [aNow](const indirect_ping& aEach) {
+    return aEach.mUntil <= aNow;
+  });
+  if (mIndirectPings.size() >= kMaxIndirectPings ||
+      !mMembers.contains(aMessage.mTarget)) {
     return;
   }
-  mRelays.push_back({ mNextExchange,
-                      aMessage.mSender.mName,
-                      aMessage.mExchange,
-                      aMessage.mTarget,
-                      aNow + mSettings.mProbeTimeout });
+  mIndirectPings.push_back({ mNextExchange,
+                             aMessage.mSender.mName,
+                             aMessage.mExchange,
+                             aMessage.mTarget,
+                             aNow + mSettings.mProbeTimeout });
   SendTo(aMessage.mTarget,
          Compose(gossip_kind::kPing, mNextExchange++, {}),
          aNow,
@@ -447,16 +454,16 @@
 }
 
 void
-membership::Answer(const gossip_message& aPing,
-                   time_point aNow,
-                   membership_actions& aOut)
+membership::SendAck(const gossip_message& aPing,
+                    time_point aNow,
+                    membership_actions& aOut)
 {
   gossip_message ack = Compose(gossip_kind::kAck, aPing.mExchange, mSelf.mName);
   if (aPing.mDomain == mDomain) {
     SendTo(aPing.mSender.mName, std::move(ack), aNow, aOut);
     return;
   }
-  Fill(ack, aPing.mSender.mName, false, aNow);
+  Piggyback(ack, aPing.mSender.mName, false, aNow);
   aOut.emplace_back(send_datagram{
     aPing.mSender.mName, aPing.mSender.mAddress, std::move(ack) });
 }
@@ -471,10 +478,11 @@
     FailProbe(aNow, aOut);
     return;
   }
-  if (!mProbe->mHelpersAsked &&
+  if (!mProbe->mIndirectProbesSent &&
       aNow - mProbe->mStarted >= mSettings.mAckTimeout) {
-    mProbe->mHelpersAsked = true;
-    for (const member* each : Sample(mSettings.mHelpers, mProbe->mTarget)) {
+    mProbe->mIndirectProbesSent = true;
+    for (const member* each :
+         SampleAlive(mSettings.mIndirectProbers, mProbe->mTarget)) {
       SendTo(
         each->mDigest.mName,
         Compose(gossip_kind::kPingRequest, mProbe->mExchange, mProbe->mTarget),
@@ -495,13 +503,13 @@
   }
   member_digest suspect = found->second.mDigest;
   suspect.mStatus = member_status::kSuspect;
-  Update(found->second, suspect, aNow, aOut);
+  ApplyDigest(found->second, suspect, aNow, aOut);
   // One that runs hears of it at once and can contradict.
   SendTo(failed.mTarget,
          Compose(gossip_kind::kPing, mNextExchange++, {}),
          aNow,
          aOut);
-  PushNews(aNow, aOut);
+  PushUpdates(aNow, aOut);
 }
 
 void
@@ -518,22 +526,22 @@
 }
 
 void
-membership::PingAbsent(time_point aNow, membership_actions& aOut)
+membership::PingNotAlive(time_point aNow, membership_actions& aOut)
 {
-  const auto isAbsent = [](const auto& aEntry) {
+  const auto isNotAlive = [](const auto& aEntry) {
     return aEntry.second.mListedOnly ||
            aEntry.second.mDigest.mStatus != member_status::kAlive;
   };
   // In turn: with random picks two members alone on one side of a partition
   // were seen to miss each other for longer than fifteen seconds.
-  auto next =
-    std::find_if(mMembers.upper_bound(mLastAbsent), mMembers.end(), isAbsent);
+  auto next = std::find_if(
+    mMembers.upper_bound(mLastNotAlive), mMembers.end(), isNotAlive);
   if (next == mMembers.end()) {
-    next = std::ranges::find_if(mMembers, isAbsent);
+    next = std::ranges::find_if(mMembers, isNotAlive);
   }
   if (next != mMembers.end()) {
-    mLastAbsent = next->first;
-    SendTo(mLastAbsent,
+    mLastNotAlive = next->first;
+    SendTo(mLastNotAlive,
            Compose(gossip_kind::kPing, mNextExchange++, {}),
            aNow,
            aOut);
@@ -541,55 +549,55 @@
 }
 
 void
-membership::PingLinks(gossip_kind aKind,
-                      time_point aNow,
-                      membership_actions& aOut)
+membership::SendToOtherDomains(gossip_kind aKind,
+                               time_point aNow,
+                               membership_actions& aOut)
 {
-  for (const auto& [domain, listed] : mOthers) {
-    if (!HoldsLinkTo(domain)) {
+  for (const auto& [domain, listed] : mOtherDomains) {
+    if (!IsBridgeTo(domain)) {
       continue;
     }
     // A random one: a listed instance that is gone costs one interval.
     const listed_instance& to = listed[mRandom() % listed.size()];
     gossip_message message = Compose(aKind, mNextExchange++, {});
-    Fill(message, to.mName, false, aNow);
+    Piggyback(message, to.mName, false, aNow);
     aOut.emplace_back(
       send_datagram{ to.mName, to.mAddress, std::move(message) });
   }
 }
 
 void
-membership::EndSuspicions(time_point aNow, membership_actions& aOut)
+membership::ExpireSuspicions(time_point aNow, membership_actions& aOut)
 {
-  bool news = false;
+  bool hasUpdates = false;
   for (auto& [name, each] : mMembers) {
     if (each.mListedOnly || each.mDigest.mStatus != member_status::kSuspect ||
-        aNow - each.mSince < mSettings.mSuspicion) {
+        aNow - each.mStatusSince < mSettings.mSuspicionTimeout) {
       continue;
     }
     member_digest removed = each.mDigest;
     removed.mStatus = member_status::kRemoved;
-    Update(each, removed, aNow, aOut);
-    news = true;
+    ApplyDigest(each, removed, aNow, aOut);
+    hasUpdates = true;
   }
-  if (news) {
-    PushNews(aNow, aOut);
+  if (hasUpdates) {
+    PushUpdates(aNow, aOut);
   }
 }
 
 void
-membership::PushNews(time_point aNow, membership_actions& aOut)
+membership::PushUpdates(time_point aNow, membership_actions& aOut)
 {
-  for (const member* each : Sample(mSettings.mFanout, mSelf.mName)) {
+  for (const member* each : SampleAlive(mSettings.mFanout, mSelf.mName)) {
     SendTo(each->mDigest.mName, Compose(gossip_kind::kPush, 0, {}), aNow, aOut);
   }
 }
 
 void
-membership::RaiseRevision(time_point aNow, membership_actions& aOut)
+membership::RaiseIncarnation(time_point aNow, membership_actions& aOut)
 {
-  ++mSelf.mVersion.mRevision;
-  PushNews(aNow, aOut);
+  ++mSelf.mVersion.mIncarnation;
+  PushUpdates(aNow, aOut);
 }
 
 std::optional<instance_name>
@@ -616,7 +624,7 @@
 }
 
 std::vector<const membership::member*>
-membership::Sample(std::size_t aCount, const instance_name& aExcept)
+membership::SampleAlive(std::size_t aCount, const instance_name& aExcept)
 {
   std::vector<const member*> all;
   for (const auto& [name, each] : mMembers) {
@@ -632,7 +640,7 @@
 }
 
 bool
-membership::HoldsLinkTo(const domain_name& aDomain) const
+membership::IsBridgeTo(const domain_name& aDomain) const
 {
   std::vector<std::string_view> names{ mSelf.mName.Text() };
   for (const auto& [name, each] : mMembers) {
@@ -643,11 +651,11 @@
   const auto ranked = RankByRendezvous(Hash64(aDomain.Text()), names);
   const auto own = std::ranges::find(ranked, std::size_t{ 0 });
   return own - ranked.begin() <
-         static_cast<std::ptrdiff_t>(mSettings.mLinkHolders);
+         static_cast<std::ptrdiff_t>(mSettings.mBridgesPerDomain);
 }
 
 std::uint32_t
-membership::SpreadCount() const
+membership::MaxTransmissions() const
 {
   // Three times the number of rounds that gossip needs to reach all.
   return 3 * static_cast<std::uint32_t>(std::bit_width(mMembers.size() + 1));
@@ -669,29 +677,30 @@
 }
 
 void
-membership::Fill(gossip_message& aMessage,
-                 const instance_name& aTo,
-                 bool aSameDomain,
-                 time_point aNow)
+membership::Piggyback(gossip_message& aMessage,
+                      const instance_name& aTo,
+                      bool aSameDomain,
+                      time_point aNow)
 {
-  std::size_t room = kMaxDatagramBytes - HeadBound(aMessage);
-  FillFrom(aMessage.mLeaving, mShared.Leaving(aNow), room, mRandom);
+  std::size_t room = kMaxDatagramBytes - MaxHeaderSize(aMessage);
+  AppendWhileFits(aMessage.mLeaving, mShared.Leaving(aNow), room, mRandom);
   if (!aSameDomain) {
     return;
   }
-  std::size_t forPressures = room / kPressureShare;
-  room -= forPressures;
-  FillFrom(aMessage.mPressures, mShared.ToTell(aNow), forPressures, mRandom);
-  FillMembers(aMessage, aTo, room + forPressures);
+  std::size_t pressureRoom = room / kPressureDivisor;
+  room -= pressureRoom;
+  AppendWhileFits(
+    aMessage.mPressures, mShared.PressuresToSend(aNow), pressureRoom, mRandom);
+  PiggybackMembers(aMessage, aTo, room + pressureRoom);
 }
 
 void
-membership::FillMembers(gossip_message& aMessage,
-                        const instance_name& aTo,
-                        std::size_t aRoom)
+membership::PiggybackMembers(gossip_message& aMessage,
+                             const instance_name& aTo,
+                             std::size_t aRoom)
 {
   const auto add = [&](const member& aEach) {
-    const std::size_t bound = EntryBound(aEach.mDigest);
+    const std::size_t bound = MaxEntrySize(aEach.mDigest);
     if (aEach.mListedOnly || bound > aRoom ||
         aMessage.mMembers.size() >= kMaxMessageEntries ||
         std::ranges::find(aMessage.mMembers,
@@ -710,17 +719,17 @@
     add(found->second);
   }
   for (auto& [name, each] : mMembers) {
-    if (each.mToSpread > 0 && add(each)) {
-      --each.mToSpread;
+    if (each.mTransmissionsLeft > 0 && add(each)) {
+      --each.mTransmissionsLeft;
     }
   }
-  auto next = mMembers.upper_bound(mLastRepeated);
+  auto next = mMembers.upper_bound(mLastAntiEntropyMember);
   for (std::size_t count = 0;
-       count < std::min(mSettings.mRepeatedMembers, mMembers.size());
+       count < std::min(mSettings.mAntiEntropyMembers, mMembers.size());
        ++count) {
     next = next == mMembers.end() ? mMembers.begin() : next;
     add(next->second);
-    mLastRepeated = next->first;
+    mLastAntiEntropyMember = next->first;
     ++next;
   }
 }
@@ -732,20 +741,21 @@
                    membership_actions& aOut)
 {
   if (const auto found = mMembers.find(aTo); found != mMembers.end()) {
-    Fill(aMessage, aTo, true, aNow);
+    Piggyback(aMessage, aTo, true, aNow);
     aOut.emplace_back(send_datagram{
       aTo, found->second.mDigest.mAddress, std::move(aMessage) });
   }
 }
 
 void
-membership::Forget(time_point aNow)
+membership::PurgeMembers(time_point aNow)
 {
   std::erase_if(mMembers, [&](const auto& aEntry) {
     const member& each = aEntry.second;
-    return !each.mListed && (each.mListedOnly ||
-                             (each.mDigest.mStatus == member_status::kRemoved &&
-                              aNow - each.mSince >= mSettings.mForgetAfter));
+    return !each.mListed &&
+           (each.mListedOnly ||
+            (each.mDigest.mStatus == member_status::kRemoved &&
+             aNow - each.mStatusSince >= mSettings.mTombstoneLifetime));
   });
 }
 
--- a/thornhollow/fleet/membership.h
+++ b/thornhollow/fleet/membership.h
@@ -58,21 +58,21 @@
   duration mProbeTimeout = Milliseconds(750);
   // How long a suspected member has to contradict: news reaches all 38 of a
   // domain within one to two intervals, so three leave room for loss.
-  duration mSuspicion = Seconds(3);
+  duration mSuspicionTimeout = Seconds(3);
   // A longer time between two calls is a pause of this process.
   duration mClockGap = Seconds(2);
   // How long a daemon waits for a peer after a pause.
-  duration mRefreshLimit = Seconds(1);
+  duration mRefreshTimeout = Seconds(1);
   // Removed members are kept this long, so that late news of them is known as
   // such, and probed as long as they are listed.
-  duration mForgetAfter = Seconds(60);
-  std::size_t mHelpers = 2;
+  duration mTombstoneLifetime = Seconds(60);
+  std::size_t mIndirectProbers = 2;
   // Members that hear of news at once.
   std::size_t mFanout = 4;
   // Members of a domain that hold links to each other domain.
-  std::size_t mLinkHolders = 2;
+  std::size_t mBridgesPerDomain = 2;
   // Members that a message repeats in turn beside the changes.
-  std::size_t mRepeatedMembers = 8;
+  std::size_t mAntiEntropyMembers = 8;
   // Members held; more are ignored. Letter 1's domains have 38.
   std::size_t mMaxMembers = 256;
 
@@ -99,7 +99,7 @@
   kRecovered,
   kRemoved,
   // Alive again after its removal.
-  kReturned,
+  kRejoined,
   // Another process runs under the name.
   kRestarted,
   kDraining,
@@ -127,30 +127,33 @@
 };
 
 // A peer said that this endpoint leaves: no new work may go there until then.
-struct endpoint_leaves
+struct endpoint_leave_reported
 {
   endpoint_name mEndpoint;
   time_point mUntil{};
 
-  friend bool operator==(const endpoint_leaves&,
-                         const endpoint_leaves&) = default;
+  friend bool operator==(const endpoint_leave_reported&,
+                         const endpoint_leave_reported&) = default;
 };
 
 // This process was paused for `mLength`: views, leases and deadlines from
 // before count as expired.
-struct was_paused
+struct process_paused
 {
   duration mLength{};
 
-  friend bool operator==(const was_paused&, const was_paused&) = default;
+  friend bool operator==(const process_paused&,
+                         const process_paused&) = default;
 };
 
-// The refresh after a pause is over; `mHeard` tells whether a peer answered.
-struct refreshed
+// The refresh after a pause is over; `mPeerResponded` tells whether a peer
+// answered.
+struct refresh_finished
 {
-  bool mHeard = false;
+  bool mPeerResponded = false;
 
-  friend bool operator==(const refreshed&, const refreshed&) = default;
+  friend bool operator==(const refresh_finished&,
+                         const refresh_finished&) = default;
 };
 
 // Peers know a later process of this name. This one must stop, or start again
@@ -165,9 +168,9 @@
 using membership_action = std::variant<send_datagram,
                                        member_changed,
                                        newer_configuration,
-                                       endpoint_leaves,
-                                       was_paused,
-                                       refreshed,
+                                       endpoint_leave_reported,
+                                       process_paused,
+                                       refresh_finished,
                                        superseded>;
 using membership_actions = std::vector<membership_action>;
 
@@ -226,9 +229,9 @@
     bool mListedOnly = true;
     bool mListed = false;
     // When it got its present status.
-    time_point mSince{};
+    time_point mStatusSince{};
     // Messages that still repeat its last change.
-    std::uint32_t mToSpread = 0;
+    std::uint32_t mTransmissionsLeft = 0;
   };
 
   struct probe
@@ -236,82 +239,84 @@
     instance_name mTarget;
     std::uint64_t mExchange = 0;
     time_point mStarted{};
-    bool mHelpersAsked = false;
+    bool mIndirectProbesSent = false;
   };
 
   // A ping sent in another member's place.
-  struct relay
+  struct indirect_ping
   {
     std::uint64_t mExchange = 0;
-    instance_name mFor;
-    std::uint64_t mForExchange = 0;
+    instance_name mRequester;
+    std::uint64_t mRequesterExchange = 0;
     instance_name mTarget;
     time_point mUntil{};
   };
 
   // Notes the present, and whether this process was paused.
-  void Observe(time_point aNow, membership_actions& aOut);
+  void DetectPause(time_point aNow, membership_actions& aOut);
   void StartRefresh(time_point aNow, membership_actions& aOut);
-  void EndRefresh(bool aHeard, membership_actions& aOut);
-
-  void TakeDigest(const member_digest& aDigest,
-                  time_point aNow,
-                  membership_actions& aOut);
-  void TakeOwnDigest(const member_digest& aDigest,
-                     time_point aNow,
-                     membership_actions& aOut);
-  void Update(member& aMember,
-              const member_digest& aDigest,
-              time_point aNow,
-              membership_actions& aOut);
-  void TakeShared(const gossip_message& aMessage,
-                  time_point aNow,
-                  membership_actions& aOut);
-  void TakeConfiguration(const gossip_message& aMessage,
-                         time_point aNow,
-                         membership_actions& aOut);
-  void TakeAck(const gossip_message& aMessage,
-               time_point aNow,
-               membership_actions& aOut);
-  void RelayPing(const gossip_message& aMessage,
+  void EndRefresh(bool aPeerResponded, membership_actions& aOut);
+
+  void MergeDigest(const member_digest& aDigest,
+                   time_point aNow,
+                   membership_actions& aOut);
+  void HandleOwnDigest(const member_digest& aDigest,
+                       time_point aNow,
+                       membership_actions& aOut);
+  void ApplyDigest(member& aMember,
+                   const member_digest& aDigest,
+                   time_point aNow,
+                   membership_actions& aOut);
+  void MergeLeavingEndpoints(const gossip_message& aMessage,
+                             time_point aNow,
+                             membership_actions& aOut);
+  void CheckConfigurationVersion(const gossip_message& aMessage,
+                                 time_point aNow,
+                                 membership_actions& aOut);
+  void HandleAck(const gossip_message& aMessage,
                  time_point aNow,
                  membership_actions& aOut);
-  void Answer(const gossip_message& aPing,
-              time_point aNow,
-              membership_actions& aOut);
+  void ForwardPing(const gossip_message& aMessage,
+                   time_point aNow,
+                   membership_actions& aOut);
+  void SendAck(const gossip_message& aPing,
+               time_point aNow,
+               membership_actions& aOut);
 
   void AdvanceProbe(time_point aNow, membership_actions& aOut);
   void StartProbe(time_point aNow, membership_actions& aOut);
   void FailProbe(time_point aNow, membership_actions& aOut);
   // Pings the next one that is only listed, suspected or removed, so that it
   // can return.
-  void PingAbsent(time_point aNow, membership_actions& aOut);
-  void PingLinks(gossip_kind aKind, time_point aNow, membership_actions& aOut);
-  void EndSuspicions(time_point aNow, membership_actions& aOut);
-  void PushNews(time_point aNow, membership_actions& aOut);
-  void RaiseRevision(time_point aNow, membership_actions& aOut);
+  void PingNotAlive(time_point aNow, membership_actions& aOut);
+  void SendToOtherDomains(gossip_kind aKind,
+                          time_point aNow,
+                          membership_actions& aOut);
+  void ExpireSuspicions(time_point aNow, membership_actions& aOut);
+  void PushUpdates(time_point aNow, membership_actions& aOut);
+  void RaiseIncarnation(time_point aNow, membership_actions& aOut);
 
   std::optional<instance_name> NextToProbe();
-  std::vector<const member*> Sample(std::size_t aCount,
-                                    const instance_name& aExcept);
-  bool HoldsLinkTo(const domain_name& aDomain) const;
-  std::uint32_t SpreadCount() const;
+  std::vector<const member*> SampleAlive(std::size_t aCount,
+                                         const instance_name& aExcept);
+  bool IsBridgeTo(const domain_name& aDomain) const;
+  std::uint32_t MaxTransmissions() const;
   gossip_message Compose(gossip_kind aKind,
                          std::uint64_t aExchange,
                          const instance_name& aTarget) const;
-  void Fill(gossip_message& aMessage,
-            const instance_name& aTo,
-            bool aSameDomain,
-            time_point aNow);
-  void FillMembers(gossip_message& aMessage,
-                   const instance_name& aTo,
-                   std::size_t aRoom);
+  void Piggyback(gossip_message& aMessage,
+                 const instance_name& aTo,
+                 bool aSameDomain,
+                 time_point aNow);
+  void PiggybackMembers(gossip_message& aMessage,
+                        const instance_name& aTo,
+                        std::size_t aRoom);
   // Sends to a member of the own domain; does nothing for an unknown one.
   void SendTo(const instance_name& aTo,
               gossip_message aMessage,
               time_point aNow,
               membership_actions& aOut);
-  void Forget(time_point aNow);
+  void PurgeMembers(time_point aNow);
 
   membership_settings mSettings;
   domain_name mDomain;
@@ -322,14 +327,14 @@
   std::uint64_t mListVersion = 0;
   std::map<instance_name, member> mMembers;
   // Instances of other domains as listed, by domain.
-  std::map<domain_name, std::vector<listed_instance>> mOthers;
+  std::map<domain_name, std::vector<listed_instance>> mOtherDomains;
   std::vector<instance_name> mProbeOrder;
   std::optional<probe> mProbe;
-  std::vector<relay> mRelays;
-  instance_name mLastRepeated;
-  instance_name mLastAbsent;
+  std::vector<indirect_ping> mIndirectPings;
+  instance_name mLastAntiEntropyMember;
+  instance_name mLastNotAlive;
   std::uint64_t mNextExchange;
-  std::uint64_t mFirstFreshExchange = 0;
+  std::uint64_t mFirstExchangeAfterPause = 0;
   std::optional<time_point> mRefreshUntil;
   std::optional<time_point> mLastCall;
   time_point mNextProbe{};
--- a/thornhollow/fleet/membership_test.cc
+++ b/thornhollow/fleet/membership_test.cc
@@ -36,10 +36,10 @@
 
   bool NoneSees(const std::string& aName)
   {
-    const auto& gone = mNetwork.At(aName);
+    const auto& killed = mNetwork.At(aName);
     return std::ranges::none_of(mNetwork.Nodes(), [&](const auto& aOne) {
-      return aOne.second.mRunning && aOne.first != gone.mInfo.mName &&
-             mNetwork.Sees(aOne.second, gone);
+      return aOne.second.mRunning && aOne.first != killed.mInfo.mName &&
+             mNetwork.Sees(aOne.second, killed);
     });
   }
 
@@ -70,9 +70,9 @@
   // An instance dies without a word while the platform's list keeps it. Peers
   // that went on asking it for claims would refuse callers for minutes.
   mNetwork.Kill("n3");
-  const auto taken =
-    mNetwork.RunTill([&] { return NoneSees("n3"); }, Seconds(12));
-  REQUIRE(taken.has_value());
+  const auto elapsed =
+    mNetwork.RunUntilHolds([&] { return NoneSees("n3"); }, Seconds(12));
+  REQUIRE(elapsed.has_value());
   CHECK(Count("n0", Change("n3", member_change::kRemoved)) == 1);
 }
 
@@ -102,39 +102,39 @@
   mNetwork.Resume("n2");
   const auto& actions = mNetwork.At("n2").mActions;
   REQUIRE_FALSE(actions.empty());
-  CHECK(std::holds_alternative<was_paused>(actions.front().second));
+  CHECK(std::holds_alternative<process_paused>(actions.front().second));
   CHECK(mNetwork.Core("n2").IsRefreshing());
   mNetwork.RunFor(Seconds(10));
   CHECK_FALSE(mNetwork.Core("n2").IsRefreshing());
-  CHECK(Count("n2", refreshed{ true }) == 1);
+  CHECK(Count("n2", refresh_finished{ true }) == 1);
   CHECK(AllSeeAll());
-  CHECK(Count("n0", Change("n2", member_change::kReturned)) == 1);
+  CHECK(Count("n0", Change("n2", member_change::kRejoined)) == 1);
   CHECK(Count("n2", Change("n0", member_change::kSuspected)) == 0);
 }
 
 TEST_CASE_FIXTURE(one_domain, "membership/paused_and_cut_off/serves_on")
 {
-  mNetwork.SetSide("n2", 1);
+  mNetwork.SetPartition("n2", 1);
   mNetwork.Pause("n2");
   mNetwork.RunFor(Seconds(30));
   mNetwork.Resume("n2");
   mNetwork.RunFor(Seconds(3));
   CHECK_FALSE(mNetwork.Core("n2").IsRefreshing());
-  CHECK(Count("n2", refreshed{ false }) == 1);
+  CHECK(Count("n2", refresh_finished{ false }) == 1);
 }
 
 TEST_CASE_FIXTURE(one_domain, "membership/partition_heals/all_return")
 {
   for (const char* name : { "n0", "n1", "n2" }) {
-    mNetwork.SetSide(name, 1);
+    mNetwork.SetPartition(name, 1);
   }
   mNetwork.RunFor(Seconds(20));
   CHECK_FALSE(mNetwork.Sees(mNetwork.At("n0"), mNetwork.At("n5")));
   CHECK(mNetwork.Sees(mNetwork.At("n0"), mNetwork.At("n1")));
   for (const char* name : { "n0", "n1", "n2" }) {
-    mNetwork.SetSide(name, 0);
+    mNetwork.SetPartition(name, 0);
   }
-  CHECK(mNetwork.RunTill([&] { return AllSeeAll(); }, Seconds(15)));
+  CHECK(mNetwork.RunUntilHolds([&] { return AllSeeAll(); }, Seconds(15)));
 }
 
 TEST_CASE_FIXTURE(one_domain, "membership/restart_under_its_name/is_told")
@@ -168,7 +168,7 @@
   mNetwork.RunFor(Seconds(3));
   CHECK(Count("n0", Change("n4", member_change::kDraining)) == 1);
   mNetwork.Apply(mNetwork.At("n4"), mNetwork.Core("n4").Leave(mNetwork.Now()));
-  CHECK(mNetwork.RunTill([&] { return NoneSees("n4"); }, Seconds(4)));
+  CHECK(mNetwork.RunUntilHolds([&] { return NoneSees("n4"); }, Seconds(4)));
   CHECK(Count("n0", Change("n4", member_change::kSuspected)) == 0);
 }
 
@@ -215,12 +215,13 @@
       { pool_name("dispatch"), 2, Milliseconds(80), {} }, mNetwork.Now());
     mNetwork.RunFor(Seconds(1));
   }
-  const auto heard = mNetwork.Core("n5").Shared().OfPeers(mNetwork.Now());
-  REQUIRE(heard.size() == 1);
-  CHECK(heard.front().mLowestAdmitted == 2);
+  const auto received =
+    mNetwork.Core("n5").Shared().PeerPressures(mNetwork.Now());
+  REQUIRE(received.size() == 1);
+  CHECK(received.front().mLowestAdmitted == 2);
   mNetwork.RunFor(Seconds(4));
   for (const auto& [name, each] : mNetwork.Nodes()) {
-    CHECK(each.mCore->Shared().OfPeers(mNetwork.Now()).empty());
+    CHECK(each.mCore->Shared().PeerPressures(mNetwork.Now()).empty());
   }
 }
 
@@ -243,7 +244,7 @@
     victim.OnMessage(flood, mNetwork.Now());
   }
   CHECK(victim.Alive().size() <= mNetwork.mSettings.mMaxMembers);
-  CHECK(victim.Shared().OfPeers(mNetwork.Now()).size() <= 256);
+  CHECK(victim.Shared().PeerPressures(mNetwork.Now()).size() <= 256);
   CHECK(victim.Shared().Leaving(mNetwork.Now()).size() <= 256);
 }
 
@@ -260,32 +261,34 @@
   network.Apply(network.At("hall0"),
                 network.Core("hall0").OnConfiguration(4, network.Now()));
   network.RunFor(Seconds(3));
-  bool heard = false;
+  bool received = false;
   for (const auto& [name, each] : network.Nodes()) {
     CHECK(each.mCore->Alive().size() == 3);
-    heard = heard ||
-            (each.mInfo.mDomain == domain_name("pier") &&
-             std::ranges::any_of(each.mActions, [](const auto& aSeen) {
-               return std::holds_alternative<newer_configuration>(aSeen.second);
-             }));
+    received =
+      received ||
+      (each.mInfo.mDomain == domain_name("pier") &&
+       std::ranges::any_of(each.mActions, [](const auto& aSeen) {
+         return std::holds_alternative<newer_configuration>(aSeen.second);
+       }));
   }
-  CHECK(heard);
+  CHECK(received);
 }
 
 TEST_CASE("membership/many_long_names/every_datagram_fits_its_bound")
 {
   fake_network network(link_quality{}, 3);
   std::size_t largest = 0;
-  network.mCarry = [&](const instance_name&, const send_datagram& aDatagram) {
-    std::size_t bound = HeadBound(aDatagram.mMessage);
+  network.mIntercept = [&](const instance_name&,
+                           const send_datagram& aDatagram) {
+    std::size_t bound = MaxHeaderSize(aDatagram.mMessage);
     for (const auto& each : aDatagram.mMessage.mMembers) {
-      bound += EntryBound(each);
+      bound += MaxEntrySize(each);
     }
     for (const auto& each : aDatagram.mMessage.mPressures) {
-      bound += EntryBound(each);
+      bound += MaxEntrySize(each);
     }
     for (const auto& each : aDatagram.mMessage.mLeaving) {
-      bound += EntryBound(each);
+      bound += MaxEntrySize(each);
     }
     largest = std::max(largest, bound);
     return std::optional(aDatagram.mMessage);
--- a/thornhollow/fleet/peer_messages.h
+++ b/thornhollow/fleet/peer_messages.h
@@ -32,7 +32,7 @@
 inline constexpr std::size_t kMaxNameBytes = 128;
 // Bytes of a configuration part or a manifest: the platform holds values up to
 // a megabyte.
-inline constexpr std::size_t kMaxCarriedBytes = std::size_t{ 1 } << 20;
+inline constexpr std::size_t kMaxTransferBytes = std::size_t{ 1 } << 20;
 
 // Orders what is known of one member. The epoch tells processes of the same
 // name apart (taken from the clock when the process starts); the revision is
@@ -40,7 +40,7 @@
 struct member_version
 {
   std::uint64_t mEpoch = 0;
-  std::uint64_t mRevision = 0;
+  std::uint64_t mIncarnation = 0;
 
   // clang-tidy 14 takes the 0 in the generated code for a null pointer.
   // NOLINTBEGIN(modernize-use-nullptr)
@@ -76,7 +76,7 @@
 {
   endpoint_name mEndpoint;
   // Raised for each new statement about the same endpoint.
-  std::uint64_t mStamp = 0;
+  std::uint64_t mVersion = 0;
   // How long the statement still holds.
   duration mRemaining{};
 
@@ -204,11 +204,12 @@
 };
 
 // What the sender says of its configuration; answered by the same of the other.
-struct word_exchange
+struct config_status_exchange
 {
-  config_word mWord;
+  config_word mStatus;
 
-  friend bool operator==(const word_exchange&, const word_exchange&) = default;
+  friend bool operator==(const config_status_exchange&,
+                         const config_status_exchange&) = default;
 };
 
 // One frame on the peers' TCP port.
@@ -216,7 +217,7 @@
                                     claim_answer,
                                     part_request,
                                     part_answer,
-                                    word_exchange>;
+                                    config_status_exchange>;
 
 } // namespace thornhollow
 
--- a/thornhollow/fleet/shared_state.cc
+++ b/thornhollow/fleet/shared_state.cc
@@ -13,40 +13,40 @@
 } // namespace
 
 void
-shared_state::SetOwn(const pool_pressure& aPressure, time_point aNow)
+shared_state::SetOwnPressure(const pool_pressure& aPressure, time_point aNow)
 {
-  mOwn[aPressure.mPool] = { aPressure, aNow - aPressure.mAge };
+  mOwnPressures[aPressure.mPool] = { aPressure, aNow - aPressure.mAge };
 }
 
 void
-shared_state::TakePressure(const pool_pressure& aPressure, time_point aNow)
+shared_state::MergePressure(const pool_pressure& aPressure, time_point aNow)
 {
-  const bool known = mPeers.contains(aPressure.mPool);
-  if (aPressure.mAge < kPressureLife &&
-      (known || mPeers.size() < kMaxEntries)) {
+  const bool known = mPeerPressures.contains(aPressure.mPool);
+  if (aPressure.mAge < kPressureLifetime &&
+      (known || mPeerPressures.size() < kMaxEntries)) {
     Expire(aNow);
-    Merge(mPeers, { aPressure, aNow - aPressure.mAge });
+    KeepTightest(mPeerPressures, { aPressure, aNow - aPressure.mAge });
   }
 }
 
 std::vector<pool_pressure>
-shared_state::OfPeers(time_point aNow) const
+shared_state::PeerPressures(time_point aNow) const
 {
-  return Fresh(mPeers, aNow);
+  return Unexpired(mPeerPressures, aNow);
 }
 
 std::vector<pool_pressure>
-shared_state::ToTell(time_point aNow) const
+shared_state::PressuresToSend(time_point aNow) const
 {
   pressures all;
-  for (const pressures* each : { &mOwn, &mPeers }) {
+  for (const pressures* each : { &mOwnPressures, &mPeerPressures }) {
     for (const auto& [pool, timed] : *each) {
-      if (aNow - timed.mMeasured < kPressureLife) {
-        Merge(all, timed);
+      if (aNow - timed.mMeasuredAt < kPressureLifetime) {
+        KeepTightest(all, timed);
       }
     }
   }
-  return Fresh(all, aNow);
+  return Unexpired(all, aNow);
 }
 
 leaving_endpoint
@@ -55,14 +55,15 @@
                          time_point aNow)
 {
   const auto found = mLeaving.find(aEndpoint);
-  const std::uint64_t last = found == mLeaving.end() ? 0 : found->second.mStamp;
-  leaving_endpoint out{ aEndpoint, last + 1, std::min(aFor, kLeavingLife) };
-  TakeLeaving(out, aNow);
+  const std::uint64_t last =
+    found == mLeaving.end() ? 0 : found->second.mVersion;
+  leaving_endpoint out{ aEndpoint, last + 1, std::min(aFor, kLeavingLifetime) };
+  MergeLeaving(out, aNow);
   return out;
 }
 
 bool
-shared_state::TakeLeaving(const leaving_endpoint& aLeaving, time_point aNow)
+shared_state::MergeLeaving(const leaving_endpoint& aLeaving, time_point aNow)
 {
   if (aLeaving.mRemaining <= duration::zero()) {
     return false;
@@ -71,11 +72,11 @@
   if (found == mLeaving.end() && mLeaving.size() >= kMaxEntries) {
     return false;
   }
-  if (found != mLeaving.end() && found->second.mStamp >= aLeaving.mStamp) {
+  if (found != mLeaving.end() && found->second.mVersion >= aLeaving.mVersion) {
     return false;
   }
   mLeaving[aLeaving.mEndpoint] = {
-    aLeaving.mStamp, aNow + std::min(aLeaving.mRemaining, kLeavingLife)
+    aLeaving.mVersion, aNow + std::min(aLeaving.mRemaining, kLeavingLifetime)
   };
   return true;
 }
@@ -85,8 +86,8 @@
 {
   std::vector<leaving_endpoint> out;
   for (const auto& [endpoint, timed] : mLeaving) {
-    if (timed.mUntil > aNow) {
-      out.push_back({ endpoint, timed.mStamp, timed.mUntil - aNow });
+    if (timed.mExpiresAt > aNow) {
+      out.push_back({ endpoint, timed.mVersion, timed.mExpiresAt - aNow });
     }
   }
   return out;
@@ -96,47 +97,47 @@
 shared_state::IsLeaving(const endpoint_name& aEndpoint, time_point aNow) const
 {
   const auto found = mLeaving.find(aEndpoint);
-  return found != mLeaving.end() && found->second.mUntil > aNow;
+  return found != mLeaving.end() && found->second.mExpiresAt > aNow;
 }
 
 void
 shared_state::Expire(time_point aNow)
 {
-  const auto old = [aNow](const auto& aEntry) {
-    return aNow - aEntry.second.mMeasured >= kPressureLife;
+  const auto isExpired = [aNow](const auto& aEntry) {
+    return aNow - aEntry.second.mMeasuredAt >= kPressureLifetime;
   };
-  std::erase_if(mOwn, old);
-  std::erase_if(mPeers, old);
+  std::erase_if(mOwnPressures, isExpired);
+  std::erase_if(mPeerPressures, isExpired);
   std::erase_if(mLeaving, [aNow](const auto& aEntry) {
-    return aNow - aEntry.second.mUntil >= kLeavingLife;
+    return aNow - aEntry.second.mExpiresAt >= kLeavingLifetime;
   });
 }
 
 void
-shared_state::Merge(pressures& aInto, const timed_pressure& aNew)
+shared_state::KeepTightest(pressures& aInto, const timed_pressure& aNew)
 {
   const auto [at, added] = aInto.try_emplace(aNew.mPressure.mPool, aNew);
   if (added) {
     return;
   }
   const int known = at->second.mPressure.mLowestAdmitted;
-  const int heard = aNew.mPressure.mLowestAdmitted;
+  const int received = aNew.mPressure.mLowestAdmitted;
   // A smaller number admits fewer tiers. Of equal ones the younger counts, else
   // a wait that has gone down would be kept at its old length.
-  if (heard < known ||
-      (heard == known && aNew.mMeasured > at->second.mMeasured)) {
+  if (received < known ||
+      (received == known && aNew.mMeasuredAt > at->second.mMeasuredAt)) {
     at->second = aNew;
   }
 }
 
 std::vector<pool_pressure>
-shared_state::Fresh(const pressures& aFrom, time_point aNow)
+shared_state::Unexpired(const pressures& aFrom, time_point aNow)
 {
   std::vector<pool_pressure> out;
   for (const auto& [pool, timed] : aFrom) {
-    if (aNow - timed.mMeasured < kPressureLife) {
+    if (aNow - timed.mMeasuredAt < kPressureLifetime) {
       out.push_back(timed.mPressure);
-      out.back().mAge = aNow - timed.mMeasured;
+      out.back().mAge = aNow - timed.mMeasuredAt;
     }
   }
   return out;
--- a/thornhollow/fleet/testing/fake_key_fleet.h
+++ b/thornhollow/fleet/testing/fake_key_fleet.h
@@ -370,17 +370,17 @@
                 const std::function<void()>& aOnArrival)
   {
     if (mNodes[aFrom].mPartition != mNodes[aTo].mPartition ||
-        WithProbability(mLinkQuality.mLost)) {
+        WithProbability(mLinkQuality.mLossRate)) {
       return;
     }
-    const int copies = WithProbability(mLinkQuality.mRepeated) ? 2 : 1;
+    const int copies = WithProbability(mLinkQuality.mDuplicationRate) ? 2 : 1;
     for (int copy = 0; copy < copies; ++copy) {
-      const std::int64_t longest =
-        WithProbability(mLinkQuality.mLate) ? 2'000 : 2;
+      const std::int64_t maxDelay =
+        WithProbability(mLinkQuality.mDelayRate) ? 2'000 : 2;
       ScheduleOnProcess(
         aTo,
         Milliseconds(
-          std::uniform_int_distribution<std::int64_t>(0, longest)(mRandom)),
+          std::uniform_int_distribution<std::int64_t>(0, maxDelay)(mRandom)),
         aOnArrival);
     }
   }
--- a/thornhollow/fleet/testing/fake_network.h
+++ b/thornhollow/fleet/testing/fake_network.h
@@ -28,10 +28,10 @@
 struct link_quality
 {
   // Shares of datagrams, 0 to 1.
-  double mLost = 0;
-  double mRepeated = 0;
+  double mLossRate = 0;
+  double mDuplicationRate = 0;
   // Arrive up to two seconds late.
-  double mLate = 0;
+  double mDelayRate = 0;
 
   friend bool operator==(const link_quality&, const link_quality&) = default;
 };
@@ -46,18 +46,18 @@
     bool mRunning = true;
     bool mPaused = false;
     // Datagrams pass between nodes of one side only.
-    int mSide = 0;
+    int mPartition = 0;
     std::uint64_t mEpoch = 1;
     // Arrived while paused.
     std::vector<gossip_message> mInbox;
     // Every action but datagrams, with its time.
     std::vector<std::pair<time_point, membership_action>> mActions;
     // Since when the node runs undisturbed.
-    time_point mSteadySince{};
+    time_point mStableSince{};
   };
 
   fake_network(const link_quality& aQuality, std::uint64_t aSeed)
-    : mQuality(aQuality)
+    : mLinkQuality(aQuality)
     , mRandom(aSeed)
   {
   }
@@ -65,7 +65,7 @@
   // Sees each datagram that leaves a node; returns what arrives.
   std::function<std::optional<gossip_message>(const instance_name& aFrom,
                                               const send_datagram&)>
-    mCarry;
+    mIntercept;
   membership_settings mSettings;
 
   void Add(const std::string& aName, const std::string& aDomain)
@@ -96,40 +96,40 @@
 
   void Kill(const std::string& aName)
   {
-    node& gone = At(aName);
-    gone.mRunning = false;
-    gone.mInbox.clear();
+    node& killed = At(aName);
+    killed.mRunning = false;
+    killed.mInbox.clear();
   }
 
   // A new process under the same name, with no memory.
   void Restart(const std::string& aName)
   {
-    node& again = At(aName);
-    ++again.mEpoch;
-    again.mRunning = true;
-    again.mPaused = false;
-    Start(again);
-    Apply(again, again.mCore->OnInstances(mList, mNow));
+    node& restarted = At(aName);
+    ++restarted.mEpoch;
+    restarted.mRunning = true;
+    restarted.mPaused = false;
+    Start(restarted);
+    Apply(restarted, restarted.mCore->OnInstances(mList, mNow));
   }
 
   void Pause(const std::string& aName) { At(aName).mPaused = true; }
 
   void Resume(const std::string& aName)
   {
-    node& woken = At(aName);
-    woken.mPaused = false;
-    woken.mSteadySince = mNow;
+    node& resumed = At(aName);
+    resumed.mPaused = false;
+    resumed.mStableSince = mNow;
     // What waited in the socket comes before the next tick.
-    for (const gossip_message& each : std::exchange(woken.mInbox, {})) {
-      Apply(woken, woken.mCore->OnMessage(each, mNow));
+    for (const gossip_message& each : std::exchange(resumed.mInbox, {})) {
+      Apply(resumed, resumed.mCore->OnMessage(each, mNow));
     }
   }
 
-  void SetSide(const std::string& aName, int aSide)
+  void SetPartition(const std::string& aName, int aPartition)
   {
-    At(aName).mSide = aSide;
+    At(aName).mPartition = aPartition;
     for (auto& [name, each] : mNodes) {
-      each.mSteadySince = mNow;
+      each.mStableSince = mNow;
     }
   }
 
@@ -148,7 +148,7 @@
 
   // Runs until `aDone` holds; nothing when it doesn't within `aLimit`.
   template<class predicate>
-  std::optional<duration> RunTill(predicate aDone, duration aLimit)
+  std::optional<duration> RunUntilHolds(predicate aDone, duration aLimit)
   {
     const time_point start = mNow;
     while (!aDone()) {
@@ -164,7 +164,7 @@
   {
     for (const membership_action& each : aActions) {
       if (const auto* datagram = std::get_if<send_datagram>(&each)) {
-        Carry(aFrom, *datagram);
+        Transmit(aFrom, *datagram);
       } else {
         aFrom.mActions.emplace_back(mNow, each);
       }
@@ -187,7 +187,7 @@
   struct event
   {
     time_point mAt;
-    std::uint64_t mOrder = 0;
+    std::uint64_t mSequence = 0;
     instance_name mTo;
     // A tick where there is none.
     std::shared_ptr<const gossip_message> mMessage;
@@ -195,8 +195,8 @@
     // std::priority_queue gives the largest first.
     friend bool operator<(const event& aLeft, const event& aRight)
     {
-      return std::pair(aRight.mAt, aRight.mOrder) <
-             std::pair(aLeft.mAt, aLeft.mOrder);
+      return std::pair(aRight.mAt, aRight.mSequence) <
+             std::pair(aLeft.mAt, aLeft.mSequence);
     }
   };
 
@@ -205,12 +205,12 @@
     aNode.mCore = std::make_unique<membership>(
       mSettings, aNode.mInfo, aNode.mEpoch, mRandom());
     aNode.mInbox.clear();
-    aNode.mSteadySince = mNow;
+    aNode.mStableSince = mNow;
   }
 
   void ScheduleTick(const instance_name& aName)
   {
-    mEvents.push({ mNow + Milliseconds(100), ++mOrder, aName, nullptr });
+    mEvents.push({ mNow + Milliseconds(100), ++mSequence, aName, nullptr });
   }
 
   void Handle(const event& aEvent)
@@ -228,34 +228,36 @@
     }
   }
 
-  bool Happens(double aShare)
+  bool WithProbability(double aProbability)
   {
-    return std::uniform_real_distribution<double>()(mRandom) < aShare;
+    return std::uniform_real_distribution<double>()(mRandom) < aProbability;
   }
 
-  void Carry(const node& aFrom, const send_datagram& aDatagram)
+  void Transmit(const node& aFrom, const send_datagram& aDatagram)
   {
-    const auto carried = mCarry ? mCarry(aFrom.mInfo.mName, aDatagram)
-                                : std::optional(aDatagram.mMessage);
+    const auto carried = mIntercept ? mIntercept(aFrom.mInfo.mName, aDatagram)
+                                    : std::optional(aDatagram.mMessage);
     const auto to = mNodes.find(aDatagram.mTo);
-    if (!carried || to == mNodes.end() || to->second.mSide != aFrom.mSide ||
-        Happens(mQuality.mLost)) {
+    if (!carried || to == mNodes.end() ||
+        to->second.mPartition != aFrom.mPartition ||
+        WithProbability(mLinkQuality.mLossRate)) {
       return;
     }
     const auto message = std::make_shared<const gossip_message>(*carried);
-    const int copies = Happens(mQuality.mRepeated) ? 2 : 1;
+    const int copies = WithProbability(mLinkQuality.mDuplicationRate) ? 2 : 1;
     for (int copy = 0; copy < copies; ++copy) {
-      const std::int64_t longest = Happens(mQuality.mLate) ? 2'000'000 : 2'000;
+      const std::int64_t maxDelay =
+        WithProbability(mLinkQuality.mDelayRate) ? 2'000'000 : 2'000;
       const auto delay = std::chrono::microseconds(
-        std::uniform_int_distribution<std::int64_t>(200, longest)(mRandom));
-      mEvents.push({ mNow + delay, ++mOrder, aDatagram.mTo, message });
+        std::uniform_int_distribution<std::int64_t>(200, maxDelay)(mRandom));
+      mEvents.push({ mNow + delay, ++mSequence, aDatagram.mTo, message });
     }
   }
 
-  link_quality mQuality;
+  link_quality mLinkQuality;
   std::mt19937_64 mRandom;
   time_point mNow{ Seconds(1000) };
-  std::uint64_t mOrder = 0;
+  std::uint64_t mSequence = 0;
   instance_list mList;
   std::map<instance_name, node> mNodes;
   std::priority_queue<event> mEvents;
--- a/thornhollow/fleet/testing/fault_search.h
+++ b/thornhollow/fleet/testing/fault_search.h
@@ -1,6 +1,6 @@
 // For tests: shortens a list of events that makes a run fail.
 //
-//   const auto fewest = Shorten(events, [](const auto& aSome) {
+//   const auto fewest = Minimize(events, [](const auto& aSome) {
 //     return !Holds(aSome);
 //   });
 #ifndef THORNHOLLOW_FLEET_TESTING_FAULT_SEARCH_H_
@@ -16,28 +16,29 @@
 // Returns a list that fails and of which no single event can be left out.
 template<class event, class predicate>
 std::vector<event>
-Shorten(std::vector<event> aEvents, predicate aFails)
+Minimize(std::vector<event> aEvents, predicate aFails)
 {
-  std::size_t part = std::max<std::size_t>(1, aEvents.size() / 2);
+  std::size_t chunk = std::max<std::size_t>(1, aEvents.size() / 2);
   while (true) {
-    bool shorter = false;
-    for (std::size_t at = 0; at < aEvents.size();) {
-      std::vector<event> fewer(aEvents.begin(),
-                               aEvents.begin() + static_cast<long>(at));
-      const std::size_t next = std::min(at + part, aEvents.size());
-      fewer.insert(
-        fewer.end(), aEvents.begin() + static_cast<long>(next), aEvents.end());
-      if (aFails(fewer)) {
-        aEvents = std::move(fewer);
-        shorter = true;
+    bool reduced = false;
+    for (std::size_t position = 0; position < aEvents.size();) {
+      std::vector<event> candidate(
+        aEvents.begin(), aEvents.begin() + static_cast<long>(position));
+      const std::size_t next = std::min(position + chunk, aEvents.size());
+      candidate.insert(candidate.end(),
+                       aEvents.begin() + static_cast<long>(next),
+                       aEvents.end());
+      if (aFails(candidate)) {
+        aEvents = std::move(candidate);
+        reduced = true;
       } else {
-        at = next;
+        position = next;
       }
     }
-    if (part == 1 && !shorter) {
+    if (chunk == 1 && !reduced) {
       return aEvents;
     }
-    part = std::max<std::size_t>(1, part / 2);
+    chunk = std::max<std::size_t>(1, chunk / 2);
   }
 }
 
--- a/thornhollow/policy/scheduler_search_test.cc
+++ b/thornhollow/policy/scheduler_search_test.cc
@@ -454,9 +454,10 @@
 
   static std::string Describe(std::uint64_t aSeed)
   {
-    const auto minimal = Shorten(EventsOf(aSeed), [aSeed](const auto& aEvents) {
-      return !Run(aEvents, aSeed).empty();
-    });
+    const auto minimal =
+      Minimize(EventsOf(aSeed), [aSeed](const auto& aEvents) {
+        return !Run(aEvents, aSeed).empty();
+      });
     std::string out =
       "seed " + std::to_string(aSeed) + ": " + Run(minimal, aSeed);
     for (const search_event& each : minimal) {
--- a/thornhollow/wire/codec.cc
+++ b/thornhollow/wire/codec.cc
@@ -64,7 +64,7 @@
   out.__set_name(aDigest.mName.Text());
   out.__set_address(aDigest.mAddress);
   out.__set_epoch(Signed(aDigest.mVersion.mEpoch));
-  out.__set_revision(Signed(aDigest.mVersion.mRevision));
+  out.__set_revision(Signed(aDigest.mVersion.mIncarnation));
   out.__set_status(static_cast<std::int32_t>(aDigest.mStatus));
   out.__set_draining(aDigest.mDraining);
   return out;
@@ -116,7 +116,7 @@
 {
   wire::leaving_endpoint out;
   out.__set_endpoint(aLeaving.mEndpoint.Text());
-  out.__set_stamp(Signed(aLeaving.mStamp));
+  out.__set_stamp(Signed(aLeaving.mVersion));
   out.__set_remaining_ms(ToMilliseconds(aLeaving.mRemaining));
   return out;
 }
@@ -259,9 +259,9 @@
     mOut.__set_answer_part(out);
   }
 
-  void operator()(const word_exchange& aExchange)
+  void operator()(const config_status_exchange& aExchange)
   {
-    mOut.__set_word(ToWire(aExchange.mWord));
+    mOut.__set_word(ToWire(aExchange.mStatus));
   }
 };
 
@@ -317,7 +317,7 @@
 std::optional<stream_message>
 FromWire(const wire::part_answer& aWire)
 {
-  if (!IsName(aWire.digest) || aWire.bytes.size() > kMaxCarriedBytes) {
+  if (!IsName(aWire.digest) || aWire.bytes.size() > kMaxTransferBytes) {
     return std::nullopt;
   }
   return part_answer{ aWire.digest, aWire.found, aWire.bytes };
@@ -340,7 +340,7 @@
   }
   if (aWire.__isset.word) {
     const auto word = FromWire(aWire.word);
-    return word ? std::optional<stream_message>(word_exchange{ *word })
+    return word ? std::optional<stream_message>(config_status_exchange{ *word })
                 : std::nullopt;
   }
   return std::nullopt;
@@ -410,7 +410,7 @@
 result<stream_message>
 DecodeStream(std::string_view aBytes)
 {
-  if (aBytes.size() > kMaxCarriedBytes + kMaxDatagramBytes) {
+  if (aBytes.size() > kMaxTransferBytes + kMaxDatagramBytes) {
     return Fail(error_kind::kMalformedRequest, "stream: too long");
   }
   const auto read = Read<wire::stream_message>(aBytes, kMaxMessageEntries);
--- a/thornhollow/wire/codec_test.cc
+++ b/thornhollow/wire/codec_test.cc
@@ -57,10 +57,10 @@
       1, 2, 3, instance_name("a"), claim_verdict::kCapacityExceeded, true },
     part_request{ std::string(64, 'a') },
     part_answer{ std::string(64, 'a'), true, std::string(4096, '\0') },
-    word_exchange{ { revision{ 12, std::string(64, 'a') },
-                     revision{ 13, std::string(64, '0') },
-                     Seconds(3) } },
-    word_exchange{}
+    config_status_exchange{ { revision{ 12, std::string(64, 'a') },
+                              revision{ 13, std::string(64, '0') },
+                              Seconds(3) } },
+    config_status_exchange{}
   };
   for (const stream_message& each : all) {
     CHECK(DecodeStream(EncodeStream(each)).value() == each);
@@ -159,17 +159,18 @@
                        {},
                        kUnknownAge };
   const auto size = [&] { return EncodeGossip(head).size(); };
-  // HeadBound counts three bytes for each list; an empty one takes two.
+  // MaxHeaderSize counts three bytes for each list; an empty one takes two.
   const std::size_t empty = size() + 1;
-  CHECK(empty + kSealBound + digest.mName.Text().size() <= HeadBound(head));
+  CHECK(empty + kMaxSealOverhead + digest.mName.Text().size() <=
+        MaxHeaderSize(head));
   head.mMembers.assign(20, digest);
-  CHECK(size() <= empty + 20 * EntryBound(digest));
+  CHECK(size() <= empty + 20 * MaxEntrySize(digest));
   head.mMembers.clear();
   head.mPressures.assign(20, pressure);
-  CHECK(size() <= empty + 20 * EntryBound(pressure));
+  CHECK(size() <= empty + 20 * MaxEntrySize(pressure));
   head.mPressures.clear();
   head.mLeaving.assign(20, leaving);
-  CHECK(size() <= empty + 20 * EntryBound(leaving));
+  CHECK(size() <= empty + 20 * MaxEntrySize(leaving));
 }
 
 } // namespace
--- a/thornhollow/wire/gossip_budget_test.cc
+++ b/thornhollow/wire/gossip_budget_test.cc
@@ -21,7 +21,7 @@
   {
     fake_network network(link_quality{ 0.01, 0, 0 }, 1);
     sealed_wire wire;
-    network.mCarry = [&wire](const auto& aFrom, const auto& aDatagram) {
+    network.mIntercept = [&wire](const auto& aFrom, const auto& aDatagram) {
       return wire.Carry(aFrom, aDatagram);
     };
     for (int domain = 0; domain < kDomains; ++domain) {
--- a/thornhollow/wire/gossip_cost_main.cc
+++ b/thornhollow/wire/gossip_cost_main.cc
@@ -49,8 +49,8 @@
   explicit fleet_run(int aMembers)
     : mMembers(aMembers)
   {
-    mNetwork.mCarry = [this](const instance_name& aFrom,
-                             const send_datagram& aDatagram) {
+    mNetwork.mIntercept = [this](const instance_name& aFrom,
+                                 const send_datagram& aDatagram) {
       return mWire.Carry(aFrom, aDatagram);
     };
     for (int domain = 0; domain < FLAGS_domains; ++domain) {
@@ -105,7 +105,7 @@
     // A daemon that hears of it fetches the parts and has it in force; the
     // fetch is counted with 20 ms.
     std::map<instance_name, time_point> due;
-    const auto taken = mNetwork.RunTill(
+    const auto taken = mNetwork.RunUntilHolds(
       [&] {
         Fetch(due);
         return std::ranges::all_of(mNetwork.Nodes(), [](const auto& aNode) {
@@ -135,7 +135,7 @@
   {
     const std::string dead = NameOf(0, 1);
     mNetwork.Kill(dead);
-    const auto taken = mNetwork.RunTill(
+    const auto taken = mNetwork.RunUntilHolds(
       [&] {
         return std::ranges::none_of(mNetwork.Nodes(), [&](const auto& aNode) {
           return aNode.second.mRunning &&
--- a/thornhollow/wire/seal.h
+++ b/thornhollow/wire/seal.h
@@ -34,7 +34,7 @@
 namespace thornhollow {
 
 // Bytes that the seal adds besides the sender's name, at most.
-inline constexpr std::size_t kMaxSealBytes = kSealBound;
+inline constexpr std::size_t kMaxSealBytes = kMaxSealOverhead;
 // The shortest key that settings may give.
 inline constexpr std::size_t kMinSealKeyBytes = 16;
 
--- a/thornhollow/wire/testing/sealed_wire.h
+++ b/thornhollow/wire/testing/sealed_wire.h
@@ -2,7 +2,7 @@
 // the codec and the seal, as daemons do, and counts them.
 //
 //   sealed_wire wire;
-//   network.mCarry = [&](const auto& aFrom, const auto& aDatagram) {
+//   network.mIntercept = [&](const auto& aFrom, const auto& aDatagram) {
 //     return wire.Carry(aFrom, aDatagram);
 //   };
 #ifndef THORNHOLLOW_WIRE_TESTING_SEALED_WIRE_H_
