--- a/thornhollow/fleet/gossip_size.h
+++ b/thornhollow/fleet/gossip_size.h
@@ -1,5 +1,6 @@
-// Upper bounds of what values take inside a datagram, so that the core can fill
-// one without knowing the codec. A test of the codec checks that they hold.
+// Upper bounds on the encoded size of gossip values, so that the membership
+// state machine can fill a datagram without depending on the codec. A codec
+// test checks that the bounds hold.
 //
 //   std::size_t room = kMaxDatagramBytes - MaxHeaderSize(message);
 //   if (MaxEntrySize(digest) <= room) { ... }
@@ -13,11 +14,11 @@
 
 namespace thornhollow {
 
-// The seal's bytes besides the sender's name.
+// Bytes that the seal adds, excluding the sender's name.
 inline constexpr std::size_t kMaxSealOverhead = 48;
 
-// A field's header and a length take at most 3 bytes here, a 64-bit number at
-// most 11 with its header, a small enumerator 2.
+// A field header with a length takes at most 3 bytes here, a 64-bit number at
+// most 11 including its header, and a small enumerator 2.
 inline std::size_t
 MaxEntrySize(const member_digest& aDigest)
 {
@@ -37,7 +38,7 @@
   return aLeaving.mEndpoint.Text().size() + 3 + 11 + 6 + 1;
 }
 
-// The sealed datagram with its lists empty.
+// Size of the sealed datagram with all lists empty.
 inline std::size_t
 MaxHeaderSize(const gossip_message& aMessage)
 {
--- a/thornhollow/fleet/instance_list.h
+++ b/thornhollow/fleet/instance_list.h
@@ -1,5 +1,6 @@
-// The platform's list of entry instances, as values. It lags: an instance on it
-// may be gone, and one that runs may not be on it yet.
+// The platform's list of entry instances, as plain values. The list lags
+// behind: a listed instance may already be gone, and a running one may not be
+// listed yet.
 //
 //   const instance_list list{ 7, { { instance_name("entry-1"), ... } } };
 //
@@ -28,7 +29,7 @@
 
 struct instance_list
 {
-  // The platform's version; grows with each change.
+  // The platform's version; increases with each change.
   std::uint64_t mVersion = 0;
   std::vector<listed_instance> mInstances;
 
--- a/thornhollow/fleet/key_claims.h
+++ b/thornhollow/fleet/key_claims.h
@@ -1,12 +1,14 @@
-// Idempotency keys over many daemons: what holders and witnesses share.
+// Idempotency keys across instances: definitions shared by holders and
+// witnesses.
 //
-// A caller that sends an order again with the same key may reach another
-// daemon, and there is no store that both can ask. So a daemon that gets a
-// submission (the holder) asks the key's witnesses, a few daemons that follow
-// from the key and the list of instances, and runs it only after every one of
-// them granted it and at least one of them vouched that nothing was forgotten.
-// Whatever is in doubt is refused with an error that says "not run".
-// docs/design/idempotency_keys.md states exactly when this holds.
+// A caller that retries a request with the same key may reach another instance,
+// and there is no common store that both can query. The instance that receives
+// a submission (the holder) therefore requests grants from the key's witnesses,
+// a few instances that are derived from the key and the list of instances. It
+// runs the submission only after all of them granted the key and at least one
+// of them vouched that its memory of the key is complete. Otherwise the
+// submission is refused with an error that says "not run".
+// docs/design/idempotency_keys.md states the exact guarantees.
 //
 //   const claim_view view{ declaredDomains, list };
 //   const auto witnesses = WitnessesOf(key, view, settings.mWitnesses);
@@ -28,35 +30,36 @@
 
 struct key_claim_settings
 {
-  // Time after which a key may be used again: longer than the longest deadline
-  // of a class, as a caller notices a dead daemon no later than that.
+  // Time after which a key may be reused. Must exceed the longest deadline of
+  // any class, because a caller may take that long to notice a failed instance.
   duration mLifetime = Seconds(600);
-  // Bound on how far a daemon's view of the instances lags behind the list.
+  // Upper bound on how far an instance's view lags behind the platform's list.
   duration mViewLag = Seconds(30);
-  // For each of the two rounds. A witness answers within a few milliseconds, in
-  // another region within a hundred or two, or not at all.
+  // Timeout of each of the two request steps. A witness answers within a few
+  // milliseconds, or within 100 to 200 ms from another region, or not at all.
   duration mRequestTimeout = Milliseconds(300);
-  // A longer time between two calls is a pause of this process.
+  // A longer gap between two calls is treated as a pause of this process.
   duration mClockGap = Seconds(2);
-  // Witnesses of a key. Three: two may be lost within a key's lifetime.
+  // Witnesses per key. With three, two may be lost within a key's lifetime.
   std::size_t mWitnesses = 3;
-  // With fewer listed, submissions with a key are refused. One loss of two is
-  // survived, of one none.
+  // With fewer witnesses listed, submissions with a key are refused. With two
+  // witnesses one loss is tolerated, with one none.
   std::size_t mMinWitnesses = 2;
-  // Keys that a witness remembers. Letter 1's peak gives each daemon 7.4
-  // requests a second; with a key each, three witnesses and ten minutes that is
-  // 13,300 keys.
+  // Keys that a witness remembers. At the peak of the largest deployment each
+  // instance receives 7.4 requests per second; if all carry a key, three
+  // witnesses and a lifetime of ten minutes give 13,300 keys.
   std::size_t mMaxKeys = 50'000;
-  // Changes of the own domain's instances that a witness remembers.
+  // Changes to the instances of its own domain that a witness remembers.
   std::size_t mMaxViews = 64;
 
   friend bool operator==(const key_claim_settings&,
                          const key_claim_settings&) = default;
 };
 
-// What witnesses follow from. The domains are the declared ones, not the listed
-// ones: were a domain that is cut off dropped from the list, its keys would
-// otherwise move to other domains while it goes on granting them.
+// Inputs that determine a key's witnesses. The domains are the declared ones,
+// not the listed ones: if a partitioned domain were dropped from the list, its
+// keys would move to other domains while the partitioned domain still grants
+// them.
 struct claim_view
 {
   std::vector<domain_name> mDomains;
@@ -65,16 +68,17 @@
   friend bool operator==(const claim_view&, const claim_view&) = default;
 };
 
-// The key of a team's idempotency key.
+// Hashes a team's idempotency key.
 claim_key
 ClaimKeyOf(const team_name& aTeam, std::string_view aIdempotencyKey);
 
-// The domain whose instances witness `aKey`; empty where none is declared.
+// Returns the domain whose instances witness `aKey`; empty if none is declared.
 domain_name
 HomeDomainOf(claim_key aKey, const std::vector<domain_name>& aDomains);
 
-// The first `aCount` by rendezvous hash among the listed instances of the key's
-// home domain that aren't leaving; fewer where there are fewer.
+// Returns the first `aCount` instances by rendezvous hash among the listed
+// instances of the key's home domain that are not leaving; fewer if there are
+// fewer.
 std::vector<instance_name>
 WitnessesOf(claim_key aKey, const claim_view& aView, std::size_t aCount);
 
--- a/thornhollow/fleet/key_claims_test.cc
+++ b/thornhollow/fleet/key_claims_test.cc
@@ -36,15 +36,17 @@
   mFleet.Submit(0, kKey);
   mFleet.RunFor(Seconds(40));
   CHECK(mFleet.Runs(kKey) == 1);
-  // Each of three witnesses is asked and told the end; no more than that, or
-  // the claims of a busy fleet's peak would exceed the budget for control.
+  // Each of the three witnesses receives one claim and one end notification.
+  // With more, the claims of a busy fleet would exceed the control traffic
+  // budget at peak load.
   CHECK(mFleet.RequestsSent() == 6);
 }
 
 TEST_CASE_FIXTURE(key_fleet, "key/both_submissions_at_once/exactly_one_runs")
 {
-  // A caller's connection breaks at once and it sends the order again; the
-  // balancer gives the second to another daemon while the first is on its way.
+  // A caller's connection breaks immediately and it retries; the load balancer
+  // sends the retry to another instance while the first submission is still in
+  // progress.
   for (claim_key key = 0; key < 200; ++key) {
     mFleet.Submit(0, key);
     mFleet.Submit(1, key);
@@ -78,10 +80,11 @@
 
 TEST_CASE_FIXTURE(key_fleet, "key/end_not_heard_and_sent_again/runs_once")
 {
-  // The holder is cut off while it works, so no witness hears that the order
-  // ended. Later the caller's second try reaches the same daemon. The witnesses
-  // still know it as the holder, and a grant to the process instead of the
-  // submission would run the order twice. Found by key_search, seed 2367.
+  // The holder is partitioned during the run, so no witness receives the end of
+  // the submission. The caller then retries through the same instance. The
+  // witnesses still know that process as the holder; if grants were bound to
+  // the process rather than to the submission, the request would run twice.
+  // Found by key_search, seed 2367.
   const std::size_t holder = NonWitnessNode();
   mFleet.Submit(holder, kKey);
   mFleet.RunFor(Milliseconds(600));
@@ -107,8 +110,8 @@
 
 TEST_CASE_FIXTURE(key_fleet, "key/holder_killed/later_ones_are_held")
 {
-  // The daemon that runs the order dies; nobody can tell whether it ran. The
-  // caller sends it again and must not get a second run.
+  // The instance that runs the request dies, so whether it ran is unknown. A
+  // retry must not cause a second run.
   mFleet.Submit(0, kKey);
   mFleet.RunFor(Milliseconds(600));
   REQUIRE(mFleet.Runs(kKey) == 1);
@@ -124,8 +127,8 @@
 
 TEST_CASE_FIXTURE(key_fleet, "key/holder_wakes_late/claims_again_or_refuses")
 {
-  // A daemon gets its grants and is paused before it sends. It wakes after the
-  // witnesses forgot the key and another daemon ran the order.
+  // An instance is paused between its grants and the send. It resumes after the
+  // witnesses have expired the key and another instance has run the request.
   mFleet.mMaxSendDelay = Milliseconds(0);
   const auto first = mFleet.Submit(0, kKey);
   mFleet.RunFor(Milliseconds(2));
@@ -139,9 +142,9 @@
 
 TEST_CASE_FIXTURE(key_fleet, "key/long_run_with_a_pause/stays_held")
 {
-  // An order runs for longer than a key lives, and its daemon stops for three
-  // seconds meanwhile. Without renewals after that, the witnesses would forget
-  // the key and a second submission would run beside the first.
+  // A request runs for longer than a key's lifetime, and its instance is paused
+  // for three seconds meanwhile. Without renewals after the pause the witnesses
+  // would expire the key and a second submission would run concurrently.
   mFleet.mRunDuration = Seconds(300);
   mFleet.Submit(0, kKey);
   mFleet.RunFor(Seconds(5));
@@ -169,8 +172,9 @@
 
 TEST_CASE_FIXTURE(key_fleet, "key/refused_by_a_lost_witness/is_free_again")
 {
-  // One of three witnesses doesn't answer: refused, "not run". The grants of
-  // the other two must not block the caller's next try for a whole lifetime.
+  // One of the three witnesses does not answer, so the submission is refused as
+  // "not run". The grants of the other two must not block the caller's retry
+  // for a whole lifetime.
   const auto witnesses = mFleet.WitnessNodes(kKey);
   mFleet.Isolate(witnesses[2], Seconds(5));
   const auto first = mFleet.Submit(NonWitnessNode(), kKey);
@@ -198,11 +202,12 @@
                   "key/all_witnesses_replaced/refused_till_old_enough")
 {
   // All three witnesses restart within a key's lifetime. None remembers that
-  // the order ran; all would grant it. They refuse until no key from before can
-  // be live.
+  // the request ran, so each would grant the key. They must not vouch until no
+  // key from before the restart can be live.
   const auto witnesses = mFleet.WitnessNodes(kKey);
   mFleet.Submit(NonWitnessNode(), kKey);
-  // Past the last repetition of the end, which would tell the new ones.
+  // After the last retry of the end notification, which would inform the
+  // restarted witnesses.
   mFleet.RunFor(Seconds(35));
   for (const std::size_t each : witnesses) {
     mFleet.Restart(each);
@@ -220,7 +225,7 @@
 
 TEST_CASE_FIXTURE(key_fleet, "key/views_differ/is_refused")
 {
-  // The list lags: the holder has the new one, the witness the old one, and
+  // The list lags: the holder has the new one and the witness the old one, so
   // they disagree about who the witnesses are.
   const key_claim_settings settings;
   const auto view = [](std::uint64_t aVersion, int aFirst) {
@@ -276,9 +281,9 @@
 
 TEST_CASE("key_witness/claim_after_its_own_release/is_not_granted")
 {
-  // The question overtakes nothing: it waits in a paused witness's socket while
-  // its release, sent after the holder gave up, arrives first. Granted then, it
-  // would hold the key for a lifetime with nobody working on it.
+  // A claim is delayed in the socket of a paused witness, and its release, sent
+  // when the holder gave up, arrives first. If the claim were granted then, the
+  // key would be held for a lifetime with no submission behind it.
   const claim_view view{
     { domain_name("hall") },
     { 1, { { instance_name("a"), domain_name("hall"), "", false } } }
--- a/thornhollow/fleet/key_holder.cc
+++ b/thornhollow/fleet/key_holder.cc
@@ -7,13 +7,13 @@
 namespace thornhollow {
 namespace {
 
-// The end of a submission is told again after these: past a lost message, a
-// short pause of the witness and a longer one.
+// Delays after which the end of a submission is sent again: they cover a lost
+// message, a short pause of the witness and a longer one.
 constexpr std::array<duration, 3> kNotificationRetryDelays = { Seconds(1),
                                                                Seconds(5),
                                                                Seconds(25) };
-// Ends that wait for their repetition; at letter 1's 7.4 requests a second and
-// 31 seconds there are 230.
+// Limit on notifications that await a retry. At 7.4 requests per second, the
+// peak of the largest deployment, the 31 s of retries hold 230.
 constexpr std::size_t kMaxPendingNotifications = 4096;
 
 error_kind
@@ -94,7 +94,7 @@
   DetectPause(aNow);
   claim* const found = FindBySubmission(aSubmission);
   if (found == nullptr) {
-    // Refused before; sending it now would break that promise.
+    // Already refused as "not run"; sending it now would break that guarantee.
     out.emplace_back(
       refuse_submission{ aSubmission, error_kind::kKeyWitnessUnreachable });
     return out;
@@ -116,8 +116,8 @@
   key_actions out;
   DetectPause(aNow);
   const auto found = mClaims.find(aAnswer.mKey);
-  // Answers to an earlier round, and of witnesses that were not asked in this
-  // one, say nothing about the present.
+  // Answers to an earlier round, or from witnesses that were not asked in this
+  // round, say nothing about the current claim.
   if (found == mClaims.end() ||
       found->second.mRequest.mClaim != aAnswer.mClaim ||
       found->second.mRequest.mRound != aAnswer.mRound ||
@@ -126,7 +126,7 @@
   }
   claim& pendingClaim = found->second;
   if (aNow - pendingClaim.mLastRequestAt >= mSettings.mRequestTimeout) {
-    // Read after a pause: the witness may have forgotten the grant by now.
+    // Read after a pause: the witness may have expired the grant by now.
     Refuse(pendingClaim, error_kind::kKeyWitnessUnreachable, aNow, out);
   } else if (aAnswer.mVerdict == claim_verdict::kGranted) {
     OnGranted(pendingClaim, aAnswer, aNow, out);
@@ -316,8 +316,8 @@
 key_holder::Renew(claim& aClaim, time_point aNow, key_actions& aOut)
 {
   aClaim.mNextRenewal = aNow + mSettings.mLifetime / 4;
-  // Instances that have become witnesses since learn of the key as well, so
-  // that replacements over a long run don't add up.
+  // Also notifies instances that have become witnesses in the meantime, so that
+  // replacements during a long run do not accumulate.
   aClaim.mRequest.mWitnesses =
     WitnessesOf(aClaim.mRequest.mKey, mView, mSettings.mWitnesses);
   for (const instance_name& each : aClaim.mRequest.mWitnesses) {
--- a/thornhollow/fleet/key_holder.h
+++ b/thornhollow/fleet/key_holder.h
@@ -1,25 +1,26 @@
-// The daemon that got a submission with an idempotency key: it claims the key
-// from the key's witnesses before anything is sent to an endpoint.
+// The holder's side of idempotency keys: claims a submission's key from the
+// key's witnesses before anything is sent to an endpoint.
 //
 //   key_holder holder(key_claim_settings{}, { self, epoch });
-//   Apply(holder.Submit(ticket, key, fingerprint, now));  // run_submission,
-//   refuse_submission
-//   ...                                                   // or later
-//   Apply(holder.BeforeSend(ticket, now));                // before each
-//   attempt Apply(holder.OnEnded(ticket, ran::kYes, now));
+//   // Yields run_submission or refuse_submission, now or later.
+//   Apply(holder.Submit(ticket, key, fingerprint, now));
+//   Apply(holder.BeforeSend(ticket, now));  // before each attempt
+//   Apply(holder.OnEnded(ticket, ran::kYes, now));
 //
-// Of two submissions at once at most one runs: the witness of the highest rank
-// is asked alone first, so that one of the two gets all grants and the other is
-// denied at once, instead of each being denied by the other's witness.
+// Of two concurrent submissions at most one runs. The highest-ranked witness is
+// asked first, on its own, so that one submission gets all grants and the other
+// is denied at once; asked in parallel, each could be denied by a witness that
+// already granted the other.
 //
-// Guards against a holder that was paused: it wakes, still believing that it
-// holds the key, and sends the order, after the witnesses forgot it and another
-// daemon ran it. It shows as a gap between two calls, or as a claim older than
-// half a key's lifetime; `BeforeSend` then claims again before it says run. The
-// other half is the margin for the time between that and the bytes leaving.
-// After a pause the view of the instances is too old as well: submissions are
-// refused until `OnView` brings one. A submission older than a lifetime is not
-// run at all.
+// Guards against a paused holder: after a pause it would still assume that it
+// holds the key and send the request, although the witnesses have expired the
+// key and another instance has run the request. A pause is detected as a gap
+// between two calls, or as a claim older than half a key's lifetime;
+// `BeforeSend` then claims the key again before it returns `run_submission`.
+// The other half of the lifetime is the margin between that check and the bytes
+// leaving the host. After a pause the view of the instances is outdated as
+// well: submissions are refused until `OnView` delivers a new one. A submission
+// older than a lifetime is not run at all.
 #ifndef THORNHOLLOW_FLEET_KEY_HOLDER_H_
 #define THORNHOLLOW_FLEET_KEY_HOLDER_H_
 
@@ -35,11 +36,11 @@
 
 namespace thornhollow {
 
-// Names a submission within one process.
+// Identifies a submission within one process.
 using submission_id = std::uint64_t;
 
-// Send this to the witness (possibly this daemon itself) and hand its answer to
-// `OnAnswer`, or the lack of one to `OnUnreachable`.
+// Send the request to the witness (possibly this instance itself) and pass its
+// answer to `OnAnswer`, or the failure to `OnUnreachable`.
 struct request_grant
 {
   instance_name mTo;
@@ -48,7 +49,7 @@
   friend bool operator==(const request_grant&, const request_grant&) = default;
 };
 
-// Send this to the witness and report any answer to `OnNotified`.
+// Send the request to the witness and report any answer to `OnNotified`.
 struct notify_witness
 {
   instance_name mTo;
@@ -67,8 +68,8 @@
                          const run_submission&) = default;
 };
 
-// The submission must not run. It has not been sent by a `run_submission` that
-// followed from the refused call; it is forgotten.
+// The submission must not run, and the holder no longer tracks it. No
+// `run_submission` resulted from the call that is refused.
 struct refuse_submission
 {
   submission_id mSubmission = 0;
@@ -87,39 +88,42 @@
 public:
   key_holder(const key_claim_settings& aSettings, claim_holder aSelf);
 
-  // Takes the declared domains and the platform's list as it was read, without
-  // members known by gossip only. A list of a lower version than the last is
-  // ignored. To be called again after a pause, when the list has been read
-  // anew, even if it didn't change: until then no key is granted.
+  // Sets the declared domains and the platform's list as read, without members
+  // known only through gossip. A list with a lower version than the last is
+  // ignored. Call it again after a pause, once the list has been re-read, even
+  // if the list is unchanged: submissions are refused until then.
   void OnView(const claim_view& aView, time_point aNow);
 
-  // A new submission. `aFingerprint` is a hash of the request.
+  // Starts a new submission. `aFingerprint` is a hash of the request.
   key_actions Submit(submission_id aSubmission,
                      claim_key aKey,
                      std::uint64_t aFingerprint,
                      time_point aNow);
 
-  // Must be called before the submission is sent to an endpoint, each time, and
-  // only while nothing has been run yet. Comes back with `run_submission` at
-  // once while the claim is sure, else when it has been claimed again.
+  // Must be called before each attempt to send the submission to an endpoint,
+  // and only while nothing has been run yet. Returns `run_submission` at once
+  // while the claim is known to be valid; otherwise `run_submission` or
+  // `refuse_submission` follows once the key has been claimed again.
   key_actions BeforeSend(submission_id aSubmission, time_point aNow);
 
   key_actions OnAnswer(const claim_answer& aAnswer, time_point aNow);
 
-  // The witness could not be asked `aRequest`, or did not answer in time.
+  // Reports that `aWitness` could not be reached with `aRequest` or did not
+  // answer in time.
   key_actions OnUnreachable(const instance_name& aWitness,
                             const claim_request& aRequest,
                             time_point aNow);
 
-  // The witness answered what it was told; it need not be told again.
+  // Reports that `aWitness` acknowledged a notification, which need not be
+  // repeated.
   void OnNotified(const instance_name& aWitness, const claim_request& aRequest);
 
-  // The submission got its final answer. After `ran::kNo` its key is free
-  // again; else it is used up.
+  // Reports that the submission received its final answer. After `ran::kNo` its
+  // key is free again; otherwise the key is used up.
   key_actions OnEnded(submission_id aSubmission, ran aRan, time_point aNow);
 
-  // Renews claims, repeats messages, ends what waited too long. To be called
-  // every 100 ms.
+  // Renews claims, repeats unacknowledged notifications and times out pending
+  // requests. Call it every 100 ms.
   key_actions Tick(time_point aNow);
 
   // Submissions in progress.
@@ -132,22 +136,23 @@
     claim_request mRequest;
     std::vector<instance_name> mPending;
     std::vector<instance_name> mGranted;
-    // Everyone who was ever asked; all of them are told the end.
+    // Every witness that was ever contacted; all of them are notified when the
+    // submission ends.
     std::vector<instance_name> mContacted;
     bool mVouched = false;
     bool mHeld = false;
     time_point mSubmittedAt{};
-    // When the present round of questions began.
+    // Start of the current round of requests.
     time_point mRoundStartedAt{};
-    // When the last question of it was asked.
+    // Time of the last request of this round.
     time_point mLastRequestAt{};
-    // Set once the submission may have been sent, also while the claim isn't
-    // sure any more: it may be running.
+    // Set once the submission may have been sent, and kept when the claim is no
+    // longer known to be valid, because the request may be running.
     std::optional<time_point> mNextRenewal;
   };
 
-  // Told once more to those that didn't answer, as a lost message would keep
-  // the key held for a lifetime.
+  // The end of a submission, repeated to witnesses that have not acknowledged
+  // it: after a lost message the key would stay held for a lifetime.
   struct pending_notification
   {
     claim_request mRequest;
@@ -158,7 +163,7 @@
 
   void DetectPause(time_point aNow);
   claim* FindBySubmission(submission_id aSubmission);
-  // Starts asking, from the first witness on.
+  // Starts a new round of requests with the highest-ranked witness.
   void StartRound(claim& aClaim, time_point aNow, key_actions& aOut);
   void RequestGrant(claim& aClaim,
                     const instance_name& aWitness,
@@ -172,7 +177,7 @@
               error_kind aKind,
               time_point aNow,
               key_actions& aOut);
-  // Tells all witnesses and forgets the claim.
+  // Notifies all witnesses and erases the claim.
   void FinishClaim(const claim& aClaim,
                    claim_kind aKind,
                    time_point aNow,
--- a/thornhollow/fleet/key_search_test.cc
+++ b/thornhollow/fleet/key_search_test.cc
@@ -1,6 +1,7 @@
-// A search for faults that make a key run twice. Each seed gives a list of
-// events; the run after each event is checked. CI runs a fixed number of seeds;
-// a longer search: THORNHOLLOW_KEY_SEEDS=20000 fleet_test -tc="key_search/*".
+// Randomized search for faults that make a key run twice. Each seed yields a
+// list of events, and the invariant is checked after each event. CI runs a
+// fixed number of seeds; for a longer search:
+// THORNHOLLOW_KEY_SEEDS=20000 fleet_test -tc="key_search/*".
 
 #include <cstdlib>
 #include <random>
@@ -28,7 +29,7 @@
 
 struct search_event
 {
-  // Since the event before.
+  // Time since the previous event.
   duration mAfter{};
   fault mKind = fault::kSubmit;
   std::size_t mNode = 0;
@@ -39,17 +40,17 @@
 struct key_search
 {
   key_protections mProtections;
-  // Milliseconds. As set, all submissions of a key come within its lifetime
-  // (60 s here): 30 events at most 1.9 s apart.
+  // In milliseconds. With this default all submissions of a key fall within its
+  // lifetime (60 s here): 30 events at most 1.9 s apart.
   std::int64_t mMaxEventGap = 1'900;
   std::int64_t mNodes = 5;
   std::size_t mDomains = 1;
   std::int64_t mMinPause = 0;
   std::int64_t mMaxPause = 40'000;
-  // From the grant to sending, as in a queue.
+  // Maximum time from the grant to the send, as caused by queueing.
   duration mMaxSendDelay = Seconds(3);
   duration mRunDuration = Milliseconds(700);
-  // Two runs of a key closer than this are a failure.
+  // Two runs of a key closer together than this are a failure.
   duration mMinAllowedInterval = Seconds(1'000'000);
 
   std::vector<search_event> Events(std::uint64_t aSeed) const
@@ -69,7 +70,8 @@
       if (upTo(1) == 0) {
         next.mKind = static_cast<fault>(upTo(4));
       }
-      // Half of the pauses hit a holder that may not have sent yet.
+      // Half of the pauses hit a holder that may not have sent its submission
+      // yet.
       if (next.mKind == fault::kPause && !out.empty() && upTo(1) == 0) {
         next.mNode = out.back().mNode;
       }
@@ -135,7 +137,7 @@
     return out;
   }
 
-  // Seeds, of the first `aSeeds`, whose events make a key run twice.
+  // Returns the seeds from 1 to `aSeeds` whose events make a key run twice.
   std::vector<std::uint64_t> FailingSeeds(int aSeeds)
   {
     std::vector<std::uint64_t> out;
@@ -157,9 +159,10 @@
 
 TEST_CASE_FIXTURE(key_search, "key_search/random_faults/no_key_runs_twice")
 {
-  // Daemons die, are replaced with no memory, pause and wake late, are cut off,
-  // and messages are lost, repeated and late, while callers send the same order
-  // through several daemons. Two runs would be two lorries.
+  // Instances die, are replaced without memory, pause and are partitioned, and
+  // messages are lost, duplicated and delayed, while callers submit the same
+  // request through several instances. A second run would carry out the request
+  // twice.
   const auto failing = FailingSeeds(SeedCount());
   MESSAGE("seeds ", SeedCount(), ", failing ", failing.size());
   for (const std::uint64_t seed : failing) {
@@ -169,15 +172,16 @@
 
 TEST_CASE_FIXTURE(key_search, "key_search/seeds_that_failed/hold")
 {
-  // The end of a submission was lost, and the same process got the key granted
-  // once more for the caller's second try (key_claims_test.cc tells the story).
+  // Seeds in which the notification of a submission's end was lost and the same
+  // process was granted the key again for the caller's retry (see
+  // key/end_not_heard_and_sent_again in key_claims_test.cc).
   for (const std::uint64_t seed : { 1755, 6861, 9070, 12552, 19991 }) {
     CHECK_FALSE(Fails(Events(seed), seed));
   }
 }
 
-// The same search finds double runs as soon as one part of the guard is off;
-// else the case above would show nothing.
+// The same search must find double runs once one protection is disabled;
+// otherwise the test above would prove nothing.
 TEST_CASE_FIXTURE(key_search, "key_search/without_claims/keys_run_twice")
 {
   mProtections.mClaims = false;
@@ -194,14 +198,15 @@
   CHECK(!failing.empty());
 }
 
-// Callers that send again for longer than a key lives, and daemons that pause
-// for longer.
+// Callers that retry for longer than a key's lifetime, and instances that pause
+// for longer than that.
 struct long_key_search : key_search
 {
   long_key_search()
   {
     mMaxEventGap = 8'000;
-    // Most daemons aren't witnesses, whose pauses would only refuse keys.
+    // Most instances are not witnesses; pauses of witnesses would only cause
+    // refusals.
     mNodes = 12;
     mDomains = 3;
     mMinPause = 50'000;
--- a/thornhollow/fleet/key_witness.cc
+++ b/thornhollow/fleet/key_witness.cc
@@ -39,7 +39,7 @@
   mViews.push_back({ std::move(trimmed), aNow });
   if (mViews.size() > mSettings.mMaxViews) {
     mViews.pop_front();
-    // What was in force before is no longer known.
+    // Views from before that time are no longer known.
     mHistoryCompleteSince =
       std::max(mHistoryCompleteSince, mViews.front().mSince);
   }
@@ -78,8 +78,9 @@
 void
 key_witness::DetectPause(time_point aNow)
 {
-  // While paused, this instance may have been taken off the list and put back:
-  // keys were then granted without it. Its view is older than the bound.
+  // During the pause this instance may have been removed from the list and
+  // added again, while keys were granted without it. Its view is also older
+  // than the allowed lag.
   if (aNow - mLastCall > mSettings.mClockGap) {
     mHistoryCompleteSince = aNow;
     mViews.clear();
@@ -100,7 +101,8 @@
 claim_view
 key_witness::RestrictToOwnDomain(const claim_view& aView) const
 {
-  // Only the own domain decides whether this instance is a witness.
+  // Only instances of the own domain determine whether this instance is a
+  // witness.
   const auto self =
     std::ranges::find(aView.mList.mInstances, mSelf, &listed_instance::mName);
   claim_view out{ aView.mDomains, { aView.mList.mVersion, {} } };
@@ -161,8 +163,9 @@
   if (known.mState == entry_state::kUsed) {
     return claim_verdict::kUsed;
   }
-  // The holder's process may have ended an earlier submission and the message
-  // about it was lost: another submission of the same process is not granted.
+  // The holder's process may have ended an earlier submission and the
+  // notification was lost, so a different submission of the same process is not
+  // granted the key.
   if (!sameHolder || aRequest.mClaim != known.mClaim) {
     return claim_verdict::kHeld;
   }
@@ -173,7 +176,7 @@
 claim_verdict
 key_witness::DecideUnclaimed(const claim_request& aRequest, time_point aNow)
 {
-  // With another view the holder may have left out a witness that knows of
+  // With a different view the holder may have skipped a witness that knows of
   // another submission.
   if (mViews.empty() ||
       WitnessesOf(aRequest.mKey, mViews.back().mView, mSettings.mWitnesses) !=
@@ -188,8 +191,9 @@
 void
 key_witness::RecordUsed(const claim_request& aRequest, time_point aNow)
 {
-  // Also where the key isn't known here (this witness is new), and where
-  // another submission holds it: it may have run, so nobody is granted it.
+  // Recorded even if the key is unknown here (this witness is new) or held by
+  // another submission: the request may have run, so no one may be granted the
+  // key.
   entry* const used = StoreEntry(aRequest, aNow);
   if (used != nullptr) {
     used->mState = entry_state::kUsed;
@@ -201,7 +205,8 @@
 {
   const auto found = mEntries.find(aRequest.mKey);
   if (found == mEntries.end()) {
-    // The claim itself is still on its way; it is known when it comes.
+    // The claim itself has not arrived yet; the entry makes sure that it is
+    // denied when it does.
     if (entry* const released = StoreEntry(aRequest, aNow)) {
       released->mState = entry_state::kReleased;
     }
--- a/thornhollow/fleet/key_witness.h
+++ b/thornhollow/fleet/key_witness.h
@@ -1,21 +1,23 @@
-// One daemon's memory of the idempotency keys that it witnesses.
+// The witness's side of idempotency keys: the keys that one instance remembers.
 //
 //   key_witness witness(key_claim_settings{}, self, now);
 //   witness.OnView(view, now);
 //   const claim_answer answer = witness.OnRequest(request, now);
 //
-// A key is held by one submission of one process, then used, each for a key's
-// lifetime from the last message about it; a holder renews while it works.
+// A key is held by one submission of one process, then marked used. Each state
+// lasts for one lifetime after the last message about the key; holders renew
+// the claim while the submission runs.
 //
-// Guards against a witness with no memory: a restarted or newly listed instance
-// knows no key and would grant one that runs elsewhere, and two dispatch orders
-// would go out. It grants, as it can't know better, but vouches only if it has
-// been a witness for this key by every view that it held for longer than a key
-// can live unseen (a lifetime and twice the views' lag), without a pause.
-// Holders need one that vouches.
+// Guards against a witness that lost its memory: a restarted or newly listed
+// instance knows no keys and would grant one whose request is running
+// elsewhere, so that the request would be run twice. Such a witness grants the
+// key, because it cannot know better, but does not vouch. It vouches only if it
+// has been a witness for the key in every view for longer than a key can stay
+// alive unseen (a lifetime plus twice the view lag), without a pause. Holders
+// require at least one witness that vouches.
 //
-// Memory is bounded: with no room for another key the witness refuses. It never
-// gives up a live one.
+// Memory is bounded: a witness that is full refuses new keys and never evicts a
+// live one.
 #ifndef THORNHOLLOW_FLEET_KEY_WITNESS_H_
 #define THORNHOLLOW_FLEET_KEY_WITNESS_H_
 
@@ -40,19 +42,20 @@
   key_witness(const key_witness&) = delete;
   key_witness& operator=(const key_witness&) = delete;
 
-  // Takes the declared domains and the platform's list as it was read, without
-  // members known by gossip only. A list of a lower version than the last is
-  // ignored. To be called again after a pause, when the list has been read
-  // anew, even if it didn't change: until then no key is granted.
+  // Sets the declared domains and the platform's list as read, without members
+  // known only through gossip. A list with a lower version than the last is
+  // ignored. Call it again after a pause, once the list has been re-read, even
+  // if the list is unchanged: no key is granted until then.
   void OnView(const claim_view& aView, time_point aNow);
 
-  // Decides a claim, or notes what the holder tells; that needs no answer.
+  // Decides a claim, or records the end of a submission, in which case the
+  // answer only acknowledges it.
   claim_answer OnRequest(const claim_request& aRequest, time_point aNow);
 
-  // Forgets what expired; notes a pause. To be called every 100 ms.
+  // Erases expired keys and detects pauses. Call it every 100 ms.
   void Tick(time_point aNow);
 
-  // Keys remembered.
+  // Number of keys remembered.
   std::size_t size() const { return mEntries.size(); }
 
 private:
@@ -60,8 +63,8 @@
   {
     kHeld,
     kUsed,
-    // Given back; remembered, so that the claim, should it come late, isn't
-    // granted after its own release.
+    // Released; kept so that a claim that arrives after its own release is not
+    // granted.
     kReleased,
   };
 
@@ -75,7 +78,7 @@
     time_point mExpires{};
   };
 
-  // What was in force from `mSince` until the next one.
+  // A view that was in force from `mSince` until the next one.
   struct past_view
   {
     claim_view mView;
@@ -89,23 +92,23 @@
   bool IsWitnessIn(claim_key aKey, const claim_view& aView) const;
 
   claim_verdict Decide(const claim_request& aRequest, time_point aNow);
-  // Of a key that nobody holds.
+  // Decides a claim of a key that is not held.
   claim_verdict DecideUnclaimed(const claim_request& aRequest, time_point aNow);
   void RecordUsed(const claim_request& aRequest, time_point aNow);
   void RecordReleased(const claim_request& aRequest, time_point aNow);
-  // The entry of a request's key, made where there is none; null where there is
-  // no room.
+  // Stores the request as a held entry, replacing any entry of its key. Returns
+  // null if the table is full.
   entry* StoreEntry(const claim_request& aRequest, time_point aNow);
   void ExtendExpiry(entry& aEntry, time_point aNow);
 
   key_claim_settings mSettings;
   instance_name mSelf;
-  // Since when nothing was forgotten and every view was seen.
+  // Time since which no key was lost and every view was received.
   time_point mHistoryCompleteSince;
   time_point mLastCall;
   std::deque<past_view> mViews;
   std::unordered_map<claim_key, entry> mEntries;
-  // In order of expiry: every entry lives equally long from its last message.
+  // Ordered by expiry: every entry expires one lifetime after its last message.
   boost::intrusive::list<entry> mExpiryOrder;
 };
 
--- a/thornhollow/fleet/member_search_test.cc
+++ b/thornhollow/fleet/member_search_test.cc
@@ -1,6 +1,7 @@
-// A search for faults in the membership: seeded lists of kills, restarts,
-// pauses and partitions over a network that loses, repeats and reorders, with
-// invariants checked throughout and after healing. A longer search:
+// Randomized search for faults in the membership protocol: seeded lists of
+// kills, restarts, pauses and partitions on a network that drops, duplicates
+// and reorders datagrams. Invariants are checked throughout and after healing.
+// For a longer search:
 // THORNHOLLOW_MEMBER_SEEDS=2000 fleet_test -tc="member_search/*".
 
 #include <cstdlib>
@@ -18,7 +19,8 @@
 
 constexpr int kSeedsInCi = 40;
 constexpr int kNodes = 7;
-// One that runs and can be reached by all must be back in every view by then.
+// A node that runs and is reachable by all must be in every view again after
+// this time.
 constexpr duration kMaxRejoinTime = Seconds(15);
 
 enum class fault : std::uint8_t
@@ -97,7 +99,7 @@
     }
   }
 
-  // Whether `aNode` runs, undisturbed for long enough to be known.
+  // Whether `aNode` has run undisturbed for long enough to be known to all.
   static bool IsStable(const fake_network& aNetwork,
                        const fake_network::node& aNode)
   {
@@ -105,7 +107,8 @@
            aNetwork.Now() - aNode.mStableSince >= kMaxRejoinTime;
   }
 
-  // What is wrong now; empty where nothing is.
+  // Returns a description of the first violated invariant; empty if there is
+  // none.
   static std::string FindViolation(fake_network& aNetwork)
   {
     for (const auto& [name, one] : aNetwork.Nodes()) {
@@ -113,7 +116,7 @@
         if (name != otherName && IsStable(aNetwork, one) &&
             IsStable(aNetwork, other) && one.mPartition == other.mPartition &&
             !aNetwork.Sees(one, other)) {
-          return name.Text() + " does not see " + otherName.Text();
+          return name.Text() + " has no live entry for " + otherName.Text();
         }
       }
     }
@@ -142,7 +145,7 @@
     return CheckAfterHealing(network);
   }
 
-  // After healing, all views agree with what runs.
+  // After healing, every view must match the set of running nodes.
   static std::string CheckAfterHealing(fake_network& aNetwork)
   {
     for (int node = 0; node < kNodes; ++node) {
@@ -156,7 +159,7 @@
       for (const auto& [otherName, other] : aNetwork.Nodes()) {
         if (name != otherName && one.mRunning &&
             aNetwork.Sees(one, other) != other.mRunning) {
-          return "healed, but " + name.Text() + " is wrong about " +
+          return "after healing, " + name.Text() + " has a wrong status for " +
                  otherName.Text();
         }
       }
@@ -200,9 +203,10 @@
 
 TEST_CASE_FIXTURE(member_search, "member_search/random_faults/views_are_right")
 {
-  // Instances die, restart, pause and are cut off while datagrams are lost,
-  // repeated and late. Two that run and reach each other must not stay apart:
-  // each would refuse keys that the other witnesses, and miss configurations.
+  // Instances die, restart, pause and are partitioned while datagrams are lost,
+  // duplicated and delayed. Two running instances that can reach each other
+  // must not keep each other removed: each would refuse keys that the other
+  // witnesses, and miss configurations.
   const auto failing = FailingSeeds(SeedCount());
   MESSAGE("seeds ", SeedCount(), ", failing ", failing.size());
   for (const std::uint64_t seed : failing) {
@@ -212,15 +216,16 @@
 
 TEST_CASE_FIXTURE(member_search, "member_search/seeds_that_failed/hold")
 {
-  // Two members alone on one side of a partition didn't find each other for
-  // more than fifteen seconds: they pinged the absent ones at random, one an
+  // Two members alone on one side of a partition did not find each other for
+  // more than 15 s: they pinged members that were not alive at random, one per
   // interval, and a few pings were lost.
   for (const std::uint64_t seed : { 763, 925, 2167, 5872 }) {
     CHECK(Run(Events(seed), seed) == "");
   }
 }
 
-// The search finds faults as soon as members have no time to contradict.
+// The search must find violations when members have no time to refute a
+// suspicion.
 TEST_CASE_FIXTURE(member_search, "member_search/no_suspicion/views_are_wrong")
 {
   mSettings.mSuspicionTimeout = duration::zero();
--- a/thornhollow/fleet/membership.cc
+++ b/thornhollow/fleet/membership.cc
@@ -11,13 +11,14 @@
 namespace thornhollow {
 namespace {
 
-// Pings in other members' place at a time; each ends within a second.
+// Limit on concurrent indirect pings; each ends within a second.
 constexpr std::size_t kMaxIndirectPings = 64;
-// Of what a datagram holds beside its head, the part that pressures may take.
+// Pressures may take up to 1 / kPressureDivisor of the space in a datagram
+// beyond its header and the leaving endpoints.
 constexpr std::size_t kPressureDivisor = 2;
 
-// As many entries as fit, starting at a random one, so that none is left out
-// of every message.
+// Appends as many entries as fit, starting at a random one, so that no entry is
+// left out of every message.
 template<class entry>
 void
 AppendWhileFits(std::vector<entry>& aOut,
@@ -37,7 +38,7 @@
   }
 }
 
-// What the step from one digest to the next means to others.
+// Returns the changes to report for the transition from one digest to the next.
 std::vector<member_change>
 ChangesBetween(const member_digest& aOld,
                const member_digest& aNew,
@@ -84,7 +85,8 @@
            member_status::kAlive,
            false }
   , mRandom(aSeed)
-  // A process doesn't take the answers to its predecessor's pings for its own.
+  // A random start keeps a process from accepting acks to its predecessor's
+  // pings.
   , mNextExchange(mRandom() >> 2)
 {
 }
@@ -175,9 +177,10 @@
     mNextProbe = aNow + mSettings.mProbeInterval;
     PurgeMembers(aNow);
     StartProbe(aNow, out);
-    // One that sees nobody alive has no probes to spend, and is to be found
-    // sooner: at one ping an interval, two members alone on one side of a
-    // partition took more than fifteen seconds when two pings were lost.
+    // An instance that sees no other alive has no probes to spend and should be
+    // found sooner: with one ping per interval, two members alone on one side
+    // of a partition took more than 15 s to find each other when two pings were
+    // lost.
     const std::size_t pingCount = mProbe ? 1 : mSettings.mFanout;
     for (std::size_t count = 0; count < pingCount; ++count) {
       PingNotAlive(aNow, out);
@@ -207,7 +210,7 @@
 {
   membership_actions out;
   DetectPause(aNow, out);
-  // An endpoint repeats itself with each answer; the first time is news.
+  // An endpoint repeats the report with each answer; only the first is new.
   if (!mLeft && !mShared.IsLeaving(aEndpoint, aNow)) {
     mShared.AddLeaving(aEndpoint, aFor, aNow);
     PushUpdates(aNow, out);
@@ -269,7 +272,8 @@
 membership::DetectPause(time_point aNow, membership_actions& aOut)
 {
   if (!mLastCall) {
-    // Daemons that start together don't probe together for good.
+    // A random phase keeps instances that start together from probing in
+    // lockstep.
     const auto phase = duration(static_cast<duration::rep>(
       mRandom() %
       static_cast<std::uint64_t>(mSettings.mProbeInterval.count())));
@@ -318,7 +322,8 @@
   }
   const auto found = mMembers.find(aDigest.mName);
   if (found == mMembers.end()) {
-    // An unknown member that is gone is of no use; it would only be spread.
+    // An unknown removed member is of no use and would only be disseminated
+    // further.
     if (aDigest.mStatus != member_status::kRemoved &&
         mMembers.size() < mSettings.mMaxMembers) {
       ApplyDigest(mMembers[aDigest.mName], aDigest, aNow, aOut);
@@ -504,7 +509,7 @@
   member_digest suspect = found->second.mDigest;
   suspect.mStatus = member_status::kSuspect;
   ApplyDigest(found->second, suspect, aNow, aOut);
-  // One that runs hears of it at once and can contradict.
+  // A member that is alive learns of the suspicion at once and can refute it.
   SendTo(failed.mTarget,
          Compose(gossip_kind::kPing, mNextExchange++, {}),
          aNow,
@@ -532,8 +537,8 @@
     return aEntry.second.mListedOnly ||
            aEntry.second.mDigest.mStatus != member_status::kAlive;
   };
-  // In turn: with random picks two members alone on one side of a partition
-  // were seen to miss each other for longer than fifteen seconds.
+  // Round-robin: with random picks, two members alone on one side of a
+  // partition missed each other for more than 15 s.
   auto next = std::find_if(
     mMembers.upper_bound(mLastNotAlive), mMembers.end(), isNotAlive);
   if (next == mMembers.end()) {
@@ -557,7 +562,7 @@
     if (!IsBridgeTo(domain)) {
       continue;
     }
-    // A random one: a listed instance that is gone costs one interval.
+    // A random one: a listed instance that is gone costs only one interval.
     const listed_instance& to = listed[mRandom() % listed.size()];
     gossip_message message = Compose(aKind, mNextExchange++, {});
     Piggyback(message, to.mName, false, aNow);
@@ -603,8 +608,8 @@
 std::optional<instance_name>
 membership::NextToProbe()
 {
-  // Each member once in a random order, then a new order: a dead one is found
-  // within two rounds, where random picks could miss it for long.
+  // Visits each member once in random order, then reshuffles: a dead member is
+  // found within two rounds, whereas random picks could miss it for long.
   for (int round = 0; round < 2; ++round) {
     while (!mProbeOrder.empty()) {
       instance_name next = std::move(mProbeOrder.back());
@@ -657,7 +662,7 @@
 std::uint32_t
 membership::MaxTransmissions() const
 {
-  // Three times the number of rounds that gossip needs to reach all.
+  // Three times the number of rounds in which gossip reaches all members.
   return 3 * static_cast<std::uint32_t>(std::bit_width(mMembers.size() + 1));
 }
 
@@ -712,7 +717,8 @@
     aMessage.mMembers.push_back(aEach.mDigest);
     return true;
   };
-  // One that is suspected or removed must hear of it, or it can't contradict.
+  // A suspected or removed recipient must learn of its status to be able to
+  // refute it.
   if (const auto found = mMembers.find(aTo);
       found != mMembers.end() &&
       found->second.mDigest.mStatus != member_status::kAlive) {
--- a/thornhollow/fleet/membership.h
+++ b/thornhollow/fleet/membership.h
@@ -1,31 +1,33 @@
-// Which entry instances of the own failure domain run, and the small state that
-// they share: configuration version, pool pressures, endpoints that leave.
+// Membership of the entry instances in the own failure domain, and the small
+// shared state that they gossip: configuration version, pool pressures and
+// leaving endpoints.
 //
 //   membership members(membership_settings{}, self, epoch, seed);
 //   Apply(members.OnInstances(list, now));
 //   Apply(members.Tick(now));               // every 100 ms
 //   Apply(members.OnMessage(message, now)); // for each opened datagram
 //
-// Failure detection by probes, as in SWIM: once a probe interval each daemon
-// pings one other, in an order that visits all; without an answer it has two
-// others ping in its place; without an answer to those it suspects the member
-// and says so. A suspected member that runs contradicts by raising its
-// revision; else it is removed when the suspicion ends. Every message carries
-// the latest changes, so that each reaches all within a few intervals, and a
-// few other members in turn, so that a lost one is made good.
+// Failure detection follows SWIM. Once per probe interval each instance pings
+// one other, in an order that visits all of them. Without an ack it asks two
+// others to ping on its behalf; without an ack from those either, it marks the
+// member as suspect and disseminates that. A suspected member that is alive
+// refutes the suspicion by raising its incarnation; otherwise it is removed
+// when the suspicion times out. Every message piggybacks the latest changes, so
+// that each reaches all members within a few intervals, and a few other members
+// in turn (anti-entropy), which repairs the loss of a message.
 //
-// The load that this answers: a fleet of any size. Each daemon sends and gets a
-// constant number of datagrams an interval, each of bounded size, and holds the
-// members of its own domain only; other domains are reached by two members of
-// each domain, the link holders, which ping one instance of the other domain an
+// The design scales to a fleet of any size. Each instance sends and receives a
+// constant number of datagrams per interval, each of bounded size, and tracks
+// only the members of its own domain. Domains are connected through two members
+// of each domain, the bridges, which ping one instance of the other domain per
 // interval.
 //
-// Guards against a paused process: one that was stopped for a while wakes up
-// with a view that others have long left, and old messages in its socket. It
-// shows as a gap between two calls. The members then restarts its timers, takes
-// no answer to an old probe, contradicts any removal, and reports itself as
-// refreshing until a peer answered (or nobody did for a second, so that an
-// instance that is cut off serves on).
+// Guards against a paused process, which resumes with an outdated view and with
+// old messages in its socket. A pause is detected as a gap between two calls.
+// The instance then restarts its timers, accepts no acks to earlier probes,
+// refutes any removal, and reports itself as refreshing until a peer has
+// responded (or none has within a second, so that a partitioned instance keeps
+// serving).
 #ifndef THORNHOLLOW_FLEET_MEMBERSHIP_H_
 #define THORNHOLLOW_FLEET_MEMBERSHIP_H_
 
@@ -48,32 +50,35 @@
 
 struct membership_settings
 {
-  // One member is probed each interval. A second keeps the cost at about four
-  // datagrams a second and finds a dead member within a few seconds.
+  // One member is probed per interval. One second keeps the cost at about four
+  // datagrams per second and detects a dead member within a few seconds.
   duration mProbeInterval = Seconds(1);
-  // An answer takes a few milliseconds; an engine step or a busy loop may add
-  // tens. After this, others are asked to probe.
+  // An ack takes a few milliseconds; an engine step or a busy event loop may
+  // add tens. After this timeout other members are asked to probe.
   duration mAckTimeout = Milliseconds(250);
-  // After this without an answer to any probe the member is suspected.
+  // Without an ack to any probe within this time the member is suspected.
   duration mProbeTimeout = Milliseconds(750);
-  // How long a suspected member has to contradict: news reaches all 38 of a
-  // domain within one to two intervals, so three leave room for loss.
+  // Time that a suspected member has to refute. An update reaches all 38
+  // members of a domain within one to two intervals, so three leave room for
+  // message loss.
   duration mSuspicionTimeout = Seconds(3);
-  // A longer time between two calls is a pause of this process.
+  // A longer gap between two calls is treated as a pause of this process.
   duration mClockGap = Seconds(2);
-  // How long a daemon waits for a peer after a pause.
+  // How long an instance waits for a peer after a pause.
   duration mRefreshTimeout = Seconds(1);
-  // Removed members are kept this long, so that late news of them is known as
-  // such, and probed as long as they are listed.
+  // Removed members are kept as tombstones for this long, so that late messages
+  // about them are recognized as outdated. They are probed as long as they are
+  // listed.
   duration mTombstoneLifetime = Seconds(60);
   std::size_t mIndirectProbers = 2;
-  // Members that hear of news at once.
+  // Members that an update is pushed to at once.
   std::size_t mFanout = 4;
-  // Members of a domain that hold links to each other domain.
+  // Members of a domain that exchange messages with each other domain.
   std::size_t mBridgesPerDomain = 2;
-  // Members that a message repeats in turn beside the changes.
+  // Members that a message repeats in turn, in addition to recent changes.
   std::size_t mAntiEntropyMembers = 8;
-  // Members held; more are ignored. Letter 1's domains have 38.
+  // Limit on tracked members; further ones are ignored. The largest deployment
+  // has 38 per domain.
   std::size_t mMaxMembers = 256;
 
   friend bool operator==(const membership_settings&,
@@ -92,15 +97,15 @@
 
 enum class member_change : std::uint8_t
 {
-  // Heard of as alive for the first time.
+  // First reported as alive.
   kJoined,
   kSuspected,
-  // Contradicted the suspicion.
+  // Refuted the suspicion.
   kRecovered,
   kRemoved,
   // Alive again after its removal.
   kRejoined,
-  // Another process runs under the name.
+  // Another process runs under the same name.
   kRestarted,
   kDraining,
 };
@@ -115,7 +120,7 @@
 };
 
 // A peer has a newer configuration in force and can be asked for it. Repeated
-// at most once an interval while it stays so.
+// at most once per interval while this remains so.
 struct newer_configuration
 {
   std::uint64_t mVersion = 0;
@@ -126,7 +131,8 @@
                          const newer_configuration&) = default;
 };
 
-// A peer said that this endpoint leaves: no new work may go there until then.
+// A peer reported that this endpoint is leaving: send it no new work until
+// `mUntil`.
 struct endpoint_leave_reported
 {
   endpoint_name mEndpoint;
@@ -146,8 +152,8 @@
                          const process_paused&) = default;
 };
 
-// The refresh after a pause is over; `mPeerResponded` tells whether a peer
-// answered.
+// The refresh after a pause has ended; `mPeerResponded` is false if it timed
+// out.
 struct refresh_finished
 {
   bool mPeerResponded = false;
@@ -156,8 +162,8 @@
                          const refresh_finished&) = default;
 };
 
-// Peers know a later process of this name. This one must stop, or start again
-// with an epoch above `mEpoch`.
+// Peers know a later process of this name. This one must stop, or restart with
+// an epoch above `mEpoch`.
 struct superseded
 {
   std::uint64_t mEpoch = 0;
@@ -178,42 +184,46 @@
 {
 public:
   // `aSelf` is this instance as the platform lists it. `aEpoch` must be higher
-  // than at the last start under the same name; `aSeed` drives every random
+  // than at the last start under the same name. `aSeed` seeds every random
   // choice.
   membership(const membership_settings& aSettings,
              const listed_instance& aSelf,
              std::uint64_t aEpoch,
              std::uint64_t aSeed);
 
-  // Takes the platform's list. A lower version than the last one is ignored.
+  // Updates the platform's list. A lower version than the last one is ignored.
   membership_actions OnInstances(const instance_list& aList, time_point aNow);
 
   membership_actions OnMessage(const gossip_message& aMessage, time_point aNow);
 
-  // Does what falls due. To be called every 100 ms.
+  // Runs probes and timeouts that are due. Call it every 100 ms.
   membership_actions Tick(time_point aNow);
 
-  // This daemon has another configuration in force; peers hear at once.
+  // Reports that this instance has another configuration in force; peers are
+  // notified at once.
   membership_actions OnConfiguration(std::uint64_t aVersion, time_point aNow);
 
-  // An endpoint told this daemon that it leaves; peers hear at once.
+  // Reports that an endpoint announced its leaving to this instance; peers are
+  // notified at once.
   membership_actions OnEndpointLeaving(const endpoint_name& aEndpoint,
                                        duration aFor,
                                        time_point aNow);
 
-  // This daemon's own pressure for a pool, to be repeated while it lasts (see
-  // shared_state.h).
+  // Sets this instance's own pressure on a pool. Call it repeatedly while the
+  // pressure lasts (see shared_state.h).
   void OnPressure(const pool_pressure& aPressure, time_point aNow);
 
-  // This daemon takes no new requests.
+  // Announces that this instance accepts no new requests.
   membership_actions Drain(time_point aNow);
 
-  // This daemon stops now: peers remove it without suspecting it first.
+  // Announces that this instance stops now: peers remove it without suspecting
+  // it first.
   membership_actions Leave(time_point aNow);
 
-  // Members believed alive, this one left out, in order of name.
+  // Members not removed, suspected ones included, excluding this instance;
+  // ordered by name.
   std::vector<member_digest> Alive() const;
-  // What is held about one member of the own domain.
+  // The current state of one member of the own domain, if known.
   std::optional<member_digest> Find(const instance_name& aName) const;
 
   const shared_state& Shared() const { return mShared; }
@@ -225,12 +235,12 @@
   struct member
   {
     member_digest mDigest;
-    // No message proved yet that it runs: known from the list alone.
+    // Known only from the list; no message has shown yet that it runs.
     bool mListedOnly = true;
     bool mListed = false;
-    // When it got its present status.
+    // Time of the last status change.
     time_point mStatusSince{};
-    // Messages that still repeat its last change.
+    // Number of messages that still carry its last change.
     std::uint32_t mTransmissionsLeft = 0;
   };
 
@@ -242,7 +252,7 @@
     bool mIndirectProbesSent = false;
   };
 
-  // A ping sent in another member's place.
+  // A ping sent on another member's behalf.
   struct indirect_ping
   {
     std::uint64_t mExchange = 0;
@@ -252,7 +262,7 @@
     time_point mUntil{};
   };
 
-  // Notes the present, and whether this process was paused.
+  // Detects whether this process was paused since the last call.
   void DetectPause(time_point aNow, membership_actions& aOut);
   void StartRefresh(time_point aNow, membership_actions& aOut);
   void EndRefresh(bool aPeerResponded, membership_actions& aOut);
@@ -286,8 +296,8 @@
   void AdvanceProbe(time_point aNow, membership_actions& aOut);
   void StartProbe(time_point aNow, membership_actions& aOut);
   void FailProbe(time_point aNow, membership_actions& aOut);
-  // Pings the next one that is only listed, suspected or removed, so that it
-  // can return.
+  // Pings the next member that is only listed, suspected or removed, so that it
+  // can rejoin.
   void PingNotAlive(time_point aNow, membership_actions& aOut);
   void SendToOtherDomains(gossip_kind aKind,
                           time_point aNow,
@@ -311,7 +321,7 @@
   void PiggybackMembers(gossip_message& aMessage,
                         const instance_name& aTo,
                         std::size_t aRoom);
-  // Sends to a member of the own domain; does nothing for an unknown one.
+  // Sends to a member of the own domain; does nothing if it is unknown.
   void SendTo(const instance_name& aTo,
               gossip_message aMessage,
               time_point aNow,
@@ -326,7 +336,7 @@
   std::uint64_t mConfigurationVersion = 0;
   std::uint64_t mListVersion = 0;
   std::map<instance_name, member> mMembers;
-  // Instances of other domains as listed, by domain.
+  // Listed instances of other domains, by domain.
   std::map<domain_name, std::vector<listed_instance>> mOtherDomains;
   std::vector<instance_name> mProbeOrder;
   std::optional<probe> mProbe;
--- a/thornhollow/fleet/membership_test.cc
+++ b/thornhollow/fleet/membership_test.cc
@@ -67,8 +67,9 @@
 
 TEST_CASE_FIXTURE(one_domain, "membership/member_killed/all_remove_it_in_time")
 {
-  // An instance dies without a word while the platform's list keeps it. Peers
-  // that went on asking it for claims would refuse callers for minutes.
+  // An instance dies without leaving while the platform's list still contains
+  // it. Peers that kept requesting claims from it would refuse callers for
+  // minutes.
   mNetwork.Kill("n3");
   const auto elapsed =
     mNetwork.RunUntilHolds([&] { return NoneSees("n3"); }, Seconds(12));
@@ -78,8 +79,8 @@
 
 TEST_CASE_FIXTURE(one_domain, "membership/short_pause/suspicion_is_refuted")
 {
-  // A member stops for two and a half seconds (a slow host) and goes on. It is
-  // suspected meanwhile; removing it would move its claims for nothing.
+  // A member is paused for 2.5 s (a slow host) and resumes. It is suspected
+  // meanwhile; removing it would move its claims needlessly.
   mNetwork.Pause("n2");
   mNetwork.RunFor(Milliseconds(2'500));
   mNetwork.Resume("n2");
@@ -92,9 +93,10 @@
 
 TEST_CASE_FIXTURE(one_domain, "membership/long_pause/refreshes_and_returns")
 {
-  // A member stops for half a minute and is removed. It wakes with an old view
-  // and a socket full of old datagrams: it must notice by its own clock, tell
-  // its owner, suspect nobody for its own absence, and be taken back.
+  // A member is paused for 30 s and is removed. It resumes with an outdated
+  // view and a socket full of old datagrams. It must detect the pause by its
+  // own clock, report it to its owner, suspect no peer because of its own
+  // absence, and rejoin.
   mNetwork.Pause("n2");
   mNetwork.RunFor(Seconds(30));
   REQUIRE(NoneSees("n2"));
@@ -150,8 +152,9 @@
 TEST_CASE_FIXTURE(one_domain,
                   "membership/older_process_of_a_name/is_superseded")
 {
-  // Two processes run under one name, or a restarted one got an older clock.
-  // Peers ignore the older; unaware of that, it would serve with no peers.
+  // Two processes run under one name, or a restarted process has an older
+  // clock. Peers ignore the one with the lower epoch; unless it is informed, it
+  // would keep serving without peers.
   gossip_message ping;
   ping.mDomain = domain_name("hall");
   ping.mSender = mNetwork.Core("n0").Self();
@@ -198,7 +201,7 @@
       }));
     }
   }
-  // It ends everywhere, however often it was repeated.
+  // The report expires everywhere, however often it was repeated.
   mNetwork.RunFor(Seconds(20));
   for (const auto& [name, each] : mNetwork.Nodes()) {
     CHECK(each.mCore->Shared().Leaving(mNetwork.Now()).empty());
@@ -207,9 +210,9 @@
 
 TEST_CASE_FIXTURE(one_domain, "membership/pressure_ends/all_forget_it")
 {
-  // One daemon sheds tiers 3 and 4 for a burst; the others raise their floor.
-  // After the burst the statement must not live on in what they tell each
-  // other, or low tiers would stay refused for good.
+  // One instance sheds tiers 3 and 4 during a burst, and the others raise their
+  // admission threshold. After the burst the report must not keep circulating
+  // among them, or low tiers would be refused indefinitely.
   for (int second = 0; second < 3; ++second) {
     mNetwork.Core("n0").OnPressure(
       { pool_name("dispatch"), 2, Milliseconds(80), {} }, mNetwork.Now());
@@ -227,8 +230,8 @@
 
 TEST_CASE_FIXTURE(one_domain, "membership/flood_of_names/memory_is_bounded")
 {
-  // A faulty peer makes up members, pools and endpoints without end. Each would
-  // be kept and spread to all.
+  // A faulty peer reports an unbounded number of made-up members, pools and
+  // endpoints, each of which would be stored and disseminated.
   gossip_message flood;
   flood.mKind = gossip_kind::kPush;
   flood.mDomain = domain_name("hall");
--- a/thornhollow/fleet/peer_messages.h
+++ b/thornhollow/fleet/peer_messages.h
@@ -1,10 +1,10 @@
-// What daemons tell each other, as plain values. The codec in `wire` turns them
-// into bytes; the state machines of this folder make and read them.
+// Messages between instances, as plain values. The codec in `wire` encodes
+// them; the state machines in this folder create and consume them.
 //
 //   gossip_message ping{ .mKind = gossip_kind::kPing, .mExchange = 7 };
 //
-// Instants don't travel: clocks differ, so a message carries ages and remaining
-// lengths instead.
+// Messages carry ages and remaining durations in place of time points, because
+// clocks differ between hosts.
 #ifndef THORNHOLLOW_FLEET_PEER_MESSAGES_H_
 #define THORNHOLLOW_FLEET_PEER_MESSAGES_H_
 
@@ -24,32 +24,34 @@
 
 namespace thornhollow {
 
-// Largest sealed datagram: it fits one packet on any usual path.
+// Largest sealed datagram: it fits into one packet on any usual path.
 inline constexpr std::size_t kMaxDatagramBytes = 1200;
-// Entries of one list inside a message; more is refused as garbage.
+// Maximum entries of one list inside a message; a message with more is rejected
+// as malformed.
 inline constexpr std::size_t kMaxMessageEntries = 64;
-// Bytes of a name or an address inside a message.
+// Maximum bytes of a name or an address inside a message.
 inline constexpr std::size_t kMaxNameBytes = 128;
-// Bytes of a configuration part or a manifest: the platform holds values up to
-// a megabyte.
+// Maximum bytes of a configuration part or a manifest: the platform stores
+// values of up to 1 MiB.
 inline constexpr std::size_t kMaxTransferBytes = std::size_t{ 1 } << 20;
 
-// Orders what is known of one member. The epoch tells processes of the same
-// name apart (taken from the clock when the process starts); the revision is
-// raised by the member itself when it contradicts a suspicion or changes.
+// Orders the information about one member. The epoch distinguishes processes of
+// the same name (taken from the clock at process start); the incarnation is
+// raised by the member itself when it refutes a suspicion or changes.
 struct member_version
 {
   std::uint64_t mEpoch = 0;
   std::uint64_t mIncarnation = 0;
 
-  // clang-tidy 14 takes the 0 in the generated code for a null pointer.
+  // clang-tidy 14 mistakes the 0 in the generated code for a null pointer.
   // NOLINTBEGIN(modernize-use-nullptr)
   friend std::strong_ordering operator<=>(const member_version&,
                                           const member_version&) = default;
   // NOLINTEND(modernize-use-nullptr)
 };
 
-// Ordered: of two statements about the same version, the later one wins.
+// Ordered by precedence: of two digests with the same version, the one with the
+// greater status wins.
 enum class member_status : std::uint8_t
 {
   kAlive,
@@ -57,7 +59,8 @@
   kRemoved,
 };
 
-// What one daemon says of another of its own failure domain, or of itself.
+// State of an instance of the own failure domain, as reported by a peer or by
+// itself.
 struct member_digest
 {
   instance_name mName;
@@ -65,19 +68,19 @@
   std::string mAddress;
   member_version mVersion;
   member_status mStatus = member_status::kAlive;
-  // Takes no new requests, still serves its peers.
+  // Accepts no new requests but still serves its peers.
   bool mDraining = false;
 
   friend bool operator==(const member_digest&, const member_digest&) = default;
 };
 
-// An endpoint that said it is leaving.
+// An endpoint that has reported that it is leaving.
 struct leaving_endpoint
 {
   endpoint_name mEndpoint;
-  // Raised for each new statement about the same endpoint.
+  // Increased with each new report about the same endpoint.
   std::uint64_t mVersion = 0;
-  // How long the statement still holds.
+  // Time for which the report remains valid.
   duration mRemaining{};
 
   friend bool operator==(const leaving_endpoint&,
@@ -86,30 +89,30 @@
 
 enum class gossip_kind : std::uint8_t
 {
-  // Answer with an ack.
+  // Must be answered with an ack.
   kPing,
   kAck,
   // Ping `mTarget` on the sender's behalf.
   kPingRequest,
-  // News; no answer is expected.
+  // An update; no answer is expected.
   kPush,
 };
 
-// One datagram between two daemons.
+// One datagram between two instances.
 struct gossip_message
 {
   gossip_kind mKind = gossip_kind::kPing;
-  // An ack repeats the ping's.
+  // An ack repeats the value of its ping.
   std::uint64_t mExchange = 0;
   domain_name mDomain;
   member_digest mSender;
-  // Of a ping request: whom to ping. Of an ack: who is alive.
+  // In a ping request, the member to ping; in an ack, the member that is alive.
   instance_name mTarget;
   std::vector<member_digest> mMembers;
   std::uint64_t mConfigurationVersion = 0;
   std::vector<pool_pressure> mPressures;
   std::vector<leaving_endpoint> mLeaving;
-  // With the configuration version: see config_hint.
+  // Belongs to the configuration version; see config_hint.
   std::optional<duration> mPlatformAge;
 
   friend bool operator==(const gossip_message&,
@@ -119,7 +122,7 @@
 // Hash of a team and its idempotency key.
 using claim_key = std::uint64_t;
 
-// Who holds a claim: one process, not its name.
+// The holder of a claim: one process, since a name may be reused.
 struct claim_holder
 {
   instance_name mName;
@@ -132,9 +135,10 @@
 {
   // Grant the key to the holder, or renew its grant.
   kClaim,
-  // The holder's submission ended and may have run: never grant again.
+  // The holder's submission ended and may have run: do not grant the key again
+  // within its lifetime.
   kUsed,
-  // The holder's submission ended and was not run: forget the grant.
+  // The holder's submission ended without running: release the grant.
   kRelease,
 };
 
@@ -142,15 +146,16 @@
 {
   claim_kind mKind = claim_kind::kClaim;
   claim_key mKey = 0;
-  // Hash of the request; the same key with another one is refused.
+  // Hash of the request; the same key with a different hash is refused.
   std::uint64_t mFingerprint = 0;
   claim_holder mHolder;
-  // Counts the holder's submissions with a key. Only the same one is granted
-  // again: another of the same process is another submission.
+  // Sequence number of the holder's submissions with a key. A grant is renewed
+  // only for the same number: a different one of the same process is a
+  // different submission.
   std::uint64_t mClaim = 0;
-  // Counts the times that the claim was asked for anew.
+  // Incremented each time the claim is requested again.
   std::uint32_t mRound = 0;
-  // The witnesses by the holder's view, highest rank first.
+  // The witnesses according to the holder's view, highest rank first.
   std::vector<instance_name> mWitnesses;
 
   friend bool operator==(const claim_request&, const claim_request&) = default;
@@ -158,17 +163,17 @@
 
 enum class claim_verdict : std::uint8_t
 {
-  // Another submission holds the key. First, so that an answer without a
-  // verdict reads as a denial.
+  // Another submission holds the key. First enumerator, so that an answer
+  // without a verdict reads as a denial.
   kHeld,
   kGranted,
-  // A submission with the key ended.
+  // A submission with the key ended and may have run.
   kUsed,
-  // The key belongs to a request with another fingerprint.
+  // The key belongs to a request with a different fingerprint.
   kFingerprintMismatch,
-  // The witness has another view of who the witnesses are.
+  // The witness has a different view of which instances are the witnesses.
   kViewMismatch,
-  // The witness has no room for another key.
+  // The witness cannot store another key.
   kCapacityExceeded,
 };
 
@@ -179,14 +184,14 @@
   std::uint32_t mRound = 0;
   instance_name mWitness;
   claim_verdict mVerdict = claim_verdict::kHeld;
-  // The witness has been one for this key, with its memory, for longer than a
-  // key lives.
+  // The witness has been one for this key, with its memory intact, for longer
+  // than the key's lifetime.
   bool mVouches = false;
 
   friend bool operator==(const claim_answer&, const claim_answer&) = default;
 };
 
-// Asks for a configuration part or a manifest by the hex SHA-256 of its bytes.
+// Requests a configuration part or a manifest by the hex SHA-256 of its bytes.
 struct part_request
 {
   std::string mDigest;
@@ -203,7 +208,7 @@
   friend bool operator==(const part_answer&, const part_answer&) = default;
 };
 
-// What the sender says of its configuration; answered by the same of the other.
+// Configuration status of the sender; answered with the same of the receiver.
 struct config_status_exchange
 {
   config_word mStatus;
@@ -212,7 +217,7 @@
                          const config_status_exchange&) = default;
 };
 
-// One frame on the peers' TCP port.
+// One frame on a peer TCP connection.
 using stream_message = std::variant<claim_request,
                                     claim_answer,
                                     part_request,
--- a/thornhollow/fleet/shared_state.cc
+++ b/thornhollow/fleet/shared_state.cc
@@ -5,9 +5,9 @@
 namespace thornhollow {
 namespace {
 
-// Statements kept of each kind. Letter 1's site has 24 models and 850 endpoints
-// of which a few leave at a time; the bound keeps a faulty peer from filling
-// the memory.
+// Limit on entries of each kind. The largest deployment has 24 models and 850
+// endpoints, a few of which leave at a time; the limit keeps a faulty peer from
+// exhausting memory.
 constexpr std::size_t kMaxEntries = 256;
 
 } // namespace
@@ -122,8 +122,8 @@
   }
   const int known = at->second.mPressure.mLowestAdmitted;
   const int received = aNew.mPressure.mLowestAdmitted;
-  // A smaller number admits fewer tiers. Of equal ones the younger counts, else
-  // a wait that has gone down would be kept at its old length.
+  // A smaller number admits fewer tiers. Between equal ones the more recent
+  // wins; otherwise a wait that has shortened would keep its old value.
   if (received < known ||
       (received == known && aNew.mMeasuredAt > at->second.mMeasuredAt)) {
     at->second = aNew;
--- a/thornhollow/fleet/shared_state.h
+++ b/thornhollow/fleet/shared_state.h
@@ -1,23 +1,23 @@
-// The small facts that daemons tell each other: how tight each pool is, and
-// which endpoints leave.
+// Small state that instances share by gossip: the pressure on each pool and the
+// endpoints that are leaving.
 //
 //   shared_state shared;
 //   shared.SetOwnPressure(pressure, now);
-//   if (shared.MergeLeaving(leaving, now)) { ... tell others ... }
+//   if (shared.MergeLeaving(leaving, now)) { ... notify peers ... }
 //
-// Pressures: a daemon that sheds low tiers tells the others, so that they don't
-// admit those meanwhile. Kept for each pool only, not for each daemon: the
-// tightest one known whose age is below `kPressureLifetime`. Without that limit
-// one daemon's burst would keep the lower tiers out of the whole domain, as
-// each daemon would hear its own statement back from the others. Ages travel
-// and only grow, so each statement ends everywhere; a daemon must derive its
-// own pressure from its own queue alone, and repeat it each second while it
-// lasts.
+// Pressures: an instance that sheds low tiers reports this to the others, so
+// that they do not admit those tiers meanwhile. One pressure is kept per pool
+// rather than per instance: the tightest known one with an age below
+// `kPressureLifetime`. Without this limit one instance's burst would keep the
+// lower tiers out of the whole domain, because each instance would receive its
+// own report back from the others. Messages carry ages, which only grow, so
+// that each report expires everywhere. An instance must derive its own pressure
+// from its own queue alone and repeat it every second while it lasts.
 //
-// Leaving endpoints: a statement has a stamp and a remaining length. Its end is
-// fixed when the stamp is first heard; later copies, however late they come,
-// don't move it. For a while after its end the stamp is remembered, so that a
-// copy doesn't start it again.
+// Leaving endpoints: a report has a version and a remaining time. Its expiry is
+// fixed when the version is first received; later copies, however late, do not
+// move it. The version is remembered for a while after the expiry (tombstone),
+// so that a late copy does not revive the report.
 #ifndef THORNHOLLOW_FLEET_SHARED_STATE_H_
 #define THORNHOLLOW_FLEET_SHARED_STATE_H_
 
@@ -32,44 +32,44 @@
 
 namespace thornhollow {
 
-// Three gossip intervals: one lost message in a row doesn't end a statement.
+// Three gossip intervals, so that one lost message does not expire a report.
 inline constexpr duration kPressureLifetime = Seconds(3);
-// The longest time for which a statement about a leaving endpoint holds. By
-// then the platform's list tells the same, or the endpoint says it again.
+// Maximum time for which a report about a leaving endpoint is valid. By then
+// the platform's list shows the same, or the endpoint has reported it again.
 inline constexpr duration kLeavingLifetime = Seconds(60);
 
 class shared_state
 {
 public:
-  // This daemon's own pressure of one pool, in place of its last one.
+  // Sets this instance's own pressure on one pool, replacing the last one.
   void SetOwnPressure(const pool_pressure& aPressure, time_point aNow);
 
-  // A peer's statement.
+  // Merges a pressure reported by a peer.
   void MergePressure(const pool_pressure& aPressure, time_point aNow);
 
-  // What peers said, without what is too old. Order of pool names.
+  // Unexpired pressures reported by peers, ordered by pool name.
   std::vector<pool_pressure> PeerPressures(time_point aNow) const;
-  // What to tell peers: own and theirs, the tightest for each pool.
+  // Pressures to send to peers: the tightest own or peer pressure of each pool.
   std::vector<pool_pressure> PressuresToSend(time_point aNow) const;
 
-  // Makes a new statement that `aEndpoint` leaves.
+  // Creates a new report that `aEndpoint` is leaving.
   leaving_endpoint AddLeaving(const endpoint_name& aEndpoint,
                               duration aFor,
                               time_point aNow);
-  // Returns whether the statement is news and still holds.
+  // Merges a report. Returns whether it is new and still valid.
   bool MergeLeaving(const leaving_endpoint& aLeaving, time_point aNow);
-  // The statements that hold.
+  // The reports that are still valid.
   std::vector<leaving_endpoint> Leaving(time_point aNow) const;
   bool IsLeaving(const endpoint_name& aEndpoint, time_point aNow) const;
 
-  // Forgets what ended.
+  // Erases expired entries.
   void Expire(time_point aNow);
 
 private:
   struct timed_pressure
   {
     pool_pressure mPressure;
-    // When the pressure was measured, on this daemon's clock.
+    // When the pressure was measured, by this instance's clock.
     time_point mMeasuredAt{};
   };
   struct timed_leaving
--- a/thornhollow/fleet/testing/fake_key_fleet.h
+++ b/thornhollow/fleet/testing/fake_key_fleet.h
@@ -1,6 +1,6 @@
-// For tests: daemons with a `key_holder` and a `key_witness` each, a lagging
-// list and a faulty network in virtual time, and a count of how often each key
-// was run.
+// For tests: simulates instances with a `key_holder` and a `key_witness` each,
+// a lagging list and a faulty network in virtual time, and counts how often
+// each key was run.
 //
 //   fake_key_fleet fleet(link_quality{}, seed);
 //   fleet.Start(5);
@@ -28,14 +28,14 @@
 
 namespace thornhollow {
 
-// Parts of the guard that a test may switch off, to show that it needs them.
+// Protections that a test may disable to show that each one is needed.
 struct key_protections
 {
-  // Ask witnesses at all.
+  // Claim keys from witnesses at all.
   bool mClaims = true;
-  // A grant counts only if a witness vouches.
+  // Require that a witness vouches.
   bool mVouching = true;
-  // Claim again before sending when paused.
+  // Check the claim again before sending, as a pause may have expired it.
   bool mBeforeSend = true;
 
   friend bool operator==(const key_protections&,
@@ -45,7 +45,7 @@
 class fake_key_fleet
 {
 public:
-  // How a submission ended.
+  // Outcome of a submission.
   struct outcome
   {
     claim_key mKey = 0;
@@ -62,15 +62,15 @@
   key_claim_settings mSettings{ .mLifetime = Seconds(60),
                                 .mViewLag = Seconds(5) };
   key_protections mProtections;
-  // Between a grant and the moment when the daemon sends.
+  // Maximum time between a grant and the send.
   duration mMaxSendDelay = Milliseconds(500);
-  // Domains over which the daemons are spread.
+  // Number of domains across which the instances are spread.
   std::size_t mDomains = 1;
-  // What a run takes.
+  // Duration of a run.
   duration mRunDuration = Milliseconds(700);
 
-  // Starts the daemons and lets their witnesses grow old enough
-  // to vouch.
+  // Starts the instances and runs until their witnesses have been up long
+  // enough to vouch.
   void Start(int aCount)
   {
     for (int number = 0; number < aCount; ++number) {
@@ -113,14 +113,16 @@
     });
   }
 
-  // The process dies and another one starts under its name, with no memory.
+  // The process dies and another starts under the same name, without its
+  // memory.
   void Restart(std::size_t aNode)
   {
     StartProcess(aNode, mNodes[aNode].mName);
     DeliverView(aNode);
   }
 
-  // The instance is replaced by one of another name; the list tells later.
+  // Replaces the instance by one with a different name; the list shows it after
+  // a lag.
   void Replace(std::size_t aNode)
   {
     StartProcess(aNode, "r" + std::to_string(++mReplaced));
@@ -151,7 +153,7 @@
     return found == mRuns.end() ? 0 : found->second;
   }
 
-  // Messages sent to witnesses.
+  // Requests sent to witnesses.
   std::uint64_t RequestsSent() const { return mRequestsSent; }
 
   // The shortest time between two runs of one key, if any key ran twice.
@@ -184,9 +186,9 @@
     int mPartition = 0;
     std::unique_ptr<key_holder> mHolder;
     std::unique_ptr<key_witness> mWitness;
-    // Submissions whose `BeforeSend` was asked.
+    // Submissions whose `BeforeSend` has been called.
     std::map<submission_id, bool> mBeforeSendCalled;
-    // Happens on waking.
+    // Callbacks to run on resume.
     std::vector<std::function<void()>> mInbox;
   };
 
@@ -237,7 +239,7 @@
     for (const auto& each : std::exchange(mNodes[aNode].mInbox, {})) {
       each();
     }
-    // A daemon that was paused reads the list again.
+    // An instance that was paused reads the list again.
     DeliverView(aNode);
   }
 
@@ -273,7 +275,8 @@
     }
   }
 
-  // The list of now, at a daemon of now, some time later.
+  // Delivers the current list after a random lag, provided the process is still
+  // the same and not paused.
   void DeliverView(std::size_t aNode)
   {
     const auto lag = std::uniform_int_distribution<std::int64_t>(
@@ -331,7 +334,8 @@
     });
   }
 
-  // Once the daemon is awake, if the process is still the same.
+  // Runs the callback after the delay, once the instance is not paused, and
+  // only if the process is still the same.
   void ScheduleOnProcess(std::size_t aNode,
                          duration aAfter,
                          std::function<void()> aCallback)
@@ -364,7 +368,7 @@
     return std::uniform_real_distribution<double>()(mRandom) < aProbability;
   }
 
-  // Calls `aOnArrival` at the node once for each copy that arrives.
+  // Calls `aOnArrival` at the receiving node once for each copy that arrives.
   void Transmit(std::size_t aFrom,
                 std::size_t aTo,
                 const std::function<void()>& aOnArrival)
--- a/thornhollow/fleet/testing/fake_network.h
+++ b/thornhollow/fleet/testing/fake_network.h
@@ -1,6 +1,6 @@
-// For tests and measurements: a network of `membership` objects in virtual
-// time, which delays, loses, repeats and reorders datagrams, cuts sides off
-// from each other, and pauses, kills and restarts members.
+// For tests and measurements: a network of `membership` objects in virtual time
+// that delays, drops, duplicates and reorders datagrams, partitions nodes, and
+// pauses, kills and restarts members.
 //
 //   fake_network network(link_quality{}, seed);
 //   network.Add("a", "hall");
@@ -27,10 +27,10 @@
 
 struct link_quality
 {
-  // Shares of datagrams, 0 to 1.
+  // Fractions of datagrams, 0 to 1.
   double mLossRate = 0;
   double mDuplicationRate = 0;
-  // Arrive up to two seconds late.
+  // Fraction delayed by up to two seconds.
   double mDelayRate = 0;
 
   friend bool operator==(const link_quality&, const link_quality&) = default;
@@ -45,14 +45,14 @@
     std::unique_ptr<membership> mCore;
     bool mRunning = true;
     bool mPaused = false;
-    // Datagrams pass between nodes of one side only.
+    // Datagrams are delivered only between nodes of the same partition.
     int mPartition = 0;
     std::uint64_t mEpoch = 1;
-    // Arrived while paused.
+    // Datagrams that arrived while paused.
     std::vector<gossip_message> mInbox;
-    // Every action but datagrams, with its time.
+    // All actions except datagrams, with their time.
     std::vector<std::pair<time_point, membership_action>> mActions;
-    // Since when the node runs undisturbed.
+    // Time since which the node has run undisturbed.
     time_point mStableSince{};
   };
 
@@ -62,7 +62,7 @@
   {
   }
 
-  // Sees each datagram that leaves a node; returns what arrives.
+  // Called with each datagram that a node sends; returns what is delivered.
   std::function<std::optional<gossip_message>(const instance_name& aFrom,
                                               const send_datagram&)>
     mIntercept;
@@ -77,7 +77,8 @@
     ScheduleTick(name);
   }
 
-  // Every node that runs gets the list of all of them now.
+  // Delivers the list of all running nodes to each running node that is not
+  // paused.
   void PublishList()
   {
     ++mList.mVersion;
@@ -101,7 +102,7 @@
     killed.mInbox.clear();
   }
 
-  // A new process under the same name, with no memory.
+  // Starts a new process under the same name, without memory.
   void Restart(const std::string& aName)
   {
     node& restarted = At(aName);
@@ -119,7 +120,7 @@
     node& resumed = At(aName);
     resumed.mPaused = false;
     resumed.mStableSince = mNow;
-    // What waited in the socket comes before the next tick.
+    // Datagrams queued in the socket are handled before the next tick.
     for (const gossip_message& each : std::exchange(resumed.mInbox, {})) {
       Apply(resumed, resumed.mCore->OnMessage(each, mNow));
     }
@@ -146,7 +147,8 @@
     mNow = aEnd;
   }
 
-  // Runs until `aDone` holds; nothing when it doesn't within `aLimit`.
+  // Runs until `aDone` returns true and returns the time taken, or nothing if
+  // that exceeds `aLimit`.
   template<class predicate>
   std::optional<duration> RunUntilHolds(predicate aDone, duration aLimit)
   {
@@ -176,7 +178,7 @@
   std::map<instance_name, node>& Nodes() { return mNodes; }
   time_point Now() const { return mNow; }
 
-  // Whether `aOne` holds `aOther` for alive.
+  // Whether `aOne` considers `aOther` not removed.
   bool Sees(const node& aOne, const node& aOther) const
   {
     const auto found = aOne.mCore->Find(aOther.mInfo.mName);
@@ -189,10 +191,10 @@
     time_point mAt;
     std::uint64_t mSequence = 0;
     instance_name mTo;
-    // A tick where there is none.
+    // Null for a tick.
     std::shared_ptr<const gossip_message> mMessage;
 
-    // std::priority_queue gives the largest first.
+    // std::priority_queue returns the largest element first.
     friend bool operator<(const event& aLeft, const event& aRight)
     {
       return std::pair(aRight.mAt, aRight.mSequence) <
--- a/thornhollow/fleet/testing/fault_search.h
+++ b/thornhollow/fleet/testing/fault_search.h
@@ -1,7 +1,7 @@
-// For tests: shortens a list of events that makes a run fail.
+// For tests: minimizes a list of events that makes a run fail.
 //
-//   const auto fewest = Minimize(events, [](const auto& aSome) {
-//     return !Holds(aSome);
+//   const auto minimized = Minimize(events, [](const auto& aSubset) {
+//     return !Holds(aSubset);
 //   });
 #ifndef THORNHOLLOW_FLEET_TESTING_FAULT_SEARCH_H_
 #define THORNHOLLOW_FLEET_TESTING_FAULT_SEARCH_H_
@@ -12,8 +12,9 @@
 
 namespace thornhollow {
 
-// Leaves out ever smaller parts of `aEvents` as long as `aFails` still holds.
-// Returns a list that fails and of which no single event can be left out.
+// Removes progressively smaller chunks of `aEvents` as long as `aFails` still
+// returns true. Returns a failing list from which no single event can be
+// removed.
 template<class event, class predicate>
 std::vector<event>
 Minimize(std::vector<event> aEvents, predicate aFails)
