--- a/thornhollow/fleet/membership_test.cc
+++ b/thornhollow/fleet/membership_test.cc
@@ -36,10 +36,10 @@
 
   bool NoneSees(const std::string& aName)
   {
-    const auto& gone = mNetwork.At(aName);
+    const auto& killed = mNetwork.At(aName);
     return std::ranges::none_of(mNetwork.Nodes(), [&](const auto& aOne) {
-      return aOne.second.mRunning && aOne.first != gone.mInfo.mName &&
-             mNetwork.Sees(aOne.second, gone);
+      return aOne.second.mRunning && aOne.first != killed.mInfo.mName &&
+             mNetwork.Sees(aOne.second, killed);
     });
   }
 
@@ -67,19 +67,20 @@
 
 TEST_CASE_FIXTURE(one_domain, "membership/member_killed/all_remove_it_in_time")
 {
-  // An instance dies without a word while the platform's list keeps it. Peers
-  // that went on asking it for claims would refuse callers for minutes.
+  // An instance dies without leaving while the platform's list still contains
+  // it. Peers that kept requesting claims from it would refuse callers for
+  // minutes.
   mNetwork.Kill("n3");
-  const auto taken =
-    mNetwork.RunTill([&] { return NoneSees("n3"); }, Seconds(12));
-  REQUIRE(taken.has_value());
+  const auto elapsed =
+    mNetwork.RunUntilHolds([&] { return NoneSees("n3"); }, Seconds(12));
+  REQUIRE(elapsed.has_value());
   CHECK(Count("n0", Change("n3", member_change::kRemoved)) == 1);
 }
 
 TEST_CASE_FIXTURE(one_domain, "membership/short_pause/suspicion_is_refuted")
 {
-  // A member stops for two and a half seconds (a slow host) and goes on. It is
-  // suspected meanwhile; removing it would move its claims for nothing.
+  // A member is paused for 2.5 s (a slow host) and resumes. It is suspected
+  // meanwhile; removing it would move its claims needlessly.
   mNetwork.Pause("n2");
   mNetwork.RunFor(Milliseconds(2'500));
   mNetwork.Resume("n2");
@@ -92,9 +93,10 @@
 
 TEST_CASE_FIXTURE(one_domain, "membership/long_pause/refreshes_and_returns")
 {
-  // A member stops for half a minute and is removed. It wakes with an old view
-  // and a socket full of old datagrams: it must notice by its own clock, tell
-  // its owner, suspect nobody for its own absence, and be taken back.
+  // A member is paused for 30 s and is removed. It resumes with an outdated
+  // view and a socket full of old datagrams. It must detect the pause by its
+  // own clock, report it to its owner, suspect no peer because of its own
+  // absence, and rejoin.
   mNetwork.Pause("n2");
   mNetwork.RunFor(Seconds(30));
   REQUIRE(NoneSees("n2"));
@@ -102,39 +104,39 @@
   mNetwork.Resume("n2");
   const auto& actions = mNetwork.At("n2").mActions;
   REQUIRE_FALSE(actions.empty());
-  CHECK(std::holds_alternative<was_paused>(actions.front().second));
+  CHECK(std::holds_alternative<process_paused>(actions.front().second));
   CHECK(mNetwork.Core("n2").IsRefreshing());
   mNetwork.RunFor(Seconds(10));
   CHECK_FALSE(mNetwork.Core("n2").IsRefreshing());
-  CHECK(Count("n2", refreshed{ true }) == 1);
+  CHECK(Count("n2", refresh_finished{ true }) == 1);
   CHECK(AllSeeAll());
-  CHECK(Count("n0", Change("n2", member_change::kReturned)) == 1);
+  CHECK(Count("n0", Change("n2", member_change::kRejoined)) == 1);
   CHECK(Count("n2", Change("n0", member_change::kSuspected)) == 0);
 }
 
 TEST_CASE_FIXTURE(one_domain, "membership/paused_and_cut_off/serves_on")
 {
-  mNetwork.SetSide("n2", 1);
+  mNetwork.SetPartition("n2", 1);
   mNetwork.Pause("n2");
   mNetwork.RunFor(Seconds(30));
   mNetwork.Resume("n2");
   mNetwork.RunFor(Seconds(3));
   CHECK_FALSE(mNetwork.Core("n2").IsRefreshing());
-  CHECK(Count("n2", refreshed{ false }) == 1);
+  CHECK(Count("n2", refresh_finished{ false }) == 1);
 }
 
 TEST_CASE_FIXTURE(one_domain, "membership/partition_heals/all_return")
 {
   for (const char* name : { "n0", "n1", "n2" }) {
-    mNetwork.SetSide(name, 1);
+    mNetwork.SetPartition(name, 1);
   }
   mNetwork.RunFor(Seconds(20));
   CHECK_FALSE(mNetwork.Sees(mNetwork.At("n0"), mNetwork.At("n5")));
   CHECK(mNetwork.Sees(mNetwork.At("n0"), mNetwork.At("n1")));
   for (const char* name : { "n0", "n1", "n2" }) {
-    mNetwork.SetSide(name, 0);
+    mNetwork.SetPartition(name, 0);
   }
-  CHECK(mNetwork.RunTill([&] { return AllSeeAll(); }, Seconds(15)));
+  CHECK(mNetwork.RunUntilHolds([&] { return AllSeeAll(); }, Seconds(15)));
 }
 
 TEST_CASE_FIXTURE(one_domain, "membership/restart_under_its_name/is_told")
@@ -150,8 +152,9 @@
 TEST_CASE_FIXTURE(one_domain,
                   "membership/older_process_of_a_name/is_superseded")
 {
-  // Two processes run under one name, or a restarted one got an older clock.
-  // Peers ignore the older; unaware of that, it would serve with no peers.
+  // Two processes run under one name, or a restarted process has an older
+  // clock. Peers ignore the one with the lower epoch; unless it is informed, it
+  // would keep serving without peers.
   gossip_message ping;
   ping.mDomain = domain_name("hall");
   ping.mSender = mNetwork.Core("n0").Self();
@@ -168,7 +171,7 @@
   mNetwork.RunFor(Seconds(3));
   CHECK(Count("n0", Change("n4", member_change::kDraining)) == 1);
   mNetwork.Apply(mNetwork.At("n4"), mNetwork.Core("n4").Leave(mNetwork.Now()));
-  CHECK(mNetwork.RunTill([&] { return NoneSees("n4"); }, Seconds(4)));
+  CHECK(mNetwork.RunUntilHolds([&] { return NoneSees("n4"); }, Seconds(4)));
   CHECK(Count("n0", Change("n4", member_change::kSuspected)) == 0);
 }
 
@@ -198,7 +201,7 @@
       }));
     }
   }
-  // It ends everywhere, however often it was repeated.
+  // The report expires everywhere, however often it was repeated.
   mNetwork.RunFor(Seconds(20));
   for (const auto& [name, each] : mNetwork.Nodes()) {
     CHECK(each.mCore->Shared().Leaving(mNetwork.Now()).empty());
@@ -207,27 +210,28 @@
 
 TEST_CASE_FIXTURE(one_domain, "membership/pressure_ends/all_forget_it")
 {
-  // One daemon sheds tiers 3 and 4 for a burst; the others raise their floor.
-  // After the burst the statement must not live on in what they tell each
-  // other, or low tiers would stay refused for good.
+  // One instance sheds tiers 3 and 4 during a burst, and the others raise their
+  // admission threshold. After the burst the report must not keep circulating
+  // among them, or low tiers would be refused indefinitely.
   for (int second = 0; second < 3; ++second) {
     mNetwork.Core("n0").OnPressure(
       { pool_name("dispatch"), 2, Milliseconds(80), {} }, mNetwork.Now());
     mNetwork.RunFor(Seconds(1));
   }
-  const auto heard = mNetwork.Core("n5").Shared().OfPeers(mNetwork.Now());
-  REQUIRE(heard.size() == 1);
-  CHECK(heard.front().mLowestAdmitted == 2);
+  const auto received =
+    mNetwork.Core("n5").Shared().PeerPressures(mNetwork.Now());
+  REQUIRE(received.size() == 1);
+  CHECK(received.front().mLowestAdmitted == 2);
   mNetwork.RunFor(Seconds(4));
   for (const auto& [name, each] : mNetwork.Nodes()) {
-    CHECK(each.mCore->Shared().OfPeers(mNetwork.Now()).empty());
+    CHECK(each.mCore->Shared().PeerPressures(mNetwork.Now()).empty());
   }
 }
 
 TEST_CASE_FIXTURE(one_domain, "membership/flood_of_names/memory_is_bounded")
 {
-  // A faulty peer makes up members, pools and endpoints without end. Each would
-  // be kept and spread to all.
+  // A faulty peer reports an unbounded number of made-up members, pools and
+  // endpoints, each of which would be stored and disseminated.
   gossip_message flood;
   flood.mKind = gossip_kind::kPush;
   flood.mDomain = domain_name("hall");
@@ -243,7 +247,7 @@
     victim.OnMessage(flood, mNetwork.Now());
   }
   CHECK(victim.Alive().size() <= mNetwork.mSettings.mMaxMembers);
-  CHECK(victim.Shared().OfPeers(mNetwork.Now()).size() <= 256);
+  CHECK(victim.Shared().PeerPressures(mNetwork.Now()).size() <= 256);
   CHECK(victim.Shared().Leaving(mNetwork.Now()).size() <= 256);
 }
 
@@ -260,32 +264,34 @@
   network.Apply(network.At("hall0"),
                 network.Core("hall0").OnConfiguration(4, network.Now()));
   network.RunFor(Seconds(3));
-  bool heard = false;
+  bool received = false;
   for (const auto& [name, each] : network.Nodes()) {
     CHECK(each.mCore->Alive().size() == 3);
-    heard = heard ||
-            (each.mInfo.mDomain == domain_name("pier") &&
-             std::ranges::any_of(each.mActions, [](const auto& aSeen) {
-               return std::holds_alternative<newer_configuration>(aSeen.second);
-             }));
+    received =
+      received ||
+      (each.mInfo.mDomain == domain_name("pier") &&
+       std::ranges::any_of(each.mActions, [](const auto& aSeen) {
+         return std::holds_alternative<newer_configuration>(aSeen.second);
+       }));
   }
-  CHECK(heard);
+  CHECK(received);
 }
 
 TEST_CASE("membership/many_long_names/every_datagram_fits_its_bound")
 {
   fake_network network(link_quality{}, 3);
   std::size_t largest = 0;
-  network.mCarry = [&](const instance_name&, const send_datagram& aDatagram) {
-    std::size_t bound = HeadBound(aDatagram.mMessage);
+  network.mIntercept = [&](const instance_name&,
+                           const send_datagram& aDatagram) {
+    std::size_t bound = MaxHeaderSize(aDatagram.mMessage);
     for (const auto& each : aDatagram.mMessage.mMembers) {
-      bound += EntryBound(each);
+      bound += MaxEntrySize(each);
     }
     for (const auto& each : aDatagram.mMessage.mPressures) {
-      bound += EntryBound(each);
+      bound += MaxEntrySize(each);
     }
     for (const auto& each : aDatagram.mMessage.mLeaving) {
-      bound += EntryBound(each);
+      bound += MaxEntrySize(each);
     }
     largest = std::max(largest, bound);
     return std::optional(aDatagram.mMessage);
--- a/thornhollow/fleet/testing/fake_network.h
+++ b/thornhollow/fleet/testing/fake_network.h
@@ -1,6 +1,6 @@
-// For tests and measurements: a network of `membership` objects in virtual
-// time, which delays, loses, repeats and reorders datagrams, cuts sides off
-// from each other, and pauses, kills and restarts members.
+// For tests and measurements: a network of `membership` objects in virtual time
+// that delays, drops, duplicates and reorders datagrams, partitions nodes, and
+// pauses, kills and restarts members.
 //
 //   fake_network network(link_quality{}, seed);
 //   network.Add("a", "hall");
@@ -27,11 +27,11 @@
 
 struct link_quality
 {
-  // Shares of datagrams, 0 to 1.
-  double mLost = 0;
-  double mRepeated = 0;
-  // Arrive up to two seconds late.
-  double mLate = 0;
+  // Fractions of datagrams, 0 to 1.
+  double mLossRate = 0;
+  double mDuplicationRate = 0;
+  // Fraction delayed by up to two seconds.
+  double mDelayRate = 0;
 
   friend bool operator==(const link_quality&, const link_quality&) = default;
 };
@@ -45,27 +45,27 @@
     std::unique_ptr<membership> mCore;
     bool mRunning = true;
     bool mPaused = false;
-    // Datagrams pass between nodes of one side only.
-    int mSide = 0;
+    // Datagrams are delivered only between nodes of the same partition.
+    int mPartition = 0;
     std::uint64_t mEpoch = 1;
-    // Arrived while paused.
+    // Datagrams that arrived while paused.
     std::vector<gossip_message> mInbox;
-    // Every action but datagrams, with its time.
+    // All actions except datagrams, with their time.
     std::vector<std::pair<time_point, membership_action>> mActions;
-    // Since when the node runs undisturbed.
-    time_point mSteadySince{};
+    // Time since which the node has run undisturbed.
+    time_point mStableSince{};
   };
 
   fake_network(const link_quality& aQuality, std::uint64_t aSeed)
-    : mQuality(aQuality)
+    : mLinkQuality(aQuality)
     , mRandom(aSeed)
   {
   }
 
-  // Sees each datagram that leaves a node; returns what arrives.
+  // Called with each datagram that a node sends; returns what is delivered.
   std::function<std::optional<gossip_message>(const instance_name& aFrom,
                                               const send_datagram&)>
-    mCarry;
+    mIntercept;
   membership_settings mSettings;
 
   void Add(const std::string& aName, const std::string& aDomain)
@@ -77,7 +77,8 @@
     ScheduleTick(name);
   }
 
-  // Every node that runs gets the list of all of them now.
+  // Delivers the list of all running nodes to each running node that is not
+  // paused.
   void PublishList()
   {
     ++mList.mVersion;
@@ -96,40 +97,40 @@
 
   void Kill(const std::string& aName)
   {
-    node& gone = At(aName);
-    gone.mRunning = false;
-    gone.mInbox.clear();
+    node& killed = At(aName);
+    killed.mRunning = false;
+    killed.mInbox.clear();
   }
 
-  // A new process under the same name, with no memory.
+  // Starts a new process under the same name, without memory.
   void Restart(const std::string& aName)
   {
-    node& again = At(aName);
-    ++again.mEpoch;
-    again.mRunning = true;
-    again.mPaused = false;
-    Start(again);
-    Apply(again, again.mCore->OnInstances(mList, mNow));
+    node& restarted = At(aName);
+    ++restarted.mEpoch;
+    restarted.mRunning = true;
+    restarted.mPaused = false;
+    Start(restarted);
+    Apply(restarted, restarted.mCore->OnInstances(mList, mNow));
   }
 
   void Pause(const std::string& aName) { At(aName).mPaused = true; }
 
   void Resume(const std::string& aName)
   {
-    node& woken = At(aName);
-    woken.mPaused = false;
-    woken.mSteadySince = mNow;
-    // What waited in the socket comes before the next tick.
-    for (const gossip_message& each : std::exchange(woken.mInbox, {})) {
-      Apply(woken, woken.mCore->OnMessage(each, mNow));
+    node& resumed = At(aName);
+    resumed.mPaused = false;
+    resumed.mStableSince = mNow;
+    // Datagrams queued in the socket are handled before the next tick.
+    for (const gossip_message& each : std::exchange(resumed.mInbox, {})) {
+      Apply(resumed, resumed.mCore->OnMessage(each, mNow));
     }
   }
 
-  void SetSide(const std::string& aName, int aSide)
+  void SetPartition(const std::string& aName, int aPartition)
   {
-    At(aName).mSide = aSide;
+    At(aName).mPartition = aPartition;
     for (auto& [name, each] : mNodes) {
-      each.mSteadySince = mNow;
+      each.mStableSince = mNow;
     }
   }
 
@@ -146,9 +147,10 @@
     mNow = aEnd;
   }
 
-  // Runs until `aDone` holds; nothing when it doesn't within `aLimit`.
+  // Runs until `aDone` returns true and returns the time taken, or nothing if
+  // that exceeds `aLimit`.
   template<class predicate>
-  std::optional<duration> RunTill(predicate aDone, duration aLimit)
+  std::optional<duration> RunUntilHolds(predicate aDone, duration aLimit)
   {
     const time_point start = mNow;
     while (!aDone()) {
@@ -164,7 +166,7 @@
   {
     for (const membership_action& each : aActions) {
       if (const auto* datagram = std::get_if<send_datagram>(&each)) {
-        Carry(aFrom, *datagram);
+        Transmit(aFrom, *datagram);
       } else {
         aFrom.mActions.emplace_back(mNow, each);
       }
@@ -176,7 +178,7 @@
   std::map<instance_name, node>& Nodes() { return mNodes; }
   time_point Now() const { return mNow; }
 
-  // Whether `aOne` holds `aOther` for alive.
+  // Whether `aOne` considers `aOther` not removed.
   bool Sees(const node& aOne, const node& aOther) const
   {
     const auto found = aOne.mCore->Find(aOther.mInfo.mName);
@@ -187,16 +189,16 @@
   struct event
   {
     time_point mAt;
-    std::uint64_t mOrder = 0;
+    std::uint64_t mSequence = 0;
     instance_name mTo;
-    // A tick where there is none.
+    // Null for a tick.
     std::shared_ptr<const gossip_message> mMessage;
 
-    // std::priority_queue gives the largest first.
+    // std::priority_queue returns the largest element first.
     friend bool operator<(const event& aLeft, const event& aRight)
     {
-      return std::pair(aRight.mAt, aRight.mOrder) <
-             std::pair(aLeft.mAt, aLeft.mOrder);
+      return std::pair(aRight.mAt, aRight.mSequence) <
+             std::pair(aLeft.mAt, aLeft.mSequence);
     }
   };
 
@@ -205,12 +207,12 @@
     aNode.mCore = std::make_unique<membership>(
       mSettings, aNode.mInfo, aNode.mEpoch, mRandom());
     aNode.mInbox.clear();
-    aNode.mSteadySince = mNow;
+    aNode.mStableSince = mNow;
   }
 
   void ScheduleTick(const instance_name& aName)
   {
-    mEvents.push({ mNow + Milliseconds(100), ++mOrder, aName, nullptr });
+    mEvents.push({ mNow + Milliseconds(100), ++mSequence, aName, nullptr });
   }
 
   void Handle(const event& aEvent)
@@ -228,34 +230,36 @@
     }
   }
 
-  bool Happens(double aShare)
+  bool WithProbability(double aProbability)
   {
-    return std::uniform_real_distribution<double>()(mRandom) < aShare;
+    return std::uniform_real_distribution<double>()(mRandom) < aProbability;
   }
 
-  void Carry(const node& aFrom, const send_datagram& aDatagram)
+  void Transmit(const node& aFrom, const send_datagram& aDatagram)
   {
-    const auto carried = mCarry ? mCarry(aFrom.mInfo.mName, aDatagram)
-                                : std::optional(aDatagram.mMessage);
+    const auto carried = mIntercept ? mIntercept(aFrom.mInfo.mName, aDatagram)
+                                    : std::optional(aDatagram.mMessage);
     const auto to = mNodes.find(aDatagram.mTo);
-    if (!carried || to == mNodes.end() || to->second.mSide != aFrom.mSide ||
-        Happens(mQuality.mLost)) {
+    if (!carried || to == mNodes.end() ||
+        to->second.mPartition != aFrom.mPartition ||
+        WithProbability(mLinkQuality.mLossRate)) {
       return;
     }
     const auto message = std::make_shared<const gossip_message>(*carried);
-    const int copies = Happens(mQuality.mRepeated) ? 2 : 1;
+    const int copies = WithProbability(mLinkQuality.mDuplicationRate) ? 2 : 1;
     for (int copy = 0; copy < copies; ++copy) {
-      const std::int64_t longest = Happens(mQuality.mLate) ? 2'000'000 : 2'000;
+      const std::int64_t maxDelay =
+        WithProbability(mLinkQuality.mDelayRate) ? 2'000'000 : 2'000;
       const auto delay = std::chrono::microseconds(
-        std::uniform_int_distribution<std::int64_t>(200, longest)(mRandom));
-      mEvents.push({ mNow + delay, ++mOrder, aDatagram.mTo, message });
+        std::uniform_int_distribution<std::int64_t>(200, maxDelay)(mRandom));
+      mEvents.push({ mNow + delay, ++mSequence, aDatagram.mTo, message });
     }
   }
 
-  link_quality mQuality;
+  link_quality mLinkQuality;
   std::mt19937_64 mRandom;
   time_point mNow{ Seconds(1000) };
-  std::uint64_t mOrder = 0;
+  std::uint64_t mSequence = 0;
   instance_list mList;
   std::map<instance_name, node> mNodes;
   std::priority_queue<event> mEvents;
--- a/thornhollow/fleet/testing/fault_search.h
+++ b/thornhollow/fleet/testing/fault_search.h
@@ -1,7 +1,7 @@
-// For tests: shortens a list of events that makes a run fail.
+// For tests: minimizes a list of events that makes a run fail.
 //
-//   const auto fewest = Shorten(events, [](const auto& aSome) {
-//     return !Holds(aSome);
+//   const auto minimized = Minimize(events, [](const auto& aSubset) {
+//     return !Holds(aSubset);
 //   });
 #ifndef THORNHOLLOW_FLEET_TESTING_FAULT_SEARCH_H_
 #define THORNHOLLOW_FLEET_TESTING_FAULT_SEARCH_H_
@@ -12,32 +12,34 @@
 
 namespace thornhollow {
 
-// Leaves out ever smaller parts of `aEvents` as long as `aFails` still holds.
-// Returns a list that fails and of which no single event can be left out.
+// Removes progressively smaller chunks of `aEvents` as long as `aFails` still
+// returns true. Returns a failing list from which no single event can be
+// removed.
 template<class event, class predicate>
 std::vector<event>
-Shorten(std::vector<event> aEvents, predicate aFails)
+Minimize(std::vector<event> aEvents, predicate aFails)
 {
-  std::size_t part = std::max<std::size_t>(1, aEvents.size() / 2);
+  std::size_t chunk = std::max<std::size_t>(1, aEvents.size() / 2);
   while (true) {
-    bool shorter = false;
-    for (std::size_t at = 0; at < aEvents.size();) {
-      std::vector<event> fewer(aEvents.begin(),
-                               aEvents.begin() + static_cast<long>(at));
-      const std::size_t next = std::min(at + part, aEvents.size());
-      fewer.insert(
-        fewer.end(), aEvents.begin() + static_cast<long>(next), aEvents.end());
-      if (aFails(fewer)) {
-        aEvents = std::move(fewer);
-        shorter = true;
+    bool reduced = false;
+    for (std::size_t position = 0; position < aEvents.size();) {
+      std::vector<event> candidate(
+        aEvents.begin(), aEvents.begin() + static_cast<long>(position));
+      const std::size_t next = std::min(position + chunk, aEvents.size());
+      candidate.insert(candidate.end(),
+                       aEvents.begin() + static_cast<long>(next),
+                       aEvents.end());
+      if (aFails(candidate)) {
+        aEvents = std::move(candidate);
+        reduced = true;
       } else {
-        at = next;
+        position = next;
       }
     }
-    if (part == 1 && !shorter) {
+    if (chunk == 1 && !reduced) {
       return aEvents;
     }
-    part = std::max<std::size_t>(1, part / 2);
+    chunk = std::max<std::size_t>(1, chunk / 2);
   }
 }
 
