--- a/thornhollow/daemon/daemon.cc
+++ b/thornhollow/daemon/daemon.cc
@@ -137,7 +137,8 @@
       return;
     }
     mDrain.Begin(
-      { .mBalancerNotices = kBalancerNotices, .mGrace = mSettings.mDrainGrace },
+      { .mBalancerDetectionTime = kBalancerNotices,
+        .mGrace = mSettings.mDrainGrace },
       [this] { return mRouter.InProgress(); },
       [this] {
         mControl.Leave();
--- a/thornhollow/daemon/drain_watch.cc
+++ b/thornhollow/daemon/drain_watch.cc
@@ -10,7 +10,7 @@
 
 // How often a stopping instance looks whether it is done: short beside the
 // second or more that a drain takes, and 20 looks a second cost nothing.
-constexpr duration kCheckEvery = Milliseconds(50);
+constexpr duration kCheckInterval = Milliseconds(50);
 
 } // namespace
 
@@ -26,12 +26,12 @@
 void
 drain_watch::Begin(const drain_limits& aLimits,
                    std::function<std::size_t()> aInProgress,
-                   std::function<void()> aEnd)
+                   std::function<void()> aOnEnd)
 {
   mLimits = aLimits;
   mInProgress = std::move(aInProgress);
-  mEnd = std::move(aEnd);
-  mBegun = Now();
+  mOnEnd = std::move(aOnEnd);
+  mBeganAt = Now();
   mLog.Write(log_level::kInfo,
              "drain_begun",
              { { "in_progress", static_cast<std::int64_t>(mInProgress()) } });
@@ -41,17 +41,17 @@
 void
 drain_watch::Check()
 {
-  const duration since = Now() - mBegun;
-  if (since >= mLimits.mBalancerNotices) {
+  const duration elapsed = Now() - mBeganAt;
+  if (elapsed >= mLimits.mBalancerDetectionTime) {
     mCallers.BeginDrain();
   }
-  if (since >= mLimits.mGrace) {
+  if (elapsed >= mLimits.mGrace) {
     mCallers.StopListening();
     End();
-  } else if (MayEnd(since)) {
+  } else if (CanEnd(elapsed)) {
     End();
   } else {
-    CheckLater();
+    ScheduleCheck();
   }
 }
 
@@ -59,9 +59,9 @@
 // would close its connection without an answer, so listening ends first, and
 // the process only where the next look still finds nothing.
 bool
-drain_watch::MayEnd(duration aSince)
+drain_watch::CanEnd(duration aElapsed)
 {
-  if (aSince < mLimits.mBalancerNotices || mInProgress() > 0 ||
+  if (aElapsed < mLimits.mBalancerDetectionTime || mInProgress() > 0 ||
       mCallers.Busy()) {
     return false;
   }
@@ -73,11 +73,11 @@
 }
 
 void
-drain_watch::CheckLater()
+drain_watch::ScheduleCheck()
 {
-  mTimer.expires_after(kCheckEvery);
-  mTimer.async_wait([this](const boost::system::error_code& aWrong) {
-    if (!aWrong) {
+  mTimer.expires_after(kCheckInterval);
+  mTimer.async_wait([this](const boost::system::error_code& aError) {
+    if (!aError) {
       Check();
     }
   });
@@ -90,7 +90,7 @@
     log_level::kInfo,
     "stopped",
     { { "left_in_progress", static_cast<std::int64_t>(mInProgress()) } });
-  mEnd();
+  mOnEnd();
 }
 
 } // namespace thornhollow
--- a/thornhollow/daemon/drain_watch.h
+++ b/thornhollow/daemon/drain_watch.h
@@ -2,7 +2,8 @@
 // its stop.
 //
 //   drain_watch drain(io, callers, log);
-//   drain.Begin({ .mBalancerNotices = Seconds(2), .mGrace = Seconds(30) },
+//   drain.Begin({ .mBalancerDetectionTime = Seconds(2),
+//                 .mGrace = Seconds(30) },
 //               [&] { return router.InProgress(); },
 //               [&] { io.stop(); });
 //
@@ -24,7 +25,7 @@
 struct drain_limits
 {
   // For so long balancers may still send requests, so the port stays open.
-  duration mBalancerNotices{};
+  duration mBalancerDetectionTime{};
   // The instance ends after this long, whatever is still in progress.
   duration mGrace{};
 };
@@ -37,7 +38,7 @@
               caller_server& aCallers,
               json_log& aLog);
 
-  bool Begun() const { return mEnd != nullptr; }
+  bool Begun() const { return mOnEnd != nullptr; }
 
   // Call once. `aInProgress` gives the number of requests that the instance
   // itself works on. `aEnd` is called once: when the balancer has had its time,
@@ -45,12 +46,12 @@
   // when listening stopped; or when the grace has passed.
   void Begin(const drain_limits& aLimits,
              std::function<std::size_t()> aInProgress,
-             std::function<void()> aEnd);
+             std::function<void()> aOnEnd);
 
 private:
   void Check();
-  bool MayEnd(duration aSince);
-  void CheckLater();
+  bool CanEnd(duration aElapsed);
+  void ScheduleCheck();
   void End();
 
   caller_server& mCallers;
@@ -58,8 +59,8 @@
   boost::asio::steady_timer mTimer;
   drain_limits mLimits;
   std::function<std::size_t()> mInProgress;
-  std::function<void()> mEnd;
-  time_point mBegun{};
+  std::function<void()> mOnEnd;
+  time_point mBeganAt{};
   bool mListening = true;
 };
 
--- a/thornhollow/daemon/json_log.cc
+++ b/thornhollow/daemon/json_log.cc
@@ -15,10 +15,10 @@
 // tell as much and cost nothing.
 constexpr std::uint32_t kLinesPerSecond = 10;
 // Distinct events remembered; beyond it the memory starts anew.
-constexpr std::size_t kMaxRemembered = 1024;
+constexpr std::size_t kMaxCounters = 1024;
 
 std::string
-RepeatKey(std::string_view aEvent, const std::vector<log_field>& aFields)
+RateLimitKey(std::string_view aEvent, const std::vector<log_field>& aFields)
 {
   std::string key(aEvent);
   if (!aFields.empty()) {
@@ -40,9 +40,9 @@
 
 } // namespace
 
-json_log::json_log(log_level aLeast,
+json_log::json_log(log_level aMinLevel,
                    std::function<void(std::string_view)> aSink)
-  : mLeast(aLeast)
+  : mMinLevel(aMinLevel)
   , mSink(std::move(aSink))
 {
 }
@@ -52,16 +52,16 @@
                 std::string_view aEvent,
                 const std::vector<log_field>& aFields)
 {
-  if (aLevel > mLeast) {
+  if (aLevel > mMinLevel) {
     return;
   }
-  if (mRepeated.size() > kMaxRemembered) {
-    mRepeated.clear();
+  if (mCounters.size() > kMaxCounters) {
+    mCounters.clear();
   }
   const auto now = wall_clock::now();
-  repeated& seen = mRepeated[RepeatKey(aEvent, aFields)];
-  if (Admit(seen, now, kLinesPerSecond)) {
-    Emit(aLevel, aEvent, aFields, now, seen);
+  line_counter& counter = mCounters[RateLimitKey(aEvent, aFields)];
+  if (Admit(counter, now, kLinesPerSecond)) {
+    Emit(aLevel, aEvent, aFields, now, counter);
   }
 }
 
@@ -70,29 +70,29 @@
                        std::string_view aEvent,
                        const std::vector<log_field>& aFields)
 {
-  if (aLevel > mLeast) {
+  if (aLevel > mMinLevel) {
     return;
   }
   const auto now = wall_clock::now();
-  if (Admit(mRequests, now, kRequestLinesPerSecond)) {
-    Emit(aLevel, aEvent, aFields, now, mRequests);
+  if (Admit(mRequestCounter, now, kRequestLinesPerSecond)) {
+    Emit(aLevel, aEvent, aFields, now, mRequestCounter);
   }
 }
 
 bool
-json_log::Admit(repeated& aSeen,
+json_log::Admit(line_counter& aCounter,
                 wall_clock::time_point aNow,
-                std::uint32_t aMost)
+                std::uint32_t aMaxLines)
 {
   const std::int64_t second =
     std::chrono::duration_cast<std::chrono::seconds>(aNow.time_since_epoch())
       .count();
-  if (aSeen.mSecond != second) {
-    aSeen.mSecond = second;
-    aSeen.mWritten = 0;
+  if (aCounter.mSecond != second) {
+    aCounter.mSecond = second;
+    aCounter.mWritten = 0;
   }
-  if (++aSeen.mWritten > aMost) {
-    ++aSeen.mSuppressed;
+  if (++aCounter.mWritten > aMaxLines) {
+    ++aCounter.mSuppressed;
     return false;
   }
   return true;
@@ -103,7 +103,7 @@
                std::string_view aEvent,
                const std::vector<log_field>& aFields,
                wall_clock::time_point aNow,
-               repeated& aSeen)
+               line_counter& aCounter)
 {
   boost::json::object line;
   const auto milliseconds =
@@ -111,15 +111,16 @@
       aNow.time_since_epoch())
       .count();
   line["time"] = fmt::format("{:%Y-%m-%dT%H:%M:%S}.{:03}Z",
-                             fmt::gmtime(std::time_t{ aSeen.mSecond }),
+                             fmt::gmtime(std::time_t{ aCounter.mSecond }),
                              milliseconds % 1000);
   line["level"] = Name(aLevel);
   line["event"] = aEvent;
   for (const log_field& each : aFields) {
     line[each.mName] = ToJson(each);
   }
-  if (const auto left = std::exchange(aSeen.mSuppressed, 0); left > 0) {
-    line["suppressed"] = left;
+  if (const auto suppressed = std::exchange(aCounter.mSuppressed, 0);
+      suppressed > 0) {
+    line["suppressed"] = suppressed;
   }
   mSink(boost::json::serialize(line) + "\n");
 }
--- a/thornhollow/daemon/json_log.h
+++ b/thornhollow/daemon/json_log.h
@@ -32,7 +32,7 @@
 {
 public:
   // `aSink` takes one line with its end.
-  json_log(log_level aLeast, std::function<void(std::string_view)> aSink);
+  json_log(log_level aMinLevel, std::function<void(std::string_view)> aSink);
 
   // Writes one line, unless the level is below the least one or the same event
   // with the same first field was written too often in the present second; the
@@ -53,7 +53,7 @@
   static constexpr std::uint32_t kRequestLinesPerSecond = 200;
 
 private:
-  struct repeated
+  struct line_counter
   {
     std::int64_t mSecond = 0;
     std::uint32_t mWritten = 0;
@@ -62,19 +62,19 @@
 
   using wall_clock = std::chrono::system_clock;
   // Counts one line more against its bound; false where it is to be left out.
-  static bool Admit(repeated& aSeen,
+  static bool Admit(line_counter& aCounter,
                     wall_clock::time_point aNow,
-                    std::uint32_t aMost);
+                    std::uint32_t aMaxLines);
   void Emit(log_level aLevel,
             std::string_view aEvent,
             const std::vector<log_field>& aFields,
             wall_clock::time_point aNow,
-            repeated& aSeen);
+            line_counter& aCounter);
 
-  log_level mLeast;
-  repeated mRequests;
+  log_level mMinLevel;
+  line_counter mRequestCounter;
   std::function<void(std::string_view)> mSink;
-  std::unordered_map<std::string, repeated> mRepeated;
+  std::unordered_map<std::string, line_counter> mCounters;
 };
 
 // Standard error, unbuffered.
--- a/thornhollow/daemon/log_output.cc
+++ b/thornhollow/daemon/log_output.cc
@@ -13,13 +13,13 @@
 
 // A pipe that can be written to takes so many bytes without blocking. The
 // descriptor isn't made non-blocking itself: it may be shared with others.
-constexpr std::size_t kAtOnce = PIPE_BUF;
+constexpr std::size_t kMaxWriteBytes = PIPE_BUF;
 
 bool
-TakesBytes(int aDescriptor)
+IsWritable(int aDescriptor)
 {
-  pollfd asked{ aDescriptor, POLLOUT, 0 };
-  return ::poll(&asked, 1, 0) == 1 && (asked.revents & POLLOUT) != 0;
+  pollfd query{ aDescriptor, POLLOUT, 0 };
+  return ::poll(&query, 1, 0) == 1 && (query.revents & POLLOUT) != 0;
 }
 
 } // namespace
@@ -28,11 +28,11 @@
 log_output::Add(std::string_view aLine)
 {
   if (mPending.size() + aLine.size() > kMaxPending) {
-    ++mDropped;
-    ++mDroppedInAll;
+    ++mUnreportedDrops;
+    ++mTotalDropped;
     return;
   }
-  if (const auto dropped = std::exchange(mDropped, 0); dropped > 0) {
+  if (const auto dropped = std::exchange(mUnreportedDrops, 0); dropped > 0) {
     mPending += fmt::format(
       R"({{"level":"warning","event":"log_lines_dropped","lines":{}}})"
       "\n",
@@ -45,13 +45,14 @@
 log_output::Flush()
 {
   std::size_t written = 0;
-  while (written < mPending.size() && TakesBytes(mDescriptor)) {
-    const std::size_t next = std::min(kAtOnce, mPending.size() - written);
-    const ssize_t taken = ::write(mDescriptor, mPending.data() + written, next);
-    if (taken <= 0) {
+  while (written < mPending.size() && IsWritable(mDescriptor)) {
+    const std::size_t next =
+      std::min(kMaxWriteBytes, mPending.size() - written);
+    const ssize_t count = ::write(mDescriptor, mPending.data() + written, next);
+    if (count <= 0) {
       break;
     }
-    written += static_cast<std::size_t>(taken);
+    written += static_cast<std::size_t>(count);
   }
   mPending.erase(0, written);
 }
--- a/thornhollow/daemon/log_output.h
+++ b/thornhollow/daemon/log_output.h
@@ -32,7 +32,7 @@
   // Writes as much as the descriptor takes at once.
   void Flush();
 
-  std::uint64_t Dropped() const { return mDroppedInAll; }
+  std::uint64_t Dropped() const { return mTotalDropped; }
 
   // Some seconds of lines at the most that json_log writes.
   static constexpr std::size_t kMaxPending = std::size_t{ 256 } << 10U;
@@ -40,8 +40,8 @@
 private:
   int mDescriptor;
   std::string mPending;
-  std::uint64_t mDropped = 0;
-  std::uint64_t mDroppedInAll = 0;
+  std::uint64_t mUnreportedDrops = 0;
+  std::uint64_t mTotalDropped = 0;
 };
 
 } // namespace thornhollow
--- a/thornhollow/daemon/log_output_test.cc
+++ b/thornhollow/daemon/log_output_test.cc
@@ -10,22 +10,22 @@
 namespace thornhollow {
 namespace {
 
-struct output_to_a_pipe
+struct pipe_output
 {
   std::array<int, 2> mEnds{};
   log_output mOutput;
 
-  output_to_a_pipe()
+  pipe_output()
     : mOutput((Open(mEnds), mEnds[1]))
   {
   }
-  ~output_to_a_pipe()
+  ~pipe_output()
   {
     ::close(mEnds[0]);
     ::close(mEnds[1]);
   }
-  output_to_a_pipe(const output_to_a_pipe&) = delete;
-  output_to_a_pipe& operator=(const output_to_a_pipe&) = delete;
+  pipe_output(const pipe_output&) = delete;
+  pipe_output& operator=(const pipe_output&) = delete;
 
   static void Open(std::array<int, 2>& aEnds)
   {
@@ -37,13 +37,13 @@
   std::string Read() const
   {
     std::string read(std::size_t{ 1 } << 20U, '\0');
-    const ssize_t got = ::read(mEnds[0], read.data(), read.size());
-    read.resize(got > 0 ? static_cast<std::size_t>(got) : 0);
+    const ssize_t count = ::read(mEnds[0], read.data(), read.size());
+    read.resize(count > 0 ? static_cast<std::size_t>(count) : 0);
     return read;
   }
 };
 
-TEST_CASE_FIXTURE(output_to_a_pipe, "log_output/lines/come_out_whole")
+TEST_CASE_FIXTURE(pipe_output, "log_output/lines/come_out_whole")
 {
   mOutput.Add("one\n");
   mOutput.Add("two\n");
@@ -51,7 +51,7 @@
   CHECK(Read() == "one\ntwo\n");
 }
 
-TEST_CASE_FIXTURE(output_to_a_pipe,
+TEST_CASE_FIXTURE(pipe_output,
                   "log_output/reader_stops_reading/drops_and_goes_on")
 {
   // Every request of an instance hangs: whoever collects its log has stopped
--- a/thornhollow/daemon/operators_page.cc
+++ b/thornhollow/daemon/operators_page.cc
@@ -7,7 +7,7 @@
 namespace thornhollow {
 namespace {
 
-constexpr std::string_view kMetricsType = "text/plain; version=0.0.4";
+constexpr std::string_view kMetricsContentType = "text/plain; version=0.0.4";
 
 boost::json::value
 OrNull(const std::optional<std::uint64_t>& aNumber)
@@ -16,15 +16,16 @@
 }
 
 boost::json::object
-Held(const held_items& aOne)
+HeldJson(const held_items& aItems)
 {
   boost::json::object held;
-  held["what"] = aOne.mWhat;
-  held["at"] = aOne.mAt;
-  held["count"] = aOne.mCount;
-  held["age_ms"] = aOne.mAge ? boost::json::value(ToMilliseconds(*aOne.mAge))
-                             : boost::json::value();
-  held["failing"] = aOne.mFailing;
+  held["what"] = aItems.mWhat;
+  held["at"] = aItems.mAt;
+  held["count"] = aItems.mCount;
+  held["age_ms"] = aItems.mAge
+                     ? boost::json::value(ToMilliseconds(*aItems.mAge))
+                     : boost::json::value();
+  held["failing"] = aItems.mFailing;
   return held;
 }
 
@@ -54,7 +55,7 @@
   status["peers_alive"] = aStatus.mPeersAlive;
   boost::json::array held;
   for (const held_items& each : aStatus.mHeld) {
-    held.push_back(Held(each));
+    held.push_back(HeldJson(each));
   }
   status["held"] = std::move(held);
   return boost::json::serialize(status) + "\n";
@@ -71,7 +72,7 @@
     reply.mContentType = "text/plain";
     reply.mBody = "the pages are only read\n";
   } else if (aRequest.mPath == "/metrics") {
-    reply.mContentType = kMetricsType;
+    reply.mContentType = kMetricsContentType;
     reply.mBody = aMetrics.Page();
   } else if (aRequest.mPath == "/status") {
     reply.mContentType = "application/json";
--- a/thornhollow/daemon/relay_dispatcher.cc
+++ b/thornhollow/daemon/relay_dispatcher.cc
@@ -14,10 +14,10 @@
 namespace {
 
 // Idle connections are looked through this often: their limits are seconds.
-constexpr duration kConnectionTick = Seconds(1);
+constexpr duration kConnectionCheckInterval = Seconds(1);
 // Refused callers come back after between one and three of these: longer than
 // a chunk of prompts takes, shorter than most callers' patience.
-constexpr duration kComeBackLeast = Milliseconds(150);
+constexpr duration kMinRetryDelay = Milliseconds(150);
 
 // "target/pause: requests/s, tokens/s, open" of each kind.
 std::string
@@ -37,7 +37,7 @@
 }
 
 shared_retry_budget_settings
-RetrySettings(const relay_settings& aSettings)
+RetryBudgetSettings(const relay_settings& aSettings)
 {
   shared_retry_budget_settings settings;
   settings.mRatio = aSettings.mRetries.mRatio;
@@ -77,8 +77,8 @@
   , mLog(aLog)
   , mMetrics(aMetrics)
   , mConnections(aIo, endpoint_connection_settings{})
-  , mRetries(RetrySettings(aSettings))
-  , mRandom(std::random_device()())
+  , mRetries(RetryBudgetSettings(aSettings))
+  , mGenerator(std::random_device()())
 {
 }
 
@@ -103,24 +103,24 @@
 whole_reply
 relay_dispatcher::Refusal(error_kind aKind,
                           const request_id& aId,
-                          std::optional<duration> aComeBackAfter)
+                          std::optional<duration> aRetryAfter)
 {
   return ErrorReply(
     aKind,
-    aComeBackAfter ? *aComeBackAfter : ComeBackAfter(),
+    aRetryAfter ? *aRetryAfter : RetryDelay(),
     aId,
     { .mRequestIdHeader = mNames.mRequestId, .mFractions = true });
 }
 
 void
-relay_dispatcher::PutInForce(routing_table_ptr aTable)
+relay_dispatcher::SetRoutingTable(routing_table_ptr aTable)
 {
   mTable = std::move(aTable);
   mMetrics.OnConfiguration(mTable->Document().mVersion);
   // A pool that turned out to hold engines chooses by other rules: its
   // endpoints are put into a new one.
   for (const auto& [name, each] : mEndpoints) {
-    PoolOf(each.mEntry.mPool);
+    GetOrCreatePool(each.mEntry.mPool);
   }
 }
 
@@ -129,17 +129,17 @@
 {
   for (const roster_change& each : aChanges) {
     if (const auto* joined = std::get_if<endpoint_joined>(&each)) {
-      Join(joined->mEndpoint);
+      AddEndpoint(joined->mEndpoint);
     } else if (const auto* updated = std::get_if<endpoint_updated>(&each)) {
-      Update(updated->mEndpoint);
+      UpdateEndpoint(updated->mEndpoint);
     } else {
-      Drop(std::get<endpoint_gone>(each).mName);
+      RemoveEndpoint(std::get<endpoint_gone>(each).mName);
     }
   }
 }
 
 void
-relay_dispatcher::Join(const listed_endpoint& aEndpoint)
+relay_dispatcher::AddEndpoint(const listed_endpoint& aEndpoint)
 {
   mEndpoints[aEndpoint.mName] = { aEndpoint, mNextLifetime++ };
   mLog.Write(log_level::kInfo,
@@ -149,11 +149,11 @@
                { "address", aEndpoint.mAddress },
                { "started_ms", aEndpoint.mStartedMs },
                { "draining", std::int64_t{ aEndpoint.mDraining } } });
-  Update(aEndpoint);
+  UpdateEndpoint(aEndpoint);
 }
 
 void
-relay_dispatcher::Update(const listed_endpoint& aEndpoint)
+relay_dispatcher::UpdateEndpoint(const listed_endpoint& aEndpoint)
 {
   known_endpoint& known = mEndpoints[aEndpoint.mName];
   if (aEndpoint.mDraining && !known.mEntry.mDraining) {
@@ -162,11 +162,11 @@
                { { "endpoint", aEndpoint.mName.Text() } });
   }
   known.mEntry = aEndpoint;
-  PoolOf(aEndpoint.mPool).Put(ForPlacement(known));
+  GetOrCreatePool(aEndpoint.mPool).Put(ToPoolEndpoint(known));
 }
 
 void
-relay_dispatcher::Drop(const endpoint_name& aName)
+relay_dispatcher::RemoveEndpoint(const endpoint_name& aName)
 {
   const auto found = mEndpoints.find(aName);
   if (found == mEndpoints.end()) {
@@ -184,7 +184,7 @@
 }
 
 relay_endpoint
-relay_dispatcher::ForPlacement(const known_endpoint& aKnown)
+relay_dispatcher::ToPoolEndpoint(const known_endpoint& aKnown)
 {
   const listed_endpoint& entry = aKnown.mEntry;
   return { entry.mName,
@@ -202,7 +202,7 @@
 }
 
 relay_pool&
-relay_dispatcher::PoolOf(const pool_name& aName)
+relay_dispatcher::GetOrCreatePool(const pool_name& aName)
 {
   const bool engines = IsEnginePool(aName);
   auto found = mPools.find(aName);
@@ -213,10 +213,11 @@
     mPools.erase(found);
   }
   found = mPools
-            .emplace(
-              aName,
-              relay_pool(
-                PoolSettings(mSettings), engines, mSettings.mDomain, mRandom()))
+            .emplace(aName,
+                     relay_pool(PoolSettings(mSettings),
+                                engines,
+                                mSettings.mDomain,
+                                mGenerator()))
             .first;
   found->second.SetInstances(mInstances);
   if (engines) {
@@ -224,7 +225,7 @@
   }
   for (const auto& [name, each] : mEndpoints) {
     if (each.mEntry.mPool == aName) {
-      found->second.Put(ForPlacement(each));
+      found->second.Put(ToPoolEndpoint(each));
     }
   }
   return found->second;
@@ -240,23 +241,23 @@
 void
 relay_dispatcher::Tick(time_point aNow)
 {
-  if (aNow >= mNextConnectionTick) {
-    mNextConnectionTick = aNow + kConnectionTick;
+  if (aNow >= mNextConnectionCheck) {
+    mNextConnectionCheck = aNow + kConnectionCheckInterval;
     mConnections.Tick(aNow);
   }
 }
 
 void
-relay_dispatcher::EndAt(time_point aEnd, time_point aRefuseFrom)
+relay_dispatcher::SetShutdown(time_point aShutdownAt, time_point aRefuseFrom)
 {
-  mEnd = aEnd;
+  mShutdownAt = aShutdownAt;
   mRefuseFrom = aRefuseFrom;
 }
 
 bool
-relay_dispatcher::Takes(duration aPatience, time_point aNow) const
+relay_dispatcher::Accepts(duration aTimeout, time_point aNow) const
 {
-  return !mEnd || aNow < mRefuseFrom || aNow + aPatience < *mEnd;
+  return !mShutdownAt || aNow < mRefuseFrom || aNow + aTimeout < *mShutdownAt;
 }
 
 void
@@ -269,7 +270,7 @@
 }
 
 void
-relay_dispatcher::OnPeerHeard(const domain_name& aDomain, time_point aNow)
+relay_dispatcher::OnPeerMessage(const domain_name& aDomain, time_point aNow)
 {
   for (auto& [name, pool] : mPools) {
     pool.OnPeerMessage(aDomain, aNow);
@@ -277,7 +278,7 @@
 }
 
 void
-relay_dispatcher::OnUnreached(const relay_pick& aPick, time_point aNow)
+relay_dispatcher::OnUnreachable(const relay_pick& aPick, time_point aNow)
 {
   bool isNew = false;
   for (auto& [name, pool] : mPools) {
@@ -304,7 +305,7 @@
 }
 
 std::map<pool_name, pool_view>
-relay_dispatcher::OwnViews(time_point aNow)
+relay_dispatcher::LocalViews(time_point aNow)
 {
   std::map<pool_name, pool_view> demand;
   for (auto& [name, pool] : mPools) {
@@ -316,20 +317,20 @@
 }
 
 std::vector<relay_load>
-relay_dispatcher::OwnLoads() const
+relay_dispatcher::LocalLoads() const
 {
   std::vector<relay_load> loads;
   for (const auto& [name, pool] : mPools) {
     if (pool.ServesEngines()) {
-      const std::vector<relay_load> its = pool.Loads(Now());
-      loads.insert(loads.end(), its.begin(), its.end());
+      const std::vector<relay_load> poolLoads = pool.Loads(Now());
+      loads.insert(loads.end(), poolLoads.begin(), poolLoads.end());
     }
   }
   return loads;
 }
 
 void
-relay_dispatcher::SetPeers(std::size_t aInstances)
+relay_dispatcher::SetInstanceCount(std::size_t aInstances)
 {
   mRetries.SetInstances(aInstances);
   mInstances = aInstances;
@@ -339,7 +340,7 @@
 }
 
 void
-relay_dispatcher::SetOthersWork(
+relay_dispatcher::SetRemoteWork(
   const std::map<std::uint32_t, endpoint_work>& aWork,
   time_point aNow)
 {
@@ -349,29 +350,29 @@
     }
     for (const relay_load& each : pool.Loads(aNow)) {
       const auto found = aWork.find(WorkKey(each.mName));
-      const endpoint_work others =
+      const endpoint_work remote =
         found == aWork.end() ? endpoint_work{} : found->second;
       pool.SetRemoteLoad({ .mName = each.mName,
-                           .mInFlight = others.mOpen,
-                           .mPrefillTokens = others.mToRead,
-                           .mPrefillNanoseconds = others.mPace },
+                           .mInFlight = remote.mOpen,
+                           .mPrefillTokens = remote.mToRead,
+                           .mPrefillNanoseconds = remote.mPace },
                          aNow);
-      LogPace(each);
+      LogSlowChange(each);
     }
   }
 }
 
 // Engines found slow, or fast again.
 void
-relay_dispatcher::LogPace(const relay_load& aLoad)
+relay_dispatcher::LogSlowChange(const relay_load& aLoad)
 {
-  if (aLoad.mSlow == mSlow.contains(aLoad.mName)) {
+  if (aLoad.mSlow == mSlowEngines.contains(aLoad.mName)) {
     return;
   }
   if (aLoad.mSlow) {
-    mSlow.insert(aLoad.mName);
+    mSlowEngines.insert(aLoad.mName);
   } else {
-    mSlow.erase(aLoad.mName);
+    mSlowEngines.erase(aLoad.mName);
   }
   mLog.Write(log_level::kInfo,
              "engine_pace",
@@ -404,10 +405,10 @@
 }
 
 duration
-relay_dispatcher::ComeBackAfter()
+relay_dispatcher::RetryDelay()
 {
   std::uniform_real_distribution<double> spread(1, 3);
-  return FromSeconds(ToSeconds(kComeBackLeast) * spread(mRandom));
+  return FromSeconds(ToSeconds(kMinRetryDelay) * spread(mGenerator));
 }
 
 } // namespace thornhollow
--- a/thornhollow/daemon/relay_dispatcher.h
+++ b/thornhollow/daemon/relay_dispatcher.h
@@ -3,7 +3,7 @@
 // bound. One request's life is in relay_session.h.
 //
 //   relay_dispatcher dispatcher(io, settings, names, log, counted);
-//   dispatcher.PutInForce(table);
+//   dispatcher.SetRoutingTable(table);
 //   dispatcher.Apply(rosterChanges);
 //   dispatcher.Serve(exchange);
 //
@@ -57,7 +57,7 @@
   // The answer to a request that could not be read.
   whole_reply AnswerUnreadable(error_kind aKind);
 
-  void PutInForce(routing_table_ptr aTable);
+  void SetRoutingTable(routing_table_ptr aTable);
   void Apply(const roster_changes& aChanges);
   const routing_table_ptr& Table() const { return mTable; }
 
@@ -65,9 +65,9 @@
   void Tick(time_point aNow);
   // This process ends then: what can't be answered whole before is refused as
   // not run from `aRefuseFrom` on.
-  void EndAt(time_point aEnd, time_point aRefuseFrom);
+  void SetShutdown(time_point aShutdownAt, time_point aRefuseFrom);
   // Whether a request that may take `aPatience` is still taken.
-  bool Takes(duration aPatience, time_point aNow) const;
+  bool Accepts(duration aTimeout, time_point aNow) const;
   // This process stood still.
   void OnClockGap(time_point aNow);
 
@@ -75,16 +75,16 @@
   std::map<pool_name, held_requests> HeldByPool() const;
 
   // What this instance tells its peers, and what they told of a pool.
-  std::map<pool_name, pool_view> OwnViews(time_point aNow);
-  std::vector<relay_load> OwnLoads() const;
-  void SetPeers(std::size_t aInstances);
+  std::map<pool_name, pool_view> LocalViews(time_point aNow);
+  std::vector<relay_load> LocalLoads() const;
+  void SetInstanceCount(std::size_t aInstances);
   // By `WorkKey`.
-  void SetOthersWork(const std::map<std::uint32_t, endpoint_work>& aWork,
+  void SetRemoteWork(const std::map<std::uint32_t, endpoint_work>& aWork,
                      time_point aNow);
   void SetViews(const std::map<pool_name, pool_view>& aDemand, time_point aNow);
 
   // Another instance was heard.
-  void OnPeerHeard(const domain_name& aDomain, time_point aNow);
+  void OnPeerMessage(const domain_name& aDomain, time_point aNow);
 
   // For sessions.
   boost::asio::io_context& Io() { return mIo; }
@@ -94,7 +94,7 @@
   endpoint_connections& Connections() { return mConnections; }
   relay_pool* Pool(const pool_name& aName);
   // An endpoint gave no sign, as if it were out of reach.
-  void OnUnreached(const relay_pick& aPick, time_point aNow);
+  void OnUnreachable(const relay_pick& aPick, time_point aNow);
   shared_retry_budget& Retries() { return mRetries; }
   void OnSessionBegin() { ++mSessions; }
   void OnSessionEnd() { --mSessions; }
@@ -102,15 +102,15 @@
   // where nothing better is known.
   whole_reply Refusal(error_kind aKind,
                       const request_id& aId,
-                      std::optional<duration> aComeBackAfter = std::nullopt);
+                      std::optional<duration> aRetryAfter = std::nullopt);
 
 private:
-  duration ComeBackAfter();
-  void Join(const listed_endpoint& aEndpoint);
-  void Update(const listed_endpoint& aEndpoint);
-  void Drop(const endpoint_name& aName);
-  relay_pool& PoolOf(const pool_name& aName);
-  void LogPace(const relay_load& aLoad);
+  duration RetryDelay();
+  void AddEndpoint(const listed_endpoint& aEndpoint);
+  void UpdateEndpoint(const listed_endpoint& aEndpoint);
+  void RemoveEndpoint(const endpoint_name& aName);
+  relay_pool& GetOrCreatePool(const pool_name& aName);
+  void LogSlowChange(const relay_load& aLoad);
   bool IsEnginePool(const pool_name& aName) const;
 
   // An endpoint that takes work, and under which lifetime it is known.
@@ -120,7 +120,7 @@
     std::uint64_t mLifetime = 0;
   };
 
-  static relay_endpoint ForPlacement(const known_endpoint& aKnown);
+  static relay_endpoint ToPoolEndpoint(const known_endpoint& aKnown);
 
   boost::asio::io_context& mIo;
   relay_settings mSettings;
@@ -129,19 +129,19 @@
   metrics& mMetrics;
   endpoint_connections mConnections;
   shared_retry_budget mRetries;
-  std::mt19937_64 mRandom;
+  std::mt19937_64 mGenerator;
   routing_table_ptr mTable;
   std::map<pool_name, relay_pool> mPools;
   std::map<endpoint_name, known_endpoint> mEndpoints;
   // Engines that were logged as slow and not as fast since.
-  std::set<endpoint_name> mSlow;
+  std::set<endpoint_name> mSlowEngines;
   std::uint64_t mNextLifetime = 1;
   std::size_t mSessions = 0;
   std::size_t mInstances = 1;
   // Set while the instance drains.
-  std::optional<time_point> mEnd;
+  std::optional<time_point> mShutdownAt;
   time_point mRefuseFrom{};
-  time_point mNextConnectionTick{};
+  time_point mNextConnectionCheck{};
 };
 
 } // namespace thornhollow
--- a/thornhollow/daemon/relay_gateway.cc
+++ b/thornhollow/daemon/relay_gateway.cc
@@ -26,19 +26,19 @@
 
 // The balancer asks once a second and notices after two misses. Until then new
 // connections come and are served; idle ones are closed after it.
-constexpr duration kBalancerNotices = Milliseconds(2'300);
+constexpr duration kBalancerDetectionTime = Milliseconds(2'300);
 // From then on a stopping instance takes only what it can answer whole before
 // its end: a long answer would be cut, and another instance can give it.
 constexpr duration kRefuseAfter = Milliseconds(2'500);
 // An instance that the source didn't answer tells its peers so for this long,
 // and one more of its domain reads: longer than most refusals, short enough
 // that a site's readers are soon the same again.
-constexpr duration kTellsOfFailure = Seconds(5);
+constexpr duration kFailureReportPeriod = Seconds(5);
 // Left of the drain's grace for the process's own end.
-constexpr duration kEndReserve = Milliseconds(400);
+constexpr duration kShutdownReserve = Milliseconds(400);
 
 // Whole bodies are held, so a body may take as long as this to arrive.
-constexpr duration kBodyTime = Seconds(10);
+constexpr duration kBodyTimeout = Seconds(10);
 
 server_limits
 CallerLimits(const relay_settings& aSettings, const caller_bounds& aBounds)
@@ -48,7 +48,7 @@
   limits.mMaxBodyBytes = aBounds.mMaxBodyBytes;
   limits.mMaxConnections = aSettings.mMaxConnections;
   limits.mHeaderTimeout = aBounds.mHeaderTimeout;
-  limits.mSendTimeout = aBounds.mHeaderTimeout + kBodyTime;
+  limits.mSendTimeout = aBounds.mHeaderTimeout + kBodyTimeout;
   limits.mIdleTimeout = aBounds.mIdleTimeout;
   return limits;
 }
@@ -56,7 +56,7 @@
 // Time since the machine started, suspended time included: the steady clock
 // does not count that.
 duration
-SinceBoot()
+TimeSinceBoot()
 {
   timespec now{};
   ::clock_gettime(CLOCK_BOOTTIME, &now);
@@ -83,8 +83,8 @@
     , mCallers(
         aIo,
         CallerLimits(aSettings, caller_bounds{}),
-        [this](caller_exchange_ptr aOne) {
-          mDispatcher.Serve(std::move(aOne));
+        [this](caller_exchange_ptr aExchange) {
+          mDispatcher.Serve(std::move(aExchange));
         },
         [this](error_kind aKind) {
           return mDispatcher.AnswerUnreadable(aKind);
@@ -92,14 +92,18 @@
     , mReadiness(
         aIo,
         OperatorServerLimits(),
-        [this](const caller_exchange_ptr& aOne) { AnswerReadiness(aOne); },
+        [this](const caller_exchange_ptr& aExchange) {
+          AnswerReadiness(aExchange);
+        },
         [this](error_kind aKind) {
           return mDispatcher.AnswerUnreadable(aKind);
         })
     , mOperators(
         aIo,
         OperatorServerLimits(),
-        [this](const caller_exchange_ptr& aOne) { AnswerOperators(aOne); },
+        [this](const caller_exchange_ptr& aExchange) {
+          AnswerOperators(aExchange);
+        },
         [this](error_kind aKind) {
           return mDispatcher.AnswerUnreadable(aKind);
         })
@@ -108,17 +112,17 @@
         *mAdapter.mSource,
         mAdapter.mDocumentPrefix,
         "configuration",
-        [this](const auto& aNews) { OnDocument(aNews); },
+        [this](const auto& aChanges) { OnDocument(aChanges); },
         aLog)
     , mEndpoints(
         aIo,
         *mAdapter.mSource,
         mAdapter.mEndpointPrefix,
         "endpoints",
-        [this](const auto& aNews) { OnEndpoints(aNews); },
+        [this](const auto& aChanges) { OnEndpoints(aChanges); },
         aLog)
     , mRoster(roster_settings{})
-    , mPeers(aIo, aSettings, PeerListener(), aLog, mMetrics)
+    , mPeers(aIo, aSettings, PeerCallbacks(), aLog, mMetrics)
     , mTimer(aIo)
     , mDrain(aIo, mCallers, aLog)
   {
@@ -148,42 +152,42 @@
     if (mDrain.Begun()) {
       return;
     }
-    const duration grace = mSettings.mDrainGrace - kEndReserve;
-    mDispatcher.EndAt(Now() + grace, Now() + kRefuseAfter);
+    const duration grace = mSettings.mDrainGrace - kShutdownReserve;
+    mDispatcher.SetShutdown(Now() + grace, Now() + kRefuseAfter);
     mCallers.CloseAfterAnswers();
     mDrain.Begin(
-      { .mBalancerNotices = kBalancerNotices, .mGrace = grace },
+      { .mBalancerDetectionTime = kBalancerDetectionTime, .mGrace = grace },
       [this] { return mDispatcher.InProgress(); },
       [this] { mIo.stop(); });
   }
 
 private:
-  relay_peer_listener PeerListener()
+  relay_peer_callbacks PeerCallbacks()
   {
-    relay_peer_listener listener;
-    listener.mKnown = [this] {
+    relay_peer_callbacks callbacks;
+    callbacks.mKnownRevisions = [this] {
       return known_revisions{ mDocument.Mirror().At(),
                               mEndpoints.Mirror().At() };
     };
-    listener.mChanged = [this] {
+    callbacks.mChangeRevisions = [this] {
       return known_revisions{ mDocument.Mirror().ChangedAt(),
                               mEndpoints.Mirror().ChangedAt() };
     };
-    listener.mSourceFails = [this] { return Now() < mSourceFailsUntil; };
-    listener.mSourceAnswered = [this] { return SourceAnswered(); };
-    listener.mWork = [this] { return OwnWork(); };
-    listener.mDemand = [this] { return mDispatcher.OwnViews(Now()); };
-    listener.mOnHeard = [this](const domain_name& aDomain) {
-      mDispatcher.OnPeerHeard(aDomain, Now());
+    callbacks.mSourceFails = [this] { return Now() < mSourceFailsUntil; };
+    callbacks.mSourceAnswered = [this] { return SourceAnswered(); };
+    callbacks.mWork = [this] { return LocalWork(); };
+    callbacks.mDemand = [this] { return mDispatcher.LocalViews(Now()); };
+    callbacks.mOnMessage = [this](const domain_name& aDomain) {
+      mDispatcher.OnPeerMessage(aDomain, Now());
     };
-    listener.mOnAsked = [this](const items_request& aAsked) {
-      return CopyFor(aAsked);
+    callbacks.mOnItemsRequest = [this](const items_request& aRequest) {
+      return MakeCopy(aRequest);
     };
-    listener.mOnCopy = [this](const items_request& aAsked,
-                              const items_answer& aCopy) {
-      TakeCopy(aAsked, aCopy);
+    callbacks.mOnCopy = [this](const items_request& aRequest,
+                               const items_answer& aCopy) {
+      ApplyCopy(aRequest, aCopy);
     };
-    return listener;
+    return callbacks;
   }
 
   source_link& LinkOf(copied_items aWhich)
@@ -193,18 +197,18 @@
 
   // What changed where that is remembered, else everything: the list of a large
   // site is 30 KB, a change of it 300 bytes, and each reaches every instance.
-  items_answer CopyFor(const items_request& aAsked)
+  items_answer MakeCopy(const items_request& aRequest)
   {
-    const item_mirror& mirror = LinkOf(aAsked.mWhich).Mirror();
-    items_answer answer{ aAsked.mWhich, 0, false, {} };
-    if (mirror.At() <= aAsked.mAfter) {
+    const item_mirror& mirror = LinkOf(aRequest.mWhich).Mirror();
+    items_answer answer{ aRequest.mWhich, 0, false, {} };
+    if (mirror.At() <= aRequest.mAfter) {
       return answer;
     }
     answer.mAt = mirror.At();
-    if (aAsked.mWhich == copied_items::kEndpoints) {
+    if (aRequest.mWhich == copied_items::kEndpoints) {
       answer.mSourceBackFor = mRoster.RegainedFor(Now());
     }
-    if (auto changes = mirror.Since(aAsked.mAfter)) {
+    if (auto changes = mirror.Since(aRequest.mAfter)) {
       answer.mChangesOnly = true;
       answer.mItems = std::move(*changes);
       return answer;
@@ -215,15 +219,15 @@
     return answer;
   }
 
-  void TakeCopy(const items_request& aAsked, const items_answer& aCopy)
+  void ApplyCopy(const items_request& aRequest, const items_answer& aCopy)
   {
     source_link& link = LinkOf(aCopy.mWhich);
     // Who reads the source has seen for itself whether it was away.
-    if (aCopy.mSourceBackFor && !mReads) {
+    if (aCopy.mSourceBackFor && !mReadsSource) {
       mRoster.OnToldRegained(Now() - *aCopy.mSourceBackFor);
     }
     if (aCopy.mChangesOnly) {
-      link.OnPeerChanges(aCopy.mItems, aAsked.mAfter, aCopy.mAt);
+      link.OnPeerChanges(aCopy.mItems, aRequest.mAfter, aCopy.mAt);
       return;
     }
     std::vector<source_item> items;
@@ -235,10 +239,10 @@
     link.OnPeerListing(items, aCopy.mAt);
   }
 
-  std::vector<endpoint_work> OwnWork() const
+  std::vector<endpoint_work> LocalWork() const
   {
     std::vector<endpoint_work> work;
-    for (const relay_load& each : mDispatcher.OwnLoads()) {
+    for (const relay_load& each : mDispatcher.LocalLoads()) {
       if (each.mPrefillTokens > 0 || each.mPrefillNanoseconds > 0 ||
           each.mInFlight > 0) {
         work.push_back({ WorkKey(each.mName),
@@ -250,31 +254,31 @@
     return work;
   }
 
-  void ChooseReading(time_point aNow)
+  void UpdateReading(time_point aNow)
   {
     if (mDocument.Failing() || mEndpoints.Failing()) {
-      mSourceFailsUntil = aNow + kTellsOfFailure;
+      mSourceFailsUntil = aNow + kFailureReportPeriod;
     }
-    NoteSource();
+    RecordSourceAnswers();
     if (Now() < mSourceFailsUntil || mPeers.SourceFailsElsewhere(aNow)) {
       mRoster.OnSourceFails(aNow);
     }
-    mReads = mPeers.Reads(aNow);
+    mReadsSource = mPeers.ShouldReadSource(aNow);
     const watch_turn turn = mPeers.Turn(aNow);
     for (source_link* each : { &mDocument, &mEndpoints }) {
-      each->SetReading(mReads);
+      each->SetReading(mReadsSource);
       each->SetTurn(turn);
     }
-    DoubtWatches(aNow);
+    SuspectWatches(aNow);
   }
 
   // When the source itself last answered this instance.
   std::optional<time_point> SourceAnswered() const
   {
-    return std::max(mDocument.Answered(), mEndpoints.Answered());
+    return std::max(mDocument.LastAnswerTime(), mEndpoints.LastAnswerTime());
   }
 
-  void NoteSource()
+  void RecordSourceAnswers()
   {
     for (const auto& each : { SourceAnswered(), mPeers.SourceAnswered() }) {
       if (each) {
@@ -283,26 +287,26 @@
     }
   }
 
-  void DoubtWatches(time_point aNow)
+  void SuspectWatches(time_point aNow)
   {
     const bool peerFails = mPeers.SourceFailsElsewhere(aNow);
     for (const auto& [link, other] : { std::pair(&mDocument, &mEndpoints),
                                        std::pair(&mEndpoints, &mDocument) }) {
       if (other->Failing()) {
-        link->OnDoubt(watch_doubt::kOtherCallFails, aNow);
+        link->OnWatchSuspected(watch_doubt::kOtherCallFails, aNow);
       }
       if (peerFails) {
-        link->OnDoubt(watch_doubt::kPeerFails, aNow);
+        link->OnWatchSuspected(watch_doubt::kPeerFails, aNow);
       }
     }
   }
 
   // What the other instances told of engines' work and of the demand.
-  void UsePeers(time_point aNow)
+  void ApplyPeerState(time_point aNow)
   {
-    mDispatcher.SetPeers(mPeers.Count(aNow));
-    mDispatcher.SetOthersWork(mPeers.OthersWork(aNow), aNow);
-    mDispatcher.SetViews(mPeers.AllViews(mDispatcher.OwnViews(aNow), aNow),
+    mDispatcher.SetInstanceCount(mPeers.Count(aNow));
+    mDispatcher.SetRemoteWork(mPeers.OthersWork(aNow), aNow);
+    mDispatcher.SetViews(mPeers.AllViews(mDispatcher.LocalViews(aNow), aNow),
                          aNow);
   }
 
@@ -312,21 +316,21 @@
            mEndpoints.Mirror().At() > 0;
   }
 
-  void AnswerReadiness(const caller_exchange_ptr& aOne)
+  void AnswerReadiness(const caller_exchange_ptr& aExchange)
   {
-    const bool known = aOne->Request().mPath == mAdapter.mReadinessPath;
+    const bool known = aExchange->Request().mPath == mAdapter.mReadinessPath;
     const unsigned status = Ready() ? 200 : 503;
-    aOne->Send(whole_reply{ known ? status : 404, {}, "text/plain", "" });
+    aExchange->Send(whole_reply{ known ? status : 404, {}, "text/plain", "" });
   }
 
-  void AnswerOperators(const caller_exchange_ptr& aOne)
+  void AnswerOperators(const caller_exchange_ptr& aExchange)
   {
     const instance_status status = Status();
     mMetrics.SetHeld(mDispatcher.HeldByPool());
     for (const held_items& each : status.mHeld) {
       mMetrics.SetSource(each.mWhat, each.mAt, each.mAge);
     }
-    aOne->Send(OperatorsPage(aOne->Request(), status, mMetrics));
+    aExchange->Send(OperatorsPage(aExchange->Request(), status, mMetrics));
   }
 
   static held_items HeldBy(const source_link& aLink, std::string aWhat)
@@ -355,18 +359,18 @@
     return status;
   }
 
-  void OnDocument(const std::vector<item_change>& aNews)
+  void OnDocument(const std::vector<item_change>& aChanges)
   {
-    for (const item_change& each : aNews) {
+    for (const item_change& each : aChanges) {
       if (each.mKey == mAdapter.mDocumentKey && each.mValue) {
-        PutInForce(*each.mValue, each.mRevision);
+        ApplyDocument(*each.mValue, each.mRevision);
       }
     }
   }
 
   // A document that can't be read, or an older one, leaves the present one in
   // force.
-  void PutInForce(const std::string& aBytes, std::uint64_t aRevision)
+  void ApplyDocument(const std::string& aBytes, std::uint64_t aRevision)
   {
     boost::leaf::try_handle_all(
       [&]() -> result<void> {
@@ -383,8 +387,8 @@
             { "routes", static_cast<std::int64_t>(document.mRoutes.size()) },
             { "teams", static_cast<std::int64_t>(document.mTeams.size()) } });
         mCallers.SetLimits(CallerLimits(mSettings, document.mCallers));
-        mDispatcher.PutInForce(MakeRoutingTable(std::move(document)));
-        mPeers.OnNews();
+        mDispatcher.SetRoutingTable(MakeRoutingTable(std::move(document)));
+        mPeers.OnItemsChanged();
         return {};
       },
       [&](const failure& aFailure) {
@@ -402,17 +406,17 @@
       { { "detail", aWhy }, { "at", static_cast<std::int64_t>(aRevision) } });
   }
 
-  void OnEndpoints(const std::vector<item_change>& aNews)
+  void OnEndpoints(const std::vector<item_change>& aChanges)
   {
-    NoteSource();
-    for (const item_change& each : aNews) {
+    RecordSourceAnswers();
+    for (const item_change& each : aChanges) {
       if (each.mValue) {
         OnEntry(each);
       } else {
         OnEntryRemoved(mAdapter.mEndpointName(each.mKey));
       }
     }
-    mPeers.OnNews();
+    mPeers.OnItemsChanged();
   }
 
   // An entry that can't be read names no endpoint to use, and harms no other.
@@ -445,30 +449,31 @@
     const time_point now = Now();
     mDispatcher.Apply(mRoster.OnRemoved(aName, now));
     if (mRoster.Counts(aName)) {
-      const auto returned = mRoster.RegainedFor(now);
-      mLog.Write(log_level::kInfo,
-                 "endpoint_removal_put_off",
-                 { { "endpoint", aName.Text() },
-                   { "source_back_for_ms",
-                     ToMilliseconds(returned.value_or(duration::zero())) } });
+      const auto sourceBackFor = mRoster.RegainedFor(now);
+      mLog.Write(
+        log_level::kInfo,
+        "endpoint_removal_put_off",
+        { { "endpoint", aName.Text() },
+          { "source_back_for_ms",
+            ToMilliseconds(sourceBackFor.value_or(duration::zero())) } });
     }
   }
 
   void Tick()
   {
     const time_point now = Now();
-    LookForGap(now);
+    CheckClockGap(now);
     mDocument.Tick(now);
     mEndpoints.Tick(now);
     mDispatcher.Apply(mRoster.Tick(now));
-    ChooseReading(now);
+    UpdateReading(now);
     mPeers.Tick(now);
-    UsePeers(now);
+    ApplyPeerState(now);
     mDispatcher.Tick(now);
     mOnTick();
     mTimer.expires_after(clock_gap::kTickEvery);
-    mTimer.async_wait([this](const error_code& aWrong) {
-      if (!aWrong) {
+    mTimer.async_wait([this](const error_code& aError) {
+      if (!aError) {
         Tick();
       }
     });
@@ -476,17 +481,17 @@
 
   // After a pause, answers on their way and kept connections are as old as the
   // pause: nothing is acted on before it is asked for again.
-  void LookForGap(time_point aNow)
+  void CheckClockGap(time_point aNow)
   {
-    const bool stood = mSteadyGap.Tick(aNow);
-    const bool slept = mBootGap.Tick(time_point(SinceBoot()));
-    if (!stood && !slept) {
+    const bool paused = mSteadyGap.Tick(aNow);
+    const bool suspended = mBootGap.Tick(time_point(TimeSinceBoot()));
+    if (!paused && !suspended) {
       return;
     }
     mMetrics.OnEvent("paused");
     mLog.Write(log_level::kWarning,
                "paused",
-               { { "suspended", std::int64_t{ slept && !stood } } });
+               { { "suspended", std::int64_t{ suspended && !paused } } });
     mDispatcher.OnClockGap(aNow);
     mDocument.Restart();
     mEndpoints.Restart();
@@ -511,7 +516,7 @@
   boost::asio::steady_timer mTimer;
   drain_watch mDrain;
   // Asks the source itself; else peers tell.
-  bool mReads = true;
+  bool mReadsSource = true;
   time_point mSourceFailsUntil{};
 };
 
--- a/thornhollow/daemon/relay_peer_link.cc
+++ b/thornhollow/daemon/relay_peer_link.cc
@@ -16,14 +16,14 @@
 namespace {
 
 // For the beginning of a peer's answer with its copy.
-constexpr duration kAskLimit = Milliseconds(600);
+constexpr duration kRequestTimeout = Milliseconds(600);
 // An older answer of the source says nothing of whether it is away.
-constexpr duration kTellsOfAnswer = Seconds(10);
+constexpr duration kMaxAnswerAge = Seconds(10);
 // From this size on copies are sent compressed.
-constexpr std::size_t kPackFromBytes = 4'096;
+constexpr std::size_t kMinCompressedBytes = 4'096;
 // Entries that leave a hello at 1,100 bytes at most: 18 for each, the rest for
 // addresses and demand.
-constexpr std::size_t kMostWork = 44;
+constexpr std::size_t kMaxWorkEntries = 44;
 
 peer_transport_settings
 TransportSettings(const relay_settings& aSettings)
@@ -64,11 +64,11 @@
 public:
   core(boost::asio::io_context& aIo,
        const relay_settings& aSettings,
-       relay_peer_listener aListener,
+       relay_peer_callbacks aCallbacks,
        json_log& aLog,
        metrics& aMetrics)
     : mSettings(aSettings)
-    , mListener(std::move(aListener))
+    , mCallbacks(std::move(aCallbacks))
     , mLog(aLog)
     , mMetrics(aMetrics)
     , mPeers(PeerSettings(aSettings),
@@ -90,10 +90,10 @@
   {
     const std::size_t before = mAlive;
     const hello_round round = mPeers.Tick(aNow);
-    Tell(round.mWhole, mPeers.Alive() == 0);
+    SendFullHello(round.mWhole, mPeers.Alive() == 0);
     Send(BriefHello(false), round.mBrief);
     Send(BriefHello(true), round.mAsked);
-    TellSums(aNow);
+    SendSums(aNow);
     mAlive = mPeers.Alive();
     if (mAlive != before) {
       mLog.Write(log_level::kInfo,
@@ -101,17 +101,17 @@
                  { { "alive", static_cast<std::int64_t>(mAlive) },
                    { "before", static_cast<std::int64_t>(before) } });
     }
-    AskIfBehind(aNow);
+    RequestCopiesIfBehind(aNow);
   }
 
-  void OnNews() { Send(BriefHello(false), mPeers.OnNews()); }
+  void OnItemsChanged() { Send(BriefHello(false), mPeers.OnNews()); }
 
-  bool Reads(time_point aNow)
+  bool ShouldReadSource(time_point aNow)
   {
-    mReads = mPeers.Reads(aNow);
-    const bool behind = !mReads && mRequests.NeedsSource(aNow);
-    const bool reads = mReads || behind;
-    if (reads != std::exchange(mAsksSource, reads)) {
+    mIsReader = mPeers.Reads(aNow);
+    const bool behind = !mIsReader && mRequests.NeedsSource(aNow);
+    const bool reads = mIsReader || behind;
+    if (reads != std::exchange(mReadsSource, reads)) {
       mLog.Write(log_level::kInfo,
                  "source_reading",
                  { { "reads", std::int64_t{ reads } },
@@ -124,7 +124,7 @@
   const relay_peers& Peers() const { return mPeers; }
 
 private:
-  void Tell(const std::vector<std::string>& aTo, bool aWantAnswer)
+  void SendFullHello(const std::vector<std::string>& aTo, bool aWantAnswer)
   {
     if (aTo.empty()) {
       return;
@@ -132,27 +132,27 @@
     relay_hello hello = BriefHello(aWantAnswer);
     hello.mBrief = false;
     hello.mPeers = mPeers.SomePeers();
-    hello.mWork = mListener.mWork();
-    if (hello.mWork.size() > kMostWork) {
+    hello.mWork = mCallbacks.mWork();
+    if (hello.mWork.size() > kMaxWorkEntries) {
       // Those without work take turns, or nobody would hear of their paces.
-      const auto turn =
-        static_cast<std::ptrdiff_t>(mWorkTurn++ % hello.mWork.size());
+      const auto rotation =
+        static_cast<std::ptrdiff_t>(mWorkRotation++ % hello.mWork.size());
       std::rotate(
-        hello.mWork.begin(), hello.mWork.begin() + turn, hello.mWork.end());
+        hello.mWork.begin(), hello.mWork.begin() + rotation, hello.mWork.end());
       std::ranges::stable_sort(
         hello.mWork, std::ranges::greater(), &endpoint_work::mToRead);
-      hello.mWork.resize(kMostWork);
+      hello.mWork.resize(kMaxWorkEntries);
     }
-    for (const auto& [pool, view] : mListener.mDemand()) {
+    for (const auto& [pool, view] : mCallbacks.mDemand()) {
       hello.mDemand.push_back({ pool, view });
     }
     Send(hello, aTo);
   }
 
-  void TellSums(time_point aNow)
+  void SendSums(time_point aNow)
   {
     for (const sums_to_tell& each :
-         mPeers.SumsToTell(mListener.mDemand(), aNow)) {
+         mPeers.SumsToTell(mCallbacks.mDemand(), aNow)) {
       relay_hello hello = BriefHello(false);
       hello.mSums = each.mSums;
       Send(hello, { each.mAddress });
@@ -167,13 +167,13 @@
     hello.mDomain = mSettings.mDomain;
     // Where all read the source, a later answer shows those whose own is late
     // that it has answered; where few do, it would bring questions in vain.
-    hello.mKnown =
-      mPeers.AllReadHere() ? mListener.mKnown() : mListener.mChanged();
+    hello.mKnown = mPeers.AllReadHere() ? mCallbacks.mKnownRevisions()
+                                        : mCallbacks.mChangeRevisions();
     hello.mWantsAnswer = aWantAnswer;
     hello.mLinkMegabits = WholeMegabits(mSettings);
-    hello.mSourceFails = mListener.mSourceFails();
-    if (const auto answered = mListener.mSourceAnswered()) {
-      if (const duration age = Now() - *answered; age < kTellsOfAnswer) {
+    hello.mSourceFails = mCallbacks.mSourceFails();
+    if (const auto answered = mCallbacks.mSourceAnswered()) {
+      if (const duration age = Now() - *answered; age < kMaxAnswerAge) {
         hello.mSourceAnswerAge = age;
       }
     }
@@ -199,12 +199,12 @@
       mMetrics.OnEvent("peer_datagram_refused");
       return false;
     }
-    mListener.mOnHeard(hello->mDomain);
-    if (const auto back = mPeers.OnHello(*hello, Now())) {
+    mCallbacks.mOnMessage(hello->mDomain);
+    if (const auto replyTo = mPeers.OnHello(*hello, Now())) {
       if (hello->mBrief) {
-        Send(BriefHello(false), { *back });
+        Send(BriefHello(false), { *replyTo });
       } else {
-        Tell({ *back }, false);
+        SendFullHello({ *replyTo }, false);
       }
     }
     return true;
@@ -217,8 +217,8 @@
       mMetrics.OnEvent("peer_request_refused");
       return std::nullopt;
     }
-    const items_answer answer = mListener.mOnAsked(*request);
-    std::string bytes = Encoded(*request, answer);
+    const items_answer answer = mCallbacks.mOnItemsRequest(*request);
+    std::string bytes = EncodeAnswer(*request, answer);
     if (!mLargeCopies.Gives(bytes.size(), Now())) {
       mMetrics.OnEvent("peer_copy_put_off");
       return EncodeItemsAnswer({ answer.mWhich, 0, false, {} });
@@ -227,10 +227,10 @@
   }
 
   // All who ask for a large copy ask for the same items.
-  std::string Encoded(const items_request& aRequest,
-                      const items_answer& aAnswer)
+  std::string EncodeAnswer(const items_request& aRequest,
+                           const items_answer& aAnswer)
   {
-    if (!aRequest.mTakesPacked || CopyBytes(aAnswer) < kPackFromBytes) {
+    if (!aRequest.mTakesPacked || CopyBytes(aAnswer) < kMinCompressedBytes) {
       return EncodeItemsAnswer(aAnswer);
     }
     std::vector<item_version> versions;
@@ -253,24 +253,25 @@
     return bytes;
   }
 
-  void AskIfBehind(time_point aNow)
+  void RequestCopiesIfBehind(time_point aNow)
   {
-    const known_revisions mine = mListener.mKnown();
-    if (const auto from = mRequests.Tick(mPeers, mine, mReads, aNow)) {
+    const known_revisions local = mCallbacks.mKnownRevisions();
+    if (const auto from = mRequests.Tick(mPeers, local, mIsReader, aNow)) {
       if (from->mConfiguration) {
-        Ask(from->mAddress,
-            { copied_items::kConfiguration, mine.mConfiguration });
+        RequestCopy(from->mAddress,
+                    { copied_items::kConfiguration, local.mConfiguration });
       }
       if (from->mEndpoints) {
-        Ask(from->mAddress, { copied_items::kEndpoints, mine.mEndpoints });
+        RequestCopy(from->mAddress,
+                    { copied_items::kEndpoints, local.mEndpoints });
       }
     }
   }
 
-  void Ask(const std::string& aFrom, const items_request& aRequest)
+  void RequestCopy(const std::string& aFrom, const items_request& aRequest)
   {
     exchange_limits limits;
-    limits.mTimeout = kAskLimit;
+    limits.mTimeout = kRequestTimeout;
     limits.mMostPause = copy_request_settings{}.mMostPause;
     limits.mOnBytes = [weak = weak_from_this(), aRequest](std::size_t) {
       if (const auto self = weak.lock()) {
@@ -294,25 +295,25 @@
   {
     mRequests.OnEnded(aRequest.mWhich);
     if (!aBytes) {
-      LogNoCopy(aFrom, aRequest, "no_answer");
+      LogCopyFailure(aFrom, aRequest, "no_answer");
       return;
     }
     mMetrics.OnControlBytes("peers", aBytes->size());
     const auto answer = DecodeItemsAnswer(*aBytes);
     if (!answer) {
       mMetrics.OnEvent("peer_answer_refused");
-      LogNoCopy(aFrom, aRequest, "unreadable");
+      LogCopyFailure(aFrom, aRequest, "unreadable");
       return;
     }
     if (answer->mAt <= aRequest.mAfter) {
       mRequests.OnPutOff();
     }
-    mListener.mOnCopy(aRequest, *answer);
+    mCallbacks.mOnCopy(aRequest, *answer);
   }
 
-  void LogNoCopy(const std::string& aFrom,
-                 const items_request& aRequest,
-                 const char* aWhy)
+  void LogCopyFailure(const std::string& aFrom,
+                      const items_request& aRequest,
+                      const char* aWhy)
   {
     mLog.Write(
       log_level::kInfo,
@@ -328,31 +329,31 @@
   using item_version = std::pair<std::string, std::uint64_t>;
 
   relay_settings mSettings;
-  relay_peer_listener mListener;
+  relay_peer_callbacks mCallbacks;
   json_log& mLog;
   metrics& mMetrics;
   relay_peers mPeers;
   peer_transport mTransport;
   std::size_t mAlive = 0;
   // Reads the source for its domain, and asks it for whatever reason.
-  bool mReads = true;
-  bool mAsksSource = true;
+  bool mIsReader = true;
+  bool mReadsSource = true;
   copy_requests mRequests{ copy_request_settings{} };
   large_copies mLargeCopies{ CopySettings(mSettings) };
   // The items that were packed last, and what tells whether they are the same.
   packed_items mPacked;
   std::vector<item_version> mPackedVersions;
-  std::size_t mWorkTurn = 0;
+  std::size_t mWorkRotation = 0;
 };
 
 relay_peer_link::relay_peer_link(boost::asio::io_context& aIo,
                                  const relay_settings& aSettings,
-                                 relay_peer_listener aListener,
+                                 relay_peer_callbacks aCallbacks,
                                  json_log& aLog,
                                  metrics& aMetrics)
   : mCore(std::make_shared<core>(aIo,
                                  aSettings,
-                                 std::move(aListener),
+                                 std::move(aCallbacks),
                                  aLog,
                                  aMetrics))
 {
@@ -373,15 +374,15 @@
 }
 
 void
-relay_peer_link::OnNews()
+relay_peer_link::OnItemsChanged()
 {
-  mCore->OnNews();
+  mCore->OnItemsChanged();
 }
 
 bool
-relay_peer_link::Reads(time_point aNow)
+relay_peer_link::ShouldReadSource(time_point aNow)
 {
-  return mCore->Reads(aNow);
+  return mCore->ShouldReadSource(aNow);
 }
 
 std::size_t
--- a/thornhollow/daemon/relay_peer_link.h
+++ b/thornhollow/daemon/relay_peer_link.h
@@ -4,7 +4,7 @@
 //   relay_peer_link link(io, settings, listener, log, counted);
 //   BOOST_LEAF_CHECK(link.Open());
 //   link.Tick(now);      // every 100 ms
-//   link.OnNews(now);    // a copy here has become newer
+//   link.OnItemsChanged();    // a copy here has become newer
 //
 // What to tell whom is fleet/relay_peers.h's; here are the sockets.
 #ifndef THORNHOLLOW_DAEMON_RELAY_PEER_LINK_H_
@@ -30,11 +30,11 @@
 
 namespace thornhollow {
 
-struct relay_peer_listener
+struct relay_peer_callbacks
 {
   // Up to which the copies here are complete, and of their last changes.
-  std::function<known_revisions()> mKnown;
-  std::function<known_revisions()> mChanged;
+  std::function<known_revisions()> mKnownRevisions;
+  std::function<known_revisions()> mChangeRevisions;
   // The source doesn't answer this instance.
   std::function<bool()> mSourceFails;
   // When it last answered this instance.
@@ -42,9 +42,9 @@
   std::function<std::vector<endpoint_work>()> mWork;
   std::function<std::map<pool_name, pool_view>()> mDemand;
   // An instance of the failure domain was heard.
-  std::function<void(const domain_name&)> mOnHeard;
+  std::function<void(const domain_name&)> mOnMessage;
   // The copy as a peer asks for it.
-  std::function<items_answer(const items_request&)> mOnAsked;
+  std::function<items_answer(const items_request&)> mOnItemsRequest;
   // What a peer answered to such a request.
   std::function<void(const items_request&, const items_answer&)> mOnCopy;
 };
@@ -55,7 +55,7 @@
   // `aLog` and `aMetrics` outlive the link.
   relay_peer_link(boost::asio::io_context& aIo,
                   const relay_settings& aSettings,
-                  relay_peer_listener aListener,
+                  relay_peer_callbacks aCallbacks,
                   json_log& aLog,
                   metrics& aMetrics);
   relay_peer_link(const relay_peer_link&) = delete;
@@ -64,9 +64,9 @@
 
   result<void> Open();
   void Tick(time_point aNow);
-  void OnNews();
+  void OnItemsChanged();
   // Whether this instance is to ask the source.
-  bool Reads(time_point aNow);
+  bool ShouldReadSource(time_point aNow);
 
   // See fleet/relay_peers.h.
   std::size_t Count(time_point aNow) const;
--- a/thornhollow/daemon/relay_session.cc
+++ b/thornhollow/daemon/relay_session.cc
@@ -42,20 +42,20 @@
 // (mean of three draws on two deployments, real processes); with endpoints cut
 // off 0.82 and 0.83. Longer than 8 s would leave little of the 15 s that
 // callers wait.
-constexpr duration kSilenceRepeatable = Seconds(2);
-constexpr duration kSilenceOnce = Seconds(8);
+constexpr duration kPeerSilenceRepeatable = Seconds(2);
+constexpr duration kPeerSilenceOnce = Seconds(8);
 // Without a sign from the endpoint for this long a request that may be repeated
 // is sent to another one: a few times its target, and at least as long as an
 // engine takes for a prompt of middling length.
-constexpr int kSilentTargets = 4;
-constexpr duration kSilentLeast = Milliseconds(600);
+constexpr int kSilenceTargetFactor = 4;
+constexpr duration kMinSilenceTimeout = Milliseconds(600);
 // Callers leave a stream after two seconds without an event.
-constexpr duration kSilentStream = Milliseconds(1'300);
+constexpr duration kStreamSilenceTimeout = Milliseconds(1'300);
 // Of a route's timeout; a caller that gives less time has spent the rest on an
 // attempt before: the least wait that one is told is a tenth of most timeouts.
-constexpr double kReturnsBelow = 0.9;
+constexpr double kRetryTimeoutFraction = 0.9;
 // An answer in one piece is held until it is whole.
-constexpr std::size_t kMaxWholeAnswer = std::size_t{ 8 } << 20U;
+constexpr std::size_t kMaxBufferedAnswerBytes = std::size_t{ 8 } << 20U;
 constexpr std::size_t kMaxEventBytes = std::size_t{ 1 } << 20U;
 constexpr unsigned kStatusOk = 200;
 constexpr unsigned kStatusRedirect = 300;
@@ -64,13 +64,13 @@
 // Statuses that promise the caller that its request was not run. From an
 // endpoint that doesn't say so itself they are no such promise.
 bool
-PromisesNotRun(unsigned aStatus)
+ImpliesNotRun(unsigned aStatus)
 {
   return aStatus == 408 || aStatus == 421 || aStatus == 429 || aStatus == 503;
 }
 
 attempt_end
-HealthOutcome(attempt_failure aFailure)
+ToAttemptEnd(attempt_failure aFailure)
 {
   switch (aFailure) {
     case attempt_failure::kDeclined:
@@ -85,35 +85,37 @@
 // Requests are counted by what they are, not by their route: routes come and
 // go with each configuration.
 class_name
-CountedAs(const route& aRoute, tier_number aTier)
+MetricsClass(const route& aRoute, tier_number aTier)
 {
   const char* kind = IsStream(aRoute.mKind) ? "stream" : "whole";
   return class_name("tier" + std::to_string(aTier) + "_" + kind);
 }
 
 request_profile
-WorkOf(const relay_request& aRequest, const route& aRoute, tier_number aTier)
+ProfileOf(const relay_request& aRequest, const route& aRoute, tier_number aTier)
 {
-  request_profile work;
-  work.mTier = aTier;
-  work.mPromptTokens = aRequest.mPromptTokens;
-  work.mEnginePriority = EngineRank(aRoute, aTier);
-  work.mTarget = aRoute.mTarget;
-  work.mPause = aRoute.mPauseTarget;
+  request_profile profile;
+  profile.mTier = aTier;
+  profile.mPromptTokens = aRequest.mPromptTokens;
+  profile.mEnginePriority = EngineRank(aRoute, aTier);
+  profile.mTarget = aRoute.mTarget;
+  profile.mPause = aRoute.mPauseTarget;
   // The last part is the request's own.
   for (std::size_t at = 0; at + 1 < aRequest.mParts.size(); ++at) {
     const prompt_part& part = aRequest.mParts[at];
-    work.mSharedTokens += part.mTokens;
-    work.mSharedPrefix = CombineHash(work.mSharedPrefix, Hash64(part.mId));
+    profile.mSharedTokens += part.mTokens;
+    profile.mSharedPrefix =
+      CombineHash(profile.mSharedPrefix, Hash64(part.mId));
   }
-  work.mSharedTokens = std::min(work.mSharedTokens, work.mPromptTokens);
+  profile.mSharedTokens =
+    std::min(profile.mSharedTokens, profile.mPromptTokens);
   // With the last one two shared parts at the least.
   if (aRequest.mParts.size() > 2) {
     const prompt_part& first = aRequest.mParts.front();
-    work.mFirstBlock = Hash64(first.mId);
-    work.mFirstBlockTokens = std::min(first.mTokens, work.mSharedTokens);
+    profile.mFirstBlock = Hash64(first.mId);
+    profile.mFirstBlockTokens = std::min(first.mTokens, profile.mSharedTokens);
   }
-  return work;
+  return profile;
 }
 
 class relay_session
@@ -137,39 +139,39 @@
   void Start()
   {
     const caller_request& request = mExchange->Request();
-    mRead = ReadRelayRequest(mDispatcher.Names(), request.mHeaders);
-    if (const auto wrong = FindRoute()) {
-      Refuse(*wrong);
+    mRelayRequest = ReadRelayRequest(mDispatcher.Names(), request.mHeaders);
+    if (const auto error = FindRoute()) {
+      Refuse(*error);
       return;
     }
-    mWork = WorkOf(mRead, *mRoute, EffectiveTier(*mRoute, mTeam));
-    const duration patience =
-      std::min(mRead.mTimeLeft.value_or(mRoute->mTimeout), mRoute->mTimeout);
-    if (!mDispatcher.Takes(patience, Now())) {
+    mProfile = ProfileOf(mRelayRequest, *mRoute, EffectiveTier(*mRoute, mTeam));
+    const duration timeout = std::min(
+      mRelayRequest.mTimeLeft.value_or(mRoute->mTimeout), mRoute->mTimeout);
+    if (!mDispatcher.Accepts(timeout, Now())) {
       Refuse(error_kind::kDraining);
       return;
     }
-    mWork.mTeam = mTeam == nullptr ? team_name() : mTeam->mName;
-    mWork.mDeadline = mExchange->Arrival() + patience;
-    mWork.mIsRetry =
-      ToSeconds(patience) < ToSeconds(mRoute->mTimeout) * kReturnsBelow;
-    mCountedAs = CountedAs(*mRoute, mWork.mTier);
-    mDispatcher.Metrics().OnRequest(mCountedAs);
+    mProfile.mTeam = mTeam == nullptr ? team_name() : mTeam->mName;
+    mProfile.mDeadline = mExchange->Arrival() + timeout;
+    mProfile.mIsRetry =
+      ToSeconds(timeout) < ToSeconds(mRoute->mTimeout) * kRetryTimeoutFraction;
+    mMetricsClass = MetricsClass(*mRoute, mProfile.mTier);
+    mDispatcher.Metrics().OnRequest(mMetricsClass);
     mDispatcher.Retries().OnRequest(*mPool, Now());
     if (relay_pool* pool = mDispatcher.Pool(*mPool)) {
-      const auto verdict = pool->Admit(mWork, patience, Now());
+      const auto verdict = pool->Admit(mProfile, timeout, Now());
       if (const auto* refused = std::get_if<admission_refusal>(&verdict)) {
-        LogNotTaken(*refused);
+        LogRejected(*refused);
         Refuse(refused->mKind, refused->mRetryAfter);
         return;
       }
-      mFirstPick = std::get<std::optional<relay_pick>>(verdict);
+      mAdmittedPick = std::get<std::optional<relay_pick>>(verdict);
     }
     mBody = std::make_shared<const std::string>(request.mBody);
     mExchange->OnLeft([self = boost::intrusive_ptr<relay_session>(this)] {
       self->OnCallerLeft();
     });
-    Try();
+    StartNextAttempt();
   }
 
 private:
@@ -180,7 +182,7 @@
     if (!mTable) {
       return error_kind::kNotReady;
     }
-    if (mRead.mId.empty()) {
+    if (mRelayRequest.mId.empty()) {
       return error_kind::kMalformedRequest;
     }
     const caller_request& request = mExchange->Request();
@@ -188,67 +190,68 @@
     if (mRoute == nullptr) {
       return error_kind::kUnknownPath;
     }
-    mTeam = mTable->TeamOf(mRead.mToken);
-    const bool open = mRoute->mAnonymous || !mTable->Document().mTokensNeeded;
-    if (mTeam == nullptr && !open) {
+    mTeam = mTable->TeamOf(mRelayRequest.mToken);
+    const bool allowsAnonymous =
+      mRoute->mAnonymous || !mTable->Document().mTokensNeeded;
+    if (mTeam == nullptr && !allowsAnonymous) {
       return error_kind::kUnauthenticated;
     }
-    mPool = routing_table::PoolFor(*mRoute, Hash64(mRead.mId.Text()));
+    mPool = routing_table::PoolFor(*mRoute, Hash64(mRelayRequest.mId.Text()));
     return mPool == nullptr ? std::optional(error_kind::kNoEndpoint)
                             : std::nullopt;
   }
 
-  void Try()
+  void StartNextAttempt()
   {
     const time_point now = Now();
-    if (now >= mWork.mDeadline) {
+    if (now >= mProfile.mDeadline) {
       GiveUp(mMayHaveRun ? error_kind::kDeadlineExpiredRunning
                          : error_kind::kDeadlineUnmeetable);
       return;
     }
     relay_pool* pool = mDispatcher.Pool(*mPool);
-    const auto pick = Next(pool, now);
+    const auto pick = NextEndpoint(pool, now);
     if (!pick) {
       GiveUp(mMayHaveRun ? FinalError(Progress()) : error_kind::kNoEndpoint);
       return;
     }
     mPick = *pick;
-    mTried.push_back(pick->mEndpoint);
+    mTriedEndpoints.push_back(pick->mEndpoint);
     mSentAt = now;
     mLastByte = now;
-    mBegunHere = false;
+    mFirstByteReceived = false;
     mStream.reset();
     mStatus = 0;
-    mWhole.clear();
-    pool->OnSent(mPick, mWork, now);
-    mCounted = true;
-    StartAttempt();
+    mBufferedAnswer.clear();
+    pool->OnSent(mPick, mProfile, now);
+    mChargedToPool = true;
+    SendAttempt();
     ArmTimer();
   }
 
   // Where the next attempt goes; the first one was chosen on admission.
-  std::optional<relay_pick> Next(relay_pool* aPool, time_point aNow)
+  std::optional<relay_pick> NextEndpoint(relay_pool* aPool, time_point aNow)
   {
     if (aPool == nullptr) {
       return std::nullopt;
     }
-    return mFirstPick ? std::exchange(mFirstPick, std::nullopt)
-                      : aPool->Choose(mWork, mTried, aNow);
+    return mAdmittedPick ? std::exchange(mAdmittedPick, std::nullopt)
+                         : aPool->Choose(mProfile, mTriedEndpoints, aNow);
   }
 
-  void StartAttempt()
+  void SendAttempt()
   {
     const caller_request& request = mExchange->Request();
     attempt_facts facts;
     facts.mEndpoint = mPick.mEndpoint;
     facts.mTeam = mTeam == nullptr ? team_name() : mTeam->mName;
-    facts.mTimeLeft = mWork.mDeadline - Now();
-    if (mWork.mPromptTokens > 0) {
-      facts.mPriority = mWork.mEnginePriority;
+    facts.mTimeLeft = mProfile.mDeadline - Now();
+    if (mProfile.mPromptTokens > 0) {
+      facts.mPriority = mProfile.mEnginePriority;
       facts.mCopyPrefixFrom = mPick.mCopyFrom;
     }
     facts.mResumeAfter =
-      mEvents.LastId().empty() ? mRead.mResumeAfter : mEvents.LastId();
+      mEvents.LastId().empty() ? mRelayRequest.mResumeAfter : mEvents.LastId();
     relay_call call;
     call.mWhere = { mPick.mAddress, mPick.mLifetime };
     call.mMethod = request.mMethod;
@@ -256,10 +259,10 @@
     call.mHeaders =
       AttemptHeaders(mDispatcher.Names(), request.mHeaders, facts);
     call.mBody = mBody;
-    call.mId = mRead.mId;
+    call.mId = mRelayRequest.mId;
     const bool repeatable = MayRepeat(mRoute->mKind);
     call.mMaxIdle = repeatable ? kMaxIdleRepeatable : kMaxIdleOnce;
-    call.mSilence = repeatable ? kSilenceRepeatable : kSilenceOnce;
+    call.mSilence = repeatable ? kPeerSilenceRepeatable : kPeerSilenceOnce;
     call.mConnectTimeout = std::min<duration>(kConnectTimeout, facts.mTimeLeft);
     mAttempt =
       StartRelayAttempt(mDispatcher.Connections(),
@@ -302,14 +305,14 @@
       OnFailure(attempt_failure::kFailed, "not continued", true);
       return;
     }
-    if (PromisesNotRun(aHead.mStatus)) {
+    if (ImpliesNotRun(aHead.mStatus)) {
       OnFailure(attempt_failure::kFailed,
                 "status " + std::to_string(aHead.mStatus),
                 false);
       return;
     }
-    if (aHead.mStatus >= kStatusServerError && MayAskAnother()) {
-      mPaid = true;
+    if (aHead.mStatus >= kStatusServerError && TakeRetryForServerError()) {
+      mRetryCharged = true;
       OnFailure(attempt_failure::kFailed,
                 "status " + std::to_string(aHead.mStatus),
                 false);
@@ -324,20 +327,20 @@
 
   // Whether an endpoint's own failure may be tried elsewhere; takes the retry.
   // Else the caller gets that failure as it is.
-  bool MayAskAnother()
+  bool TakeRetryForServerError()
   {
     const relay_pool* pool = mDispatcher.Pool(*mPool);
     return NextStep(Progress(attempt_failure::kFailed)) == relay_step::kRetry &&
-           pool != nullptr && pool->size() > mTried.size() &&
+           pool != nullptr && pool->size() > mTriedEndpoints.size() &&
            mDispatcher.Retries().Spend(*mPool, Now());
   }
 
   void OnBytes(const std::string& aBytes)
   {
-    NoteFirstByte();
+    RecordFirstByte();
     if (!mStream.value_or(false)) {
-      mWhole += aBytes;
-      if (mWhole.size() > kMaxWholeAnswer) {
+      mBufferedAnswer += aBytes;
+      if (mBufferedAnswer.size() > kMaxBufferedAnswerBytes) {
         OnFailure(attempt_failure::kGarbled, "answer too long", true);
       }
       return;
@@ -350,18 +353,18 @@
     Forward(mEvents.TakeWhole());
   }
 
-  void NoteFirstByte()
+  void RecordFirstByte()
   {
-    if (std::exchange(mBegunHere, true)) {
+    if (std::exchange(mFirstByteReceived, true)) {
       return;
     }
     const time_point now = Now();
     if (relay_pool* pool = mDispatcher.Pool(*mPool)) {
-      pool->OnFirstByte(mPick, mWork, now - mSentAt, now);
+      pool->OnFirstByte(mPick, mProfile, now - mSentAt, now);
     }
     if (!mFirstByte) {
       mFirstByte = now - mExchange->Arrival();
-      mDispatcher.Metrics().OnFirstToken(mCountedAs, *mFirstByte);
+      mDispatcher.Metrics().OnFirstToken(mMetricsClass, *mFirstByte);
     }
   }
 
@@ -373,17 +376,17 @@
     if (!std::exchange(mAnswerBegun, true)) {
       mExchange->Send(stream_head{ mHeaders, mStatus, true });
     }
-    NotePause();
+    RecordPause();
     mExchange->Send(stream_text{ std::move(aText) });
   }
 
-  void NotePause()
+  void RecordPause()
   {
     const time_point now = Now();
     if (mLastEvent) {
       const duration pause = now - *mLastEvent;
       mLongestPause = std::max(mLongestPause, pause);
-      mDispatcher.Metrics().OnTokenGap(mCountedAs, pause);
+      mDispatcher.Metrics().OnTokenGap(mMetricsClass, pause);
     }
     mLastEvent = now;
   }
@@ -398,7 +401,7 @@
       }
       mExchange->Send(stream_end{});
     } else {
-      mExchange->Send(whole_reply{ mStatus, mHeaders, "", mWhole });
+      mExchange->Send(whole_reply{ mStatus, mHeaders, "", mBufferedAnswer });
     }
     Finish("answered");
   }
@@ -409,11 +412,11 @@
     relay_progress progress;
     progress.mKind = mRoute->mKind;
     progress.mFailure = aFailure;
-    progress.mAttempts = mAttempts + (mCounted && Sent() ? 1 : 0);
+    progress.mAttempts = mAttempts + (mChargedToPool && Sent() ? 1 : 0);
     progress.mMaxAttempts = mRoute->mMaxAttempts;
     progress.mAnswerBegun = mAnswerBegun;
     progress.mMayHaveRun =
-      mMayHaveRun || (!CertainlyNotRun(aFailure) && mCounted && Sent());
+      mMayHaveRun || (!CertainlyNotRun(aFailure) && mChargedToPool && Sent());
     return progress;
   }
 
@@ -425,7 +428,7 @@
                  bool aClose)
   {
     const relay_progress progress = Progress(aFailure);
-    LogAttempt(aFailure, aDetail);
+    LogFailedAttempt(aFailure, aDetail);
     mAttempts = progress.mAttempts;
     mMayHaveRun = progress.mMayHaveRun;
     if (aFailure == attempt_failure::kNotSent) {
@@ -437,51 +440,54 @@
     } else {
       mAttempt->Abandon();
     }
-    EndAttempt(HealthOutcome(aFailure));
+    EndAttempt(ToAttemptEnd(aFailure));
     if (aFailure == attempt_failure::kNotSent ||
         aFailure == attempt_failure::kSilent) {
-      mDispatcher.OnUnreached(mPick, Now());
+      mDispatcher.OnUnreachable(mPick, Now());
     }
     mEvents.DropUnfinished();
     const relay_step step = NextStep(progress);
     // What never arrived anywhere adds no work to any endpoint.
     const bool firstArrival = progress.mAttempts == 0;
-    const bool paid = std::exchange(mPaid, false) || firstArrival;
-    const bool allowed = step != relay_step::kGiveUp && MayConnectAgain() &&
-                         (paid || mDispatcher.Retries().Spend(*mPool, Now()));
+    const bool retryCharged =
+      std::exchange(mRetryCharged, false) || firstArrival;
+    const bool allowed =
+      step != relay_step::kGiveUp && MayRetryUnsent() &&
+      (retryCharged || mDispatcher.Retries().Spend(*mPool, Now()));
     if (!allowed) {
       GiveUp(FinalError(progress));
       return;
     }
     mDispatcher.Metrics().OnRetry(ErrorOf(aFailure));
-    Try();
+    StartNextAttempt();
   }
 
   // Guards against refusing a request within milliseconds because some of many
   // endpoints crashed: their hosts refuse connections at once.
-  bool MayConnectAgain() const
+  bool MayRetryUnsent() const
   {
     return mUnsent < kMaxUnsent && mUnsentTime < kMaxUnsentTime;
   }
 
   // Settles the attempt's account with the pool, once.
-  void EndAttempt(attempt_end aHow)
+  void EndAttempt(attempt_end aEnd)
   {
-    if (!std::exchange(mCounted, false)) {
+    if (!std::exchange(mChargedToPool, false)) {
       return;
     }
     if (relay_pool* pool = mDispatcher.Pool(*mPool)) {
       const time_point now = Now();
-      pool->OnEnded(mPick, mWork, aHow, mBegunHere, now - mSentAt, now);
+      pool->OnEnded(
+        mPick, mProfile, aEnd, mFirstByteReceived, now - mSentAt, now);
     }
   }
 
   void ArmTimer()
   {
-    mTimer.expires_at(std::min(mWork.mDeadline, SilentAt()));
+    mTimer.expires_at(std::min(mProfile.mDeadline, SilenceDeadline()));
     mTimer.async_wait([self = boost::intrusive_ptr<relay_session>(this)](
-                        const boost::system::error_code& aWrong) {
-      if (!aWrong && !self->mDone) {
+                        const boost::system::error_code& aError) {
+      if (!aError && !self->mDone) {
         self->OnTimer();
       }
     });
@@ -489,37 +495,38 @@
 
   // When the present attempt counts as silent; never for what may not be
   // repeated, since nothing could be done about it.
-  time_point SilentAt() const
+  time_point SilenceDeadline() const
   {
     if (!MayRepeat(mRoute->mKind)) {
       return time_point::max();
     }
     if (IsStream(mRoute->mKind)) {
-      return mLastByte + kSilentStream;
+      return mLastByte + kStreamSilenceTimeout;
     }
     return mLastByte +
-           std::max<duration>(kSilentTargets * mRoute->mTarget, kSilentLeast);
+           std::max<duration>(kSilenceTargetFactor * mRoute->mTarget,
+                              kMinSilenceTimeout);
   }
 
   void OnTimer()
   {
     const time_point now = Now();
-    if (now >= mWork.mDeadline) {
+    if (now >= mProfile.mDeadline) {
       OnDeadline();
       return;
     }
-    if (now >= SilentAt() && CanGoOn()) {
+    if (now >= SilenceDeadline() && CanRetryElsewhere()) {
       OnFailure(attempt_failure::kSilent, "no byte in time", true);
       return;
     }
-    if (now >= SilentAt()) {
+    if (now >= SilenceDeadline()) {
       // Nobody else could answer it; the endpoint still may.
       mLastByte = now;
     }
     ArmTimer();
   }
 
-  bool CanGoOn() const
+  bool CanRetryElsewhere() const
   {
     return NextStep(Progress(attempt_failure::kSilent)) != relay_step::kGiveUp;
   }
@@ -527,7 +534,7 @@
   void OnDeadline()
   {
     const bool ran = Progress(attempt_failure::kSilent).mMayHaveRun;
-    LogAttempt(attempt_failure::kSilent, "deadline");
+    LogFailedAttempt(attempt_failure::kSilent, "deadline");
     if (mAttempt) {
       mAttempt->Close();
     }
@@ -549,10 +556,11 @@
   }
 
   void Refuse(error_kind aKind,
-              std::optional<duration> aComeBackAfter = std::nullopt)
+              std::optional<duration> aRetryAfter = std::nullopt)
   {
     mDispatcher.Metrics().OnRefused(aKind);
-    whole_reply reply = mDispatcher.Refusal(aKind, mRead.mId, aComeBackAfter);
+    whole_reply reply =
+      mDispatcher.Refusal(aKind, mRelayRequest.mId, aRetryAfter);
     mStatus = reply.mHttpStatus;
     mExchange->Send(std::move(reply));
     Finish(Name(aKind));
@@ -576,18 +584,18 @@
     mDone = true;
     mTimer.cancel();
     mExchange->OnLeft(nullptr);
-    LogEnd(aOutcome);
+    LogOutcome(aOutcome);
     if (aOutcome == "answered") {
-      mDispatcher.Metrics().OnCompleted(mCountedAs, mEvents.Events());
+      mDispatcher.Metrics().OnCompleted(mMetricsClass, mEvents.Events());
     }
   }
 
-  void LogNotTaken(const admission_refusal& aRefusal)
+  void LogRejected(const admission_refusal& aRefusal)
   {
     mDispatcher.Log().WriteRequest(
       log_level::kInfo,
       "request_not_taken",
-      { { "request", mRead.mId.Text() },
+      { { "request", mRelayRequest.mId.Text() },
         { "why", std::string(Name(aRefusal.mKind)) },
         { "pool", mPool->Text() },
         { "wait_ms", ToMilliseconds(aRefusal.mWait) },
@@ -596,13 +604,13 @@
         { "come_back_ms", ToMilliseconds(aRefusal.mRetryAfter) } });
   }
 
-  void LogAttempt(attempt_failure aFailure, const std::string& aDetail)
+  void LogFailedAttempt(attempt_failure aFailure, const std::string& aDetail)
   {
     const time_point now = Now();
     mDispatcher.Log().WriteRequest(
       log_level::kInfo,
       "attempt_failed",
-      { { "request", mRead.mId.Text() },
+      { { "request", mRelayRequest.mId.Text() },
         { "why", std::string(Name(aFailure)) },
         { "detail", aDetail },
         { "endpoint", mPick.mEndpoint.Text() },
@@ -612,23 +620,23 @@
         { "begun", std::int64_t{ mAnswerBegun } } });
   }
 
-  void LogEnd(std::string_view aOutcome)
+  void LogOutcome(std::string_view aOutcome)
   {
     const time_point now = Now();
     mDispatcher.Log().WriteRequest(
       log_level::kInfo,
       "request_done",
-      { { "request", mRead.mId.Text() },
+      { { "request", mRelayRequest.mId.Text() },
         { "outcome", std::string(aOutcome) },
         { "status", std::int64_t{ mStatus } },
         { "route", mRoute == nullptr ? "" : mRoute->mName },
         { "team", mTeam == nullptr ? "" : mTeam->mName.Text() },
-        { "tier", std::int64_t{ mWork.mTier } },
+        { "tier", std::int64_t{ mProfile.mTier } },
         { "endpoint", mPick.mEndpoint.Text() },
-        { "attempts", static_cast<std::int64_t>(mTried.size()) },
-        { "prompt_tokens", std::int64_t{ mWork.mPromptTokens } },
+        { "attempts", static_cast<std::int64_t>(mTriedEndpoints.size()) },
+        { "prompt_tokens", std::int64_t{ mProfile.mPromptTokens } },
         { "to_read", std::int64_t{ mPick.mPrefillTokens } },
-        { "target_ms", ToMilliseconds(mWork.mTarget) },
+        { "target_ms", ToMilliseconds(mProfile.mTarget) },
         { "side", mPick.mBulk ? "bulk" : "interactive" },
         { "backlog", static_cast<std::int64_t>(mPick.mBacklogTokens) },
         { "expected_ms", ToMilliseconds(mPick.mExpectedWait) },
@@ -644,36 +652,36 @@
   caller_exchange_ptr mExchange;
   routing_table_ptr mTable;
   boost::asio::steady_timer mTimer;
-  relay_request mRead;
+  relay_request mRelayRequest;
   const route* mRoute = nullptr;
   const routed_team* mTeam = nullptr;
   const pool_name* mPool = nullptr;
-  request_profile mWork;
-  class_name mCountedAs;
+  request_profile mProfile;
+  class_name mMetricsClass;
   std::shared_ptr<const std::string> mBody;
 
   // The present attempt.
   relay_attempt_ptr mAttempt;
   relay_pick mPick;
-  std::optional<relay_pick> mFirstPick;
+  std::optional<relay_pick> mAdmittedPick;
   time_point mSentAt{};
   time_point mLastByte{};
   // It stands in the pool's account.
-  bool mCounted = false;
-  bool mBegunHere = false;
+  bool mChargedToPool = false;
+  bool mFirstByteReceived = false;
   // Its answer is a stream; nothing before its head.
   std::optional<bool> mStream;
   unsigned mStatus = 0;
-  std::string mWhole;
+  std::string mBufferedAnswer;
 
   // Over all attempts.
-  std::vector<endpoint_name> mTried;
+  std::vector<endpoint_name> mTriedEndpoints;
   std::uint32_t mAttempts = 0;
   std::uint32_t mUnsent = 0;
   duration mUnsentTime{};
   bool mMayHaveRun = false;
   // The next retry is taken from the budget already.
-  bool mPaid = false;
+  bool mRetryCharged = false;
   event_splitter mEvents;
   std::vector<header_field> mHeaders;
   // Part of the answer is with the caller.
--- a/thornhollow/daemon/source_link.cc
+++ b/thornhollow/daemon/source_link.cc
@@ -19,12 +19,12 @@
        item_source& aSource,
        std::string aPrefix,
        std::string aWhat,
-       news_handler aOnNews,
+       item_change_handler aOnChanges,
        json_log& aLog)
     : mSource(aSource)
     , mPrefix(std::move(aPrefix))
     , mWhat(std::move(aWhat))
-    , mOnNews(std::move(aOnNews))
+    , mOnChanges(std::move(aOnChanges))
     , mLog(aLog)
     , mFollower(source_follower_settings{}, std::random_device()())
     , mTimer(aIo)
@@ -33,7 +33,7 @@
 
   void SetReading(bool aReads)
   {
-    if (std::exchange(mReads, aReads) == aReads) {
+    if (std::exchange(mReadsSource, aReads) == aReads) {
       return;
     }
     if (aReads && mIdle) {
@@ -41,15 +41,15 @@
     }
     if (!aReads) {
       mFollower.StopAsking();
-      NoteLeft();
+      RecordReadingStopped();
     }
   }
 
-  void Ask(const source_call& aCall)
+  void ScheduleCall(const source_call& aCall)
   {
     const std::uint64_t round = ++mRound;
-    mOpen.End();
-    mIdle = !mReads;
+    mOpenCalls.End();
+    mIdle = !mReadsSource;
     if (mIdle) {
       mFollower.StopAsking();
       return;
@@ -60,24 +60,24 @@
     }
     mTimer.expires_after(aCall.mPause);
     mTimer.async_wait([weak = weak_from_this(),
-                       round](const boost::system::error_code& aWrong) {
+                       round](const boost::system::error_code& aError) {
       const auto self = weak.lock();
-      if (!aWrong && self && self->mRound == round) {
+      if (!aError && self && self->mRound == round) {
         // What a peer told meanwhile need not be asked for.
         self->Send(self->mFollower.Start(self->mMirror), round);
       }
     });
   }
 
-  void Restart() { Ask(mFollower.Start(mMirror)); }
+  void Restart() { ScheduleCall(mFollower.Start(mMirror)); }
 
-  void OnDoubt(watch_doubt aWhy, time_point aNow)
+  void OnWatchSuspected(watch_doubt aWhy, time_point aNow)
   {
-    if (!mReads || !mOpen.MayBeDoubted(aWhy, aNow)) {
+    if (!mReadsSource || !mOpenCalls.MayBeDoubted(aWhy, aNow)) {
       return;
     }
     if (const auto call = mFollower.OnDoubt(aWhy, mMirror, aNow)) {
-      LogBeside(Name(aWhy), aNow);
+      LogAdditionalCall(Name(aWhy), aNow);
       Send(*call, mRound);
     }
   }
@@ -86,42 +86,46 @@
 
   void Tick(time_point aNow)
   {
-    if (mReads && mOpen.Overdue(aNow)) {
-      AskBesideOverdue(aNow);
+    if (mReadsSource && mOpenCalls.Overdue(aNow)) {
+      CallAgainAfterOverdue(aNow);
     }
     if (mFollower.InOutage(aNow)) {
-      NoteLost();
+      RecordOutage();
     }
   }
 
-  void OnPeerListing(const std::vector<source_item>& aItems, std::uint64_t aAt)
+  void OnPeerListing(const std::vector<source_item>& aItems,
+                     std::uint64_t aRevision)
   {
-    if (const std::uint64_t before = mMirror.At(); aAt > before) {
-      TakePeersNews(mMirror.OnListing(aItems, aAt), before, Now());
+    if (const std::uint64_t before = mMirror.At(); aRevision > before) {
+      ApplyPeerChanges(mMirror.OnListing(aItems, aRevision), before, Now());
     }
   }
 
   void OnPeerChanges(const std::vector<item_change>& aChanges,
-                     std::uint64_t aAsked,
-                     std::uint64_t aAt)
+                     std::uint64_t aAfter,
+                     std::uint64_t aRevision)
   {
     if (const std::uint64_t before = mMirror.At();
-        aAt > before && aAsked == before && mMirror.Listed()) {
-      TakePeersNews(
-        mMirror.OnPeerChanges(aChanges, aAsked, aAt), before, Now());
+        aRevision > before && aAfter == before && mMirror.Listed()) {
+      ApplyPeerChanges(
+        mMirror.OnPeerChanges(aChanges, aAfter, aRevision), before, Now());
     }
   }
 
   void Stop()
   {
     ++mRound;
-    mOpen.End();
+    mOpenCalls.End();
     mTimer.cancel();
   }
 
   const item_mirror& Mirror() const { return mMirror; }
   bool Failing() const { return mFollower.Failing(); }
-  std::optional<time_point> Answered() const { return mFollower.Answered(); }
+  std::optional<time_point> LastAnswerTime() const
+  {
+    return mFollower.Answered();
+  }
 
 private:
   // A call on its way. Those of one round are beside each other: the first
@@ -129,7 +133,7 @@
   struct sent_call
   {
     std::uint64_t mRound = 0;
-    std::uint64_t mNumber = 0;
+    std::uint64_t mCallNumber = 0;
     time_point mSentAt{};
     // When the answer is due without news.
     time_point mDueAt{};
@@ -138,8 +142,8 @@
   void Send(const source_call& aCall, std::uint64_t aRound)
   {
     const time_point now = Now();
-    const sent_call sent{ aRound, ++mNumber, now, now + aCall.mWait };
-    mOpen.OnSent(aCall, now);
+    const sent_call sent{ aRound, ++mCallNumber, now, now + aCall.mWait };
+    mOpenCalls.OnSent(aCall, now);
     answer_progress onBytes = [weak = weak_from_this(),
                                aRound](std::size_t aBytes) {
       if (const auto self = weak.lock()) {
@@ -174,18 +178,18 @@
   void OnBytes(std::uint64_t aRound, std::size_t aBytes)
   {
     if (aRound == mRound) {
-      mOpen.OnBytes(Now());
-      mBytesCame = aBytes;
+      mOpenCalls.OnBytes(Now());
+      mBytesReceived = aBytes;
     }
   }
 
-  void AskBesideOverdue(time_point aNow)
+  void CallAgainAfterOverdue(time_point aNow)
   {
     const source_call next = mFollower.OnOverdue(mMirror, aNow);
     if (mFollower.Failing()) {
-      LogFailure({ "overdue" }, mOpen.OpenFor(aNow));
+      LogFailure({ "overdue" }, mOpenCalls.OpenFor(aNow));
     } else {
-      LogBeside("overdue", aNow);
+      LogAdditionalCall("overdue", aNow);
     }
     Send(next, mRound);
   }
@@ -194,13 +198,14 @@
   // isn't its round's newest doesn't: it was logged when it was overdue, and
   // another of the round may still be answered.
   template<class outcome>
-  bool Counts(const outcome& aOutcome, const sent_call& aSent) const
+  bool IsDecisive(const outcome& aOutcome, const sent_call& aSent) const
   {
     const bool failed = std::holds_alternative<source_failure>(aOutcome);
-    return aSent.mRound == mRound && (!failed || mNumber == aSent.mNumber);
+    return aSent.mRound == mRound &&
+           (!failed || mCallNumber == aSent.mCallNumber);
   }
 
-  void NoteTime(const sent_call& aSent, time_point aNow)
+  void RecordDelay(const sent_call& aSent, time_point aNow)
   {
     if (aNow > aSent.mDueAt) {
       mFollower.NoteDelay(aNow - aSent.mDueAt);
@@ -209,23 +214,24 @@
 
   void OnListed(const list_outcome& aOutcome, const sent_call& aSent)
   {
-    if (!Counts(aOutcome, aSent)) {
+    if (!IsDecisive(aOutcome, aSent)) {
       return;
     }
     const time_point now = Now();
     if (const auto* failed = std::get_if<source_failure>(&aOutcome)) {
       LogFailure(*failed, now - aSent.mSentAt);
     } else {
-      NoteTime(aSent, now);
+      RecordDelay(aSent, now);
     }
-    std::vector<item_change> news;
-    const source_call next = mFollower.OnListed(aOutcome, mMirror, news, now);
-    Apply(news, next);
+    std::vector<item_change> changes;
+    const source_call next =
+      mFollower.OnListed(aOutcome, mMirror, changes, now);
+    Apply(changes, next);
   }
 
   void OnWatched(const watch_outcome& aOutcome, const sent_call& aSent)
   {
-    if (!Counts(aOutcome, aSent)) {
+    if (!IsDecisive(aOutcome, aSent)) {
       return;
     }
     const time_point now = Now();
@@ -235,43 +241,44 @@
       mLog.Write(
         log_level::kInfo, "source_history_gone", { { "what", mWhat } });
     } else {
-      NoteTime(aSent, now);
+      RecordDelay(aSent, now);
     }
-    std::vector<item_change> news;
-    const source_call next = mFollower.OnWatched(aOutcome, mMirror, news, now);
-    Apply(news, next);
+    std::vector<item_change> changes;
+    const source_call next =
+      mFollower.OnWatched(aOutcome, mMirror, changes, now);
+    Apply(changes, next);
   }
 
-  void Apply(const std::vector<item_change>& aNews, const source_call& aNext)
+  void Apply(const std::vector<item_change>& aChanges, const source_call& aNext)
   {
-    LogAnswerAfterFailures();
-    NoteRegained();
-    if (!aNews.empty()) {
-      mOnNews(aNews);
+    LogRecovery();
+    RecordRecovery();
+    if (!aChanges.empty()) {
+      mOnChanges(aChanges);
     }
-    Ask(aNext);
+    ScheduleCall(aNext);
   }
 
-  void TakePeersNews(const std::vector<item_change>& aNews,
-                     std::uint64_t aBefore,
-                     time_point aNow)
+  void ApplyPeerChanges(const std::vector<item_change>& aChanges,
+                        std::uint64_t aBefore,
+                        time_point aNow)
   {
     mLog.Write(log_level::kInfo,
                "taken_from_peer",
                { { "what", mWhat },
                  { "from", static_cast<std::int64_t>(aBefore) },
                  { "at", static_cast<std::int64_t>(mMirror.At()) },
-                 { "changes", static_cast<std::int64_t>(aNews.size()) },
+                 { "changes", static_cast<std::int64_t>(aChanges.size()) },
                  { "answer_age_ms", AnswerAgeMs() } });
-    if (!aNews.empty()) {
-      OnDoubt(watch_doubt::kPeerKnewFirst, aNow);
-      mOnNews(aNews);
+    if (!aChanges.empty()) {
+      OnWatchSuspected(watch_doubt::kPeerKnewFirst, aNow);
+      mOnChanges(aChanges);
     }
   }
 
-  void NoteLost()
+  void RecordOutage()
   {
-    if (std::exchange(mLost, true)) {
+    if (std::exchange(mInOutage, true)) {
       return;
     }
     mLog.Write(log_level::kWarning,
@@ -281,18 +288,18 @@
                  { "answer_age_ms", AnswerAgeMs() } });
   }
 
-  void NoteRegained()
+  void RecordRecovery()
   {
-    if (!mLost || mFollower.Failing()) {
+    if (!mInOutage || mFollower.Failing()) {
       return;
     }
-    mLost = false;
+    mInOutage = false;
     LogState("source_regained");
   }
 
-  void NoteLeft()
+  void RecordReadingStopped()
   {
-    if (std::exchange(mLost, false)) {
+    if (std::exchange(mInOutage, false)) {
       LogState("source_left_to_peers");
     }
   }
@@ -319,23 +326,23 @@
                { { "what", mWhat },
                  { "detail", aFailure.mDetail },
                  { "open_ms", ToMilliseconds(aOpenFor) },
-                 { "bytes", static_cast<std::int64_t>(mBytesCame) },
+                 { "bytes", static_cast<std::int64_t>(mBytesReceived) },
                  { "answer_age_ms", AnswerAgeMs() } });
   }
 
   // Another call is made though the newest one may still be answered.
-  void LogBeside(std::string_view aWhy, time_point aNow)
+  void LogAdditionalCall(std::string_view aWhy, time_point aNow)
   {
     mLog.Write(log_level::kInfo,
                "source_asked_again",
                { { "what", mWhat },
                  { "why", std::string(aWhy) },
-                 { "open_ms", ToMilliseconds(mOpen.OpenFor(aNow)) },
-                 { "bytes", static_cast<std::int64_t>(mBytesCame) },
+                 { "open_ms", ToMilliseconds(mOpenCalls.OpenFor(aNow)) },
+                 { "bytes", static_cast<std::int64_t>(mBytesReceived) },
                  { "answer_age_ms", AnswerAgeMs() } });
   }
 
-  void LogAnswerAfterFailures()
+  void LogRecovery()
   {
     if (mFailedCalls == 0 || mFollower.Failing()) {
       return;
@@ -357,23 +364,23 @@
   item_source& mSource;
   std::string mPrefix;
   std::string mWhat;
-  news_handler mOnNews;
+  item_change_handler mOnChanges;
   json_log& mLog;
   item_mirror mMirror;
   source_follower mFollower;
   boost::asio::steady_timer mTimer;
-  bool mReads = true;
+  bool mReadsSource = true;
   // No call is on its way or due.
   bool mIdle = false;
   // Tells an answer that is still wanted from one that came too late.
   std::uint64_t mRound = 0;
-  bool mLost = false;
+  bool mInOutage = false;
   // Of the newest call.
-  std::uint64_t mNumber = 0;
+  std::uint64_t mCallNumber = 0;
   // Those on their way; none while a pause lasts.
-  call_round mOpen;
+  call_round mOpenCalls;
   // Of the answer that came last, whole or not.
-  std::size_t mBytesCame = 0;
+  std::size_t mBytesReceived = 0;
   // Calls that failed since the last answer, and why the last one did.
   std::int64_t mFailedCalls = 0;
   std::string mLastDetail;
@@ -383,13 +390,13 @@
                          item_source& aSource,
                          std::string aPrefix,
                          std::string aWhat,
-                         news_handler aOnNews,
+                         item_change_handler aOnChanges,
                          json_log& aLog)
   : mCore(std::make_shared<core>(aIo,
                                  aSource,
                                  std::move(aPrefix),
                                  std::move(aWhat),
-                                 std::move(aOnNews),
+                                 std::move(aOnChanges),
                                  aLog))
 {
 }
@@ -412,9 +419,9 @@
 }
 
 void
-source_link::OnDoubt(watch_doubt aWhy, time_point aNow)
+source_link::OnWatchSuspected(watch_doubt aWhy, time_point aNow)
 {
-  mCore->OnDoubt(aWhy, aNow);
+  mCore->OnWatchSuspected(aWhy, aNow);
 }
 
 void
@@ -437,17 +444,17 @@
 
 void
 source_link::OnPeerListing(const std::vector<source_item>& aItems,
-                           std::uint64_t aAt)
+                           std::uint64_t aRevision)
 {
-  mCore->OnPeerListing(aItems, aAt);
+  mCore->OnPeerListing(aItems, aRevision);
 }
 
 void
 source_link::OnPeerChanges(const std::vector<item_change>& aChanges,
-                           std::uint64_t aAsked,
-                           std::uint64_t aAt)
+                           std::uint64_t aAfter,
+                           std::uint64_t aRevision)
 {
-  mCore->OnPeerChanges(aChanges, aAsked, aAt);
+  mCore->OnPeerChanges(aChanges, aAfter, aRevision);
 }
 
 const item_mirror&
@@ -463,15 +470,15 @@
 }
 
 std::optional<time_point>
-source_link::Answered() const
+source_link::LastAnswerTime() const
 {
-  return mCore->Answered();
+  return mCore->LastAnswerTime();
 }
 
 std::optional<duration>
 source_link::AnswerAge(time_point aNow) const
 {
-  const auto answered = mCore->Answered();
+  const auto answered = mCore->LastAnswerTime();
   return answered ? std::optional<duration>(aNow - *answered) : std::nullopt;
 }
 
--- a/thornhollow/daemon/source_link.h
+++ b/thornhollow/daemon/source_link.h
@@ -1,7 +1,7 @@
 // Keeps one prefix of a source mirrored: makes the calls that the follower
 // decides on, and hands on what changed.
 //
-//   source_link link(io, source, "servers/", "endpoints", onNews, log);
+//   source_link link(io, source, "servers/", "endpoints", onChanges, log);
 //   link.Start();
 //
 #ifndef THORNHOLLOW_DAEMON_SOURCE_LINK_H_
@@ -26,7 +26,8 @@
 namespace thornhollow {
 
 // Changes of the mirror, in order.
-using news_handler = std::function<void(const std::vector<item_change>&)>;
+using item_change_handler =
+  std::function<void(const std::vector<item_change>&)>;
 
 class source_link
 {
@@ -36,7 +37,7 @@
               item_source& aSource,
               std::string aPrefix,
               std::string aWhat,
-              news_handler aOnNews,
+              item_change_handler aOnChanges,
               json_log& aLog);
   source_link(const source_link&) = delete;
   source_link& operator=(const source_link&) = delete;
@@ -49,7 +50,7 @@
   // Peers tell of news meanwhile.
   void SetReading(bool aReads);
   // Asks beside the watch on its way, which may never be answered.
-  void OnDoubt(watch_doubt aWhy, time_point aNow);
+  void OnWatchSuspected(watch_doubt aWhy, time_point aNow);
   // This instance's turn among those that ask the source.
   void SetTurn(const watch_turn& aTurn);
   // Notices overdue answers and an outage. To be called every 100 ms.
@@ -57,18 +58,19 @@
 
   // What a peer holds, or what it has seen change since a revision that this
   // copy had. Taken only where it is newer.
-  void OnPeerListing(const std::vector<source_item>& aItems, std::uint64_t aAt);
+  void OnPeerListing(const std::vector<source_item>& aItems,
+                     std::uint64_t aRevision);
   // `aAsked`: the revision for which the peer was asked.
   void OnPeerChanges(const std::vector<item_change>& aChanges,
-                     std::uint64_t aAsked,
-                     std::uint64_t aAt);
+                     std::uint64_t aAfter,
+                     std::uint64_t aRevision);
 
   const item_mirror& Mirror() const;
   // The source's last answer was a failure.
   bool Failing() const;
   // When the source itself last answered, and how long ago; nothing before it
   // did.
-  std::optional<time_point> Answered() const;
+  std::optional<time_point> LastAnswerTime() const;
   std::optional<duration> AnswerAge(time_point aNow) const;
 
 private:
