--- a/thornhollow/daemon/load_poller.cc
+++ b/thornhollow/daemon/load_poller.cc
@@ -173,7 +173,7 @@
     std::clamp(static_cast<std::int64_t>(NumberField(*object, "age_ms")),
                std::int64_t{ 0 },
                kOldestReportMs);
-  report.mTakenAt = aArrival - Milliseconds(age);
+  report.mMeasuredAt = aArrival - Milliseconds(age);
   return report;
 }
 
--- a/thornhollow/daemon/load_poller_test.cc
+++ b/thornhollow/daemon/load_poller_test.cc
@@ -17,7 +17,7 @@
   CHECK(report->mRunning == 3);
   CHECK(report->mWaiting == 2);
   CHECK(report->mStep == Milliseconds(4));
-  CHECK(report->mTakenAt == kArrival - Milliseconds(700));
+  CHECK(report->mMeasuredAt == kArrival - Milliseconds(700));
 }
 
 TEST_CASE("load_report/other_text/is_none")
@@ -36,7 +36,7 @@
   REQUIRE(report);
   CHECK(report->mRunning == 0);
   CHECK(report->mWaiting == 1'000'000);
-  CHECK(report->mTakenAt == kArrival);
+  CHECK(report->mMeasuredAt == kArrival);
   CHECK(report->mStep == duration{});
 }
 
--- a/thornhollow/daemon/relay_dispatcher.cc
+++ b/thornhollow/daemon/relay_dispatcher.cc
@@ -21,7 +21,7 @@
 
 // "target/pause: requests/s, tokens/s, open" of each kind.
 std::string
-DemandText(const demand_sums& aDemand)
+DemandText(const demand_by_kind& aDemand)
 {
   std::string text;
   for (const kind_demand& each : aDemand) {
@@ -41,7 +41,7 @@
 {
   shared_retry_budget_settings settings;
   settings.mRatio = aSettings.mRetries.mRatio;
-  settings.mExtra = aSettings.mRetries.mExtra;
+  settings.mFixedRetries = aSettings.mRetries.mExtra;
   settings.mWindow = aSettings.mRetries.mWindow;
   return settings;
 }
--- a/thornhollow/daemon/relay_gateway.cc
+++ b/thornhollow/daemon/relay_gateway.cc
@@ -463,7 +463,7 @@
     UsePeers(now);
     mDispatcher.Tick(now);
     mOnTick();
-    mTimer.expires_after(clock_gap::kTickEvery);
+    mTimer.expires_after(clock_gap::kTickInterval);
     mTimer.async_wait([this](const error_code& aWrong) {
       if (!aWrong) {
         Tick();
--- a/thornhollow/daemon/router.cc
+++ b/thornhollow/daemon/router.cc
@@ -273,7 +273,7 @@
       return;
     }
     live_request& live = *found->second;
-    live.mOwed = aStart.mOwed;
+    live.mOwed = aStart.mUsesMinimumShare;
     // A claim may have lapsed while the request waited or this process stood
     // still; until something was run, it is confirmed before each sending.
     if (live.mKeyStage != key_stage::kNone && live.mMachine.Ran() == ran::kNo) {
--- a/thornhollow/fleet/relay_peers.h
+++ b/thornhollow/fleet/relay_peers.h
@@ -44,7 +44,7 @@
 #include "thornhollow/base/time.h"
 #include "thornhollow/discovery/source_follower.h"
 #include "thornhollow/fleet/shared_sums.h"
-#include "thornhollow/policy/work_kind.h"
+#include "thornhollow/policy/workload_kind.h"
 
 namespace thornhollow {
 
--- a/thornhollow/fleet/relay_peers_test.cc
+++ b/thornhollow/fleet/relay_peers_test.cc
@@ -149,7 +149,7 @@
   const pool_name pool("plans");
   relay_peers subject(relay_peer_settings{}, "me", domain_name("a"), {}, 1);
   time_point now = time_point() + Seconds(100);
-  const work_kind kind{ Seconds(2), Milliseconds(800) };
+  const workload_kind kind{ Seconds(2), Milliseconds(800) };
   const auto hear = [&](int aNumber, double aTokens) {
     relay_hello hello;
     hello.mAddress = "n" + std::to_string(aNumber);
--- a/thornhollow/fleet/shared_sums.h
+++ b/thornhollow/fleet/shared_sums.h
@@ -34,7 +34,7 @@
 
 #include "thornhollow/base/ids.h"
 #include "thornhollow/base/time.h"
-#include "thornhollow/policy/work_kind.h"
+#include "thornhollow/policy/workload_kind.h"
 
 namespace thornhollow {
 
--- a/thornhollow/fleet/shared_sums_test.cc
+++ b/thornhollow/fleet/shared_sums_test.cc
@@ -10,7 +10,7 @@
 namespace {
 
 const pool_name kPool("engines");
-const work_kind kKind{ Seconds(2), Seconds(1) };
+const workload_kind kKind{ Seconds(2), Seconds(1) };
 
 // Instances that tell each other sums in virtual time; what each asks for has
 // nothing to do with its place in the ring.
--- a/thornhollow/policy/clock_gap.h
+++ b/thornhollow/policy/clock_gap.h
@@ -25,7 +25,7 @@
 struct clock_gap_settings
 {
   // A longer step between two ticks is a gap.
-  duration mLongestStep = Seconds(1);
+  duration mMaxStep = Seconds(1);
 
   friend bool operator==(const clock_gap_settings&,
                          const clock_gap_settings&) = default;
@@ -35,7 +35,7 @@
 {
 public:
   // How often the owner's loop should call `Tick`.
-  static constexpr duration kTickEvery = Milliseconds(100);
+  static constexpr duration kTickInterval = Milliseconds(100);
 
   clock_gap() = default;
   explicit clock_gap(const clock_gap_settings& aSettings)
@@ -47,14 +47,14 @@
   // True where the process stood still since the tick before.
   bool Tick(time_point aNow)
   {
-    const bool stoodStill = mLast && aNow - *mLast > mSettings.mLongestStep;
-    mLast = aNow;
-    return stoodStill;
+    const bool wasPaused = mLastTick && aNow - *mLastTick > mSettings.mMaxStep;
+    mLastTick = aNow;
+    return wasPaused;
   }
 
 private:
   clock_gap_settings mSettings;
-  std::optional<time_point> mLast;
+  std::optional<time_point> mLastTick;
 };
 
 } // namespace thornhollow
--- a/thornhollow/policy/domain_reach.h
+++ b/thornhollow/policy/domain_reachability.h
@@ -19,8 +19,8 @@
 // Words may come through though connections don't. After some doubts in a row
 // without an answer between them words don't end the doubt any more, only time
 // does, so that not every word sends the next request into the cut.
-#ifndef THORNHOLLOW_POLICY_DOMAIN_REACH_H_
-#define THORNHOLLOW_POLICY_DOMAIN_REACH_H_
+#ifndef THORNHOLLOW_POLICY_DOMAIN_REACHABILITY_H_
+#define THORNHOLLOW_POLICY_DOMAIN_REACHABILITY_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -32,60 +32,61 @@
 
 namespace thornhollow {
 
-struct domain_reach_settings
+struct domain_reachability_settings
 {
   // A doubt lasts no longer where no instance of the domain was ever heard,
-  duration mUnheardFor = Seconds(1);
+  duration mSuspicionWithoutPeers = Seconds(1);
   // and where one was, whose silence confirms it.
-  duration mHeardFor = Seconds(5);
+  duration mSuspicionWithPeers = Seconds(5);
   // Doubts in a row that an instance's words end.
-  std::uint32_t mEndedByWords = 3;
+  std::uint32_t mMaxClearedByPeers = 3;
   // Domains known; what comes of more isn't noted. Names come in messages, and
   // forged ones must not fill the memory.
-  std::size_t mMostDomains = 64;
+  std::size_t mMaxDomains = 64;
 
-  friend bool operator==(const domain_reach_settings&,
-                         const domain_reach_settings&) = default;
+  friend bool operator==(const domain_reachability_settings&,
+                         const domain_reachability_settings&) = default;
 };
 
-class domain_reach
+class domain_reachability
 {
 public:
-  domain_reach(const domain_reach_settings& aSettings, domain_name aOwn);
+  domain_reachability(const domain_reachability_settings& aSettings,
+                      domain_name aOwn);
 
   // An endpoint of the domain gave no sign: no connection could be made, or
   // nothing came on it in time. Returns whether that is a new doubt.
-  bool OnUnreached(const domain_name& aDomain, time_point aNow);
+  bool OnUnreachable(const domain_name& aDomain, time_point aNow);
   // An endpoint of the domain answered.
-  void OnAnswered(const domain_name& aDomain, time_point aNow);
+  void OnResponse(const domain_name& aDomain, time_point aNow);
   // An instance of the domain was heard.
-  void OnPeerHeard(const domain_name& aDomain, time_point aNow);
+  void OnPeerMessage(const domain_name& aDomain, time_point aNow);
   // This process stood still: what wasn't heard meanwhile says nothing.
-  void Forget();
+  void ClearSuspicions();
 
-  bool AnyDoubted(time_point aNow) const;
+  bool AnySuspected(time_point aNow) const;
   // Whether work is better sent elsewhere.
-  bool Doubted(const domain_name& aDomain, time_point aNow) const;
+  bool IsSuspected(const domain_name& aDomain, time_point aNow) const;
 
 private:
-  struct domain
+  struct domain_state
   {
-    std::optional<time_point> mDoubtedAt;
-    std::uint32_t mDoubts = 0;
-    time_point mHeardAt{};
-    bool mPeerHeard = false;
+    std::optional<time_point> mSuspectedAt;
+    std::uint32_t mConsecutiveSuspicions = 0;
+    time_point mLastContactAt{};
+    bool mHasPeer = false;
   };
 
   // Nothing where there is no room for it.
-  domain* Known(const domain_name& aName);
-  bool Lasts(const domain& aDomain, time_point aNow) const;
+  domain_state* FindOrAdd(const domain_name& aName);
+  bool IsSuspicionActive(const domain_state& aDomain, time_point aNow) const;
   std::optional<time_point> CutOffAt(time_point aNow) const;
 
-  domain_reach_settings mSettings;
-  domain_name mOwn;
-  std::map<domain_name, domain> mDomains;
+  domain_reachability_settings mSettings;
+  domain_name mOwnDomain;
+  std::map<domain_name, domain_state> mDomains;
 };
 
 } // namespace thornhollow
 
-#endif // THORNHOLLOW_POLICY_DOMAIN_REACH_H_
+#endif // THORNHOLLOW_POLICY_DOMAIN_REACHABILITY_H_
--- a/thornhollow/policy/endpoint_load.cc
+++ b/thornhollow/policy/endpoint_load.cc
@@ -29,7 +29,7 @@
 void
 endpoint_load::OnReport(const load_report& aReport, time_point aNow)
 {
-  const time_point taken = std::min(aReport.mTakenAt, aNow);
+  const time_point taken = std::min(aReport.mMeasuredAt, aNow);
   if (!mSettings.mUseReports || (mReportTaken && taken < *mReportTaken)) {
     return;
   }
--- a/thornhollow/policy/endpoint_load_test.cc
+++ b/thornhollow/policy/endpoint_load_test.cc
@@ -16,7 +16,7 @@
     load_report report;
     report.mRunning = aRunning;
     report.mWaiting = aWaiting;
-    report.mTakenAt = aTaken;
+    report.mMeasuredAt = aTaken;
     return report;
   }
 
--- a/thornhollow/policy/endpoint_table_benchmark.cc
+++ b/thornhollow/policy/endpoint_table_benchmark.cc
@@ -114,7 +114,7 @@
   report.mRunning = 4;
   for (auto _ : aState) {
     table.mNow += Milliseconds(1);
-    report.mTakenAt = table.mNow;
+    report.mMeasuredAt = table.mNow;
     table.mTable.OnLoadReport(reporting, report, table.mNow);
   }
 }
--- a/thornhollow/policy/endpoint_table_test.cc
+++ b/thornhollow/policy/endpoint_table_test.cc
@@ -65,7 +65,7 @@
   {
     load_report report;
     report.mRunning = aRunning;
-    report.mTakenAt = aTaken;
+    report.mMeasuredAt = aTaken;
     return report;
   }
 
--- /dev/null
+++ b/thornhollow/policy/engine_partition.cc
@@ -0,0 +1,285 @@
+#include "thornhollow/policy/engine_partition.h"
+
+#include <algorithm>
+#include <cmath>
+#include <iterator>
+#include <span>
+
+namespace thornhollow {
+namespace {
+
+// Of an engine's slots, what requests may take in the mean: each one more makes
+// all others slower, and the rest is for clumps of arrivals.
+constexpr double kTargetSlotUse = 0.6;
+// Engines for bulk work when kinds are kept apart first: what arrived until
+// then is too little to go by, and long prompts need more of them.
+constexpr double kInitialBulkFraction = 0.62;
+// Kinds of which less comes than this many requests a second don't count.
+constexpr double kMinRequestsPerSecond = 0.05;
+
+// When a side counts as full.
+struct side_targets
+{
+  // Part of the time for which its engines read.
+  double mBusy = 0;
+  // What each hundredth of its slots beyond `kSlotsInUse` counts for, as
+  // compared to one before.
+  double mBeyondSlots = 1;
+};
+
+// How full so many engines are with these kinds: 1 where they read for as long,
+// or have as many requests, as they should.
+double
+SideLoad(std::span<const kind_demand> aKinds,
+         std::size_t aEngines,
+         const side_targets& aTargets,
+         const pool_capacity& aCapacity)
+{
+  double tokens = 0;
+  double open = 0;
+  for (const kind_demand& each : aKinds) {
+    tokens += each.mTokens;
+    open += each.mOpen;
+  }
+  const auto engines = static_cast<double>(aEngines);
+  const double slots =
+    engines * static_cast<double>(aCapacity.mSlotsPerEngine) * kTargetSlotUse;
+  const double taken = slots > 0 ? open / slots : 0;
+  const double beyond = std::max(taken - 1, 0.0);
+  return std::max(
+    tokens / (engines * aCapacity.mPrefillTokensPerSecond * aTargets.mBusy),
+    std::min(taken, 1.0) + beyond * aTargets.mBeyondSlots);
+}
+
+// The nearest whole number of engines to a part of them.
+std::size_t
+RoundedFraction(double aFraction, std::size_t aEngines)
+{
+  return static_cast<std::size_t>(
+    std::lround(aFraction * static_cast<double>(aEngines)));
+}
+
+// The size of a prompt, weighted by size: what a token that is read belongs to.
+double
+WeightedTokens(const kind_demand& aKind)
+{
+  return aKind.mSquaredTokensPerSecond / std::max(aKind.mTokens, 1.0);
+}
+
+} // namespace
+
+engine_partition::engine_partition(const engine_partition_settings& aSettings)
+  : mSettings(aSettings)
+{
+}
+
+void
+engine_partition::Observe(const demand_by_kind& aDemand,
+                          const pool_capacity& aCapacity,
+                          time_point aNow)
+{
+  if (!mSettings.mSeparate || aCapacity.mEngines < mSettings.mMinEngines) {
+    mEngines = aCapacity.mEngines;
+    mBulkEngines = aCapacity.mEngines;
+    mBulkKinds.clear();
+    return;
+  }
+  if (mEngines != aCapacity.mEngines) {
+    mEngines = aCapacity.mEngines;
+    mBulkEngines = std::clamp<std::size_t>(
+      RoundedFraction(mBulkFraction, mEngines),
+      mBulkKinds.empty() ? 1 : MinSideEngines(),
+      mBulkKinds.empty() ? mEngines : mEngines - MinSideEngines());
+  }
+  demand_by_kind arriving;
+  std::ranges::copy_if(
+    aDemand, std::back_inserter(arriving), [](const kind_demand& aOne) {
+      return aOne.mRequests >= kMinRequestsPerSecond;
+    });
+  if (!arriving.empty() && aCapacity.mPrefillTokensPerSecond > 0) {
+    mFirstDemandAt = mFirstDemandAt.value_or(aNow);
+    UpdateBulkKinds(arriving, aCapacity, aNow);
+    UpdateBulkEngines(arriving, aCapacity, aNow);
+  }
+}
+
+// The longest kinds that make up a quarter of all reading, if a few of their
+// prompts in a row take longer to read than streams of another kind may pause.
+std::vector<workload_kind>
+engine_partition::KindsToSeparate(demand_by_kind aArriving,
+                                  const pool_capacity& aCapacity) const
+{
+  std::ranges::sort(aArriving, std::ranges::greater(), WeightedTokens);
+  double all = 0;
+  for (const kind_demand& each : aArriving) {
+    all += each.mTokens;
+  }
+  std::vector<workload_kind> bulk;
+  double read = 0;
+  double shortest = 0;
+  std::size_t at = 0;
+  for (; at < aArriving.size() && read < all * mSettings.mMinBulkFraction;
+       ++at) {
+    read += aArriving[at].mTokens;
+    shortest = WeightedTokens(aArriving[at]);
+    bulk.push_back(aArriving[at].mKind);
+  }
+  const double row = mBulkKinds.empty() ? mSettings.mConsecutivePrompts
+                                        : mSettings.mConsecutivePromptsToMerge;
+  const double prefillSeconds =
+    shortest / aCapacity.mPrefillTokensPerSecond * row;
+  const bool breaksPauses =
+    std::any_of(aArriving.begin() + static_cast<std::ptrdiff_t>(at),
+                aArriving.end(),
+                [prefillSeconds](const kind_demand& aOne) {
+                  return aOne.mKind.mPause > duration::zero() &&
+                         ToSeconds(aOne.mKind.mPause) < prefillSeconds;
+                });
+  if (!breaksPauses) {
+    bulk.clear();
+  }
+  std::sort(bulk.begin(), bulk.end());
+  return bulk;
+}
+
+void
+engine_partition::UpdateBulkKinds(const demand_by_kind& aArriving,
+                                  const pool_capacity& aCapacity,
+                                  time_point aNow)
+{
+  std::vector<workload_kind> bulk = KindsToSeparate(aArriving, aCapacity);
+  if (bulk == mBulkKinds) {
+    mKindsDifferSince.reset();
+    return;
+  }
+  if (!mKindsDifferSince) {
+    mKindsDifferSince = aNow;
+  }
+  if (!mBulkKinds.empty() &&
+      aNow - *mKindsDifferSince < KindChangeDelay(aNow)) {
+    return;
+  }
+  mKindsDifferSince.reset();
+  mBulkKinds = std::move(bulk);
+  if (mBulkKinds.empty()) {
+    mBulkEngines = mEngines;
+  } else if (mBulkEngines == mEngines) {
+    mBulkEngines =
+      std::clamp<std::size_t>(RoundedFraction(kInitialBulkFraction, mEngines),
+                              MinBulkEngines(aCapacity),
+                              mEngines - MinSideEngines());
+  }
+  RecordMove(aNow);
+}
+
+void
+engine_partition::UpdateBulkEngines(const demand_by_kind& aArriving,
+                                    const pool_capacity& aCapacity,
+                                    time_point aNow)
+{
+  if (mBulkKinds.empty() ||
+      (mLastMove && aNow - *mLastMove < mSettings.mMinMoveInterval)) {
+    return;
+  }
+  const side_demands split = SplitBySide(aArriving);
+  const double currentLoad = MaxLoad(split, mBulkEngines, aCapacity);
+  const std::size_t best = BestBulkEngines(split, aCapacity);
+  if (currentLoad <= mSettings.mMoveThreshold || best == mBulkEngines ||
+      MaxLoad(split, best, aCapacity) * mSettings.mMinImprovement >
+        currentLoad) {
+    return;
+  }
+  mBulkEngines =
+    best > mBulkEngines
+      ? std::min(best, mBulkEngines + StepSize())
+      : std::max(best, mBulkEngines - std::min(mBulkEngines, StepSize()));
+  RecordMove(aNow);
+}
+
+// What came in the first moment says little, and few streams have begun on the
+// wrong engines: a first choice is taken back sooner.
+duration
+engine_partition::KindChangeDelay(time_point aNow) const
+{
+  return std::min(mSettings.mKindChangeDelay, (aNow - *mFirstDemandAt) / 2);
+}
+
+engine_partition::side_demands
+engine_partition::SplitBySide(const demand_by_kind& aArriving) const
+{
+  side_demands split;
+  for (const kind_demand& each : aArriving) {
+    (IsBulk(each.mKind) ? split.mBulk : split.mInteractive).push_back(each);
+  }
+  return split;
+}
+
+double
+engine_partition::MaxLoad(const side_demands& aDemands,
+                          std::size_t aBulk,
+                          const pool_capacity& aCapacity) const
+{
+  const side_targets bulk{ mSettings.mBulkUtilization, 1 };
+  const side_targets interactive{ mSettings.mInteractiveUtilization,
+                                  mSettings.mExcessSlotWeight };
+  return std::max(
+    SideLoad(aDemands.mBulk, aBulk, bulk, aCapacity),
+    SideLoad(aDemands.mInteractive, mEngines - aBulk, interactive, aCapacity));
+}
+
+std::size_t
+engine_partition::BestBulkEngines(const side_demands& aDemands,
+                                  const pool_capacity& aCapacity) const
+{
+  const std::size_t first = MinBulkEngines(aCapacity);
+  std::size_t best =
+    std::clamp(mBulkEngines, first, mEngines - MinSideEngines());
+  double minLoad = MaxLoad(aDemands, best, aCapacity);
+  for (std::size_t each = first; each + MinSideEngines() <= mEngines; ++each) {
+    if (const double full = MaxLoad(aDemands, each, aCapacity);
+        full < minLoad) {
+      best = each;
+      minLoad = full;
+    }
+  }
+  return best;
+}
+
+void
+engine_partition::RecordMove(time_point aNow)
+{
+  mBulkFraction =
+    static_cast<double>(mBulkEngines) / static_cast<double>(mEngines);
+  mLastMove = aNow;
+}
+
+bool
+engine_partition::IsBulk(const workload_kind& aKind) const
+{
+  return std::binary_search(mBulkKinds.begin(), mBulkKinds.end(), aKind);
+}
+
+std::size_t
+engine_partition::MinSideEngines() const
+{
+  const std::size_t part =
+    RoundedFraction(mSettings.mMinSideFraction, mEngines);
+  return std::min(std::max(part, mSettings.mMinSideEngines), mEngines / 2);
+}
+
+std::size_t
+engine_partition::MinBulkEngines(const pool_capacity& aCapacity) const
+{
+  return std::clamp(aCapacity.mSlowEngines,
+                    MinSideEngines(),
+                    std::max(MinSideEngines(), mEngines / 2));
+}
+
+std::size_t
+engine_partition::StepSize() const
+{
+  return std::max<std::size_t>(
+    RoundedFraction(mSettings.mStepFraction, mEngines), 1);
+}
+
+} // namespace thornhollow
--- a/thornhollow/policy/engine_border_test.cc
+++ b/thornhollow/policy/engine_partition_test.cc
@@ -3,198 +3,198 @@
 
 #include <doctest/doctest.h>
 
-#include "thornhollow/policy/engine_border.h"
+#include "thornhollow/policy/engine_partition.h"
 
 namespace thornhollow {
 namespace {
 
-constexpr work_kind kPlan{ Seconds(2), Milliseconds(800) };
-constexpr work_kind kNote{ Milliseconds(300), Milliseconds(200) };
+constexpr workload_kind kPlan{ Seconds(2), Milliseconds(800) };
+constexpr workload_kind kNote{ Milliseconds(300), Milliseconds(200) };
 constexpr double kReadPerSecond = 66'200;
 
 kind_demand
-Arriving(const work_kind& aKind, double aTokens, double aSize)
+Arriving(const workload_kind& aKind, double aTokens, double aSize)
 {
   return { aKind, aTokens / aSize, aTokens, aTokens * aSize, 0 };
 }
 
 // Prompt tokens a second of long prompts and of short ones beside streams that
 // may not pause.
-demand_sums
+demand_by_kind
 Demand(double aPlans, double aNotes)
 {
   return { Arriving(kNote, aNotes, 700), Arriving(kPlan, aPlans, 9'000) };
 }
 
-engine_facts
+pool_capacity
 Engines(std::size_t aEngines)
 {
   return { aEngines, kReadPerSecond };
 }
 
-struct border_of_nine_engines
+struct partition_of_nine_engines
 {
-  engine_border mBorder{ engine_border_settings{} };
+  engine_partition mPartition{ engine_partition_settings{} };
   time_point mNow = time_point() + Seconds(100);
 
-  void Run(const demand_sums& aDemand, duration aLength)
+  void Run(const demand_by_kind& aDemand, duration aLength)
   {
     for (const time_point end = mNow + aLength; mNow < end;
          mNow += Milliseconds(100)) {
-      mBorder.Observe(aDemand, Engines(9), mNow);
+      mPartition.Observe(aDemand, Engines(9), mNow);
     }
   }
 };
 
-TEST_CASE_FIXTURE(border_of_nine_engines,
+TEST_CASE_FIXTURE(partition_of_nine_engines,
                   "engine_border/calm/stays_where_it_is")
 {
   Run(Demand(60'000, 20'000), Seconds(1));
-  const std::size_t before = mBorder.Bulk();
+  const std::size_t before = mPartition.BulkEngines();
   for (int wave = 0; wave < 20; ++wave) {
     Run(Demand(wave % 2 == 0 ? 90'000.0 : 30'000.0, 25'000), Seconds(1));
-    CHECK(mBorder.Bulk() == before);
+    CHECK(mPartition.BulkEngines() == before);
   }
 }
 
-TEST_CASE_FIXTURE(border_of_nine_engines,
+TEST_CASE_FIXTURE(partition_of_nine_engines,
                   "engine_border/burst_of_short_prompts/moves_step_by_step")
 {
   Run(Demand(40'000, 20'000), Seconds(1));
-  const std::size_t before = mBorder.Bulk();
+  const std::size_t before = mPartition.BulkEngines();
   Run(Demand(40'000, 80'000), Milliseconds(100));
-  CHECK(mBorder.Bulk() == before - 1);
+  CHECK(mPartition.BulkEngines() == before - 1);
   Run(Demand(40'000, 80'000), Milliseconds(500));
-  CHECK(mBorder.Bulk() == before - 1);
+  CHECK(mPartition.BulkEngines() == before - 1);
   Run(Demand(40'000, 80'000), Seconds(5));
-  CHECK(mBorder.Bulk() < before - 1);
-  CHECK(mBorder.Bulk() >= 2);
+  CHECK(mPartition.BulkEngines() < before - 1);
+  CHECK(mPartition.BulkEngines() >= 2);
 }
 
-TEST_CASE_FIXTURE(border_of_nine_engines,
+TEST_CASE_FIXTURE(partition_of_nine_engines,
                   "engine_border/one_side_overwhelms/both_keep_two_engines")
 {
   Run(Demand(500'000, 1'000), Seconds(20));
-  CHECK(mBorder.Bulk() == 7);
+  CHECK(mPartition.BulkEngines() == 7);
   Run(Demand(200'000, 500'000), Seconds(20));
-  CHECK(mBorder.Bulk() == 2);
+  CHECK(mPartition.BulkEngines() == 2);
 }
 
 // A site's only work were long prompts; four of its eighteen engines stood idle
 // for short ones that never came, and a third of the prompts began late.
-TEST_CASE_FIXTURE(border_of_nine_engines,
+TEST_CASE_FIXTURE(partition_of_nine_engines,
                   "engine_border/one_kind_only/no_engine_stands_idle")
 {
   Run({ Arriving(kPlan, 300'000, 9'000) }, Seconds(5));
-  CHECK_FALSE(mBorder.Separates());
-  CHECK(mBorder.Bulk() == 9);
+  CHECK_FALSE(mPartition.IsPartitioned());
+  CHECK(mPartition.BulkEngines() == 9);
   Run(Demand(300'000, 20'000), Seconds(5));
-  CHECK(mBorder.Separates());
+  CHECK(mPartition.IsPartitioned());
   Run({ Arriving(kPlan, 300'000, 9'000) }, Seconds(5));
-  CHECK(mBorder.Bulk() == 9);
+  CHECK(mPartition.BulkEngines() == 9);
 }
 
 // The long prompts were the urgent ones, and streams of the short ones could
 // wait for a second between events: nothing is to be kept from anything.
-TEST_CASE_FIXTURE(border_of_nine_engines,
+TEST_CASE_FIXTURE(partition_of_nine_engines,
                   "engine_border/streams_may_pause_long/nothing_is_kept_apart")
 {
-  const work_kind patient{ Seconds(2), Seconds(1) };
-  const work_kind urgent{ Milliseconds(300), Milliseconds(500) };
+  const workload_kind patient{ Seconds(2), Seconds(1) };
+  const workload_kind urgent{ Milliseconds(300), Milliseconds(500) };
   Run({ Arriving(urgent, 200'000, 9'000), Arriving(patient, 30'000, 700) },
       Seconds(10));
-  CHECK_FALSE(mBorder.Separates());
+  CHECK_FALSE(mPartition.IsPartitioned());
 }
 
 // All routes promised a first event within 600 ms, so nothing counted as work
 // that may wait, and long prompts were read beside all short streams: 1,500 of
 // 2,660 of these paused for too long.
-TEST_CASE_FIXTURE(border_of_nine_engines,
+TEST_CASE_FIXTURE(partition_of_nine_engines,
                   "engine_border/targets_alike/long_prompts_are_kept_apart")
 {
-  const work_kind review{ Milliseconds(600), Milliseconds(500) };
-  const work_kind help{ Milliseconds(400), Milliseconds(300) };
+  const workload_kind review{ Milliseconds(600), Milliseconds(500) };
+  const workload_kind help{ Milliseconds(400), Milliseconds(300) };
   Run({ Arriving(help, 30'000, 800), Arriving(review, 240'000, 4'000) },
       Seconds(5));
-  CHECK(mBorder.Separates());
-  CHECK(mBorder.IsBulk(review));
-  CHECK_FALSE(mBorder.IsBulk(help));
+  CHECK(mPartition.IsPartitioned());
+  CHECK(mPartition.IsBulk(review));
+  CHECK_FALSE(mPartition.IsBulk(help));
 }
 
 // The first prompts of a day were some of the middle kind; taken for the long
 // ones, they had engines of their own for three seconds, and the long ones were
 // read beside all the short streams.
-TEST_CASE_FIXTURE(border_of_nine_engines,
+TEST_CASE_FIXTURE(partition_of_nine_engines,
                   "engine_border/first_moment_misleads/is_taken_back_soon")
 {
-  const work_kind triage{ Milliseconds(400), Milliseconds(300) };
+  const workload_kind triage{ Milliseconds(400), Milliseconds(300) };
   Run({ Arriving(kNote, 1'000, 700), Arriving(triage, 7'000, 3'800) },
       Milliseconds(300));
-  REQUIRE(mBorder.IsBulk(triage));
+  REQUIRE(mPartition.IsBulk(triage));
   Run({ Arriving(kNote, 5'000, 700),
         Arriving(triage, 20'000, 2'600),
         Arriving(kPlan, 58'000, 10'000) },
       Milliseconds(700));
-  CHECK(mBorder.IsBulk(kPlan));
-  CHECK_FALSE(mBorder.IsBulk(triage));
+  CHECK(mPartition.IsBulk(kPlan));
+  CHECK_FALSE(mPartition.IsBulk(triage));
 }
 
-TEST_CASE_FIXTURE(border_of_nine_engines,
+TEST_CASE_FIXTURE(partition_of_nine_engines,
                   "engine_border/slow_engines/all_go_to_bulk_work")
 {
-  engine_facts facts = Engines(9);
-  facts.mSlow = 4;
+  pool_capacity facts = Engines(9);
+  facts.mSlowEngines = 4;
   Run(Demand(90'000, 30'000), Seconds(1));
   for (int tick = 0; tick < 100; ++tick, mNow += Milliseconds(100)) {
-    mBorder.Observe(Demand(150'000, 400'000), facts, mNow);
+    mPartition.Observe(Demand(150'000, 400'000), facts, mNow);
   }
-  CHECK(mBorder.Bulk() == 4);
+  CHECK(mPartition.BulkEngines() == 4);
 }
 
 // Ninety engines met a burst of eight seconds; the border moved by one of them
 // every 0.7 s, and the burst was over before it had got anywhere.
 TEST_CASE("engine_border/ninety_engines/follows_a_burst_as_soon_as_nine")
 {
-  engine_border border{ engine_border_settings{} };
+  engine_partition partition{ engine_partition_settings{} };
   time_point now = time_point() + Seconds(100);
-  border.Observe(Demand(1'000'000, 300'000), Engines(90), now);
-  const std::size_t before = border.Bulk();
+  partition.Observe(Demand(1'000'000, 300'000), Engines(90), now);
+  const std::size_t before = partition.BulkEngines();
   for (int tick = 0; tick < 15; ++tick) {
     now += Milliseconds(100);
-    border.Observe(Demand(3'500'000, 300'000), Engines(90), now);
+    partition.Observe(Demand(3'500'000, 300'000), Engines(90), now);
   }
-  CHECK(border.Bulk() >= before + 10);
+  CHECK(partition.BulkEngines() >= before + 10);
 }
 
 TEST_CASE("engine_border/few_engines/separates_nothing")
 {
-  engine_border border{ engine_border_settings{} };
-  border.Observe(Demand(1, 1), Engines(3), time_point() + Seconds(1));
-  CHECK_FALSE(border.Separates());
-  border.Observe(Demand(1, 1), Engines(0), time_point() + Seconds(2));
-  CHECK(border.Bulk() == 0);
+  engine_partition partition{ engine_partition_settings{} };
+  partition.Observe(Demand(1, 1), Engines(3), time_point() + Seconds(1));
+  CHECK_FALSE(partition.IsPartitioned());
+  partition.Observe(Demand(1, 1), Engines(0), time_point() + Seconds(2));
+  CHECK(partition.BulkEngines() == 0);
 }
 
 TEST_CASE("engine_border/engines_join_one_by_one/part_is_kept")
 {
   // Short streams had two of nine engines instead of three: the part was
   // rounded up anew with each engine that joined.
-  engine_border border{ engine_border_settings{} };
+  engine_partition partition{ engine_partition_settings{} };
   const time_point now = time_point() + Seconds(1);
-  border.Observe(Demand(90'000, 20'000), Engines(9), now);
-  REQUIRE(border.Bulk() == 6);
+  partition.Observe(Demand(90'000, 20'000), Engines(9), now);
+  REQUIRE(partition.BulkEngines() == 6);
   for (std::size_t engines = 4; engines <= 9; ++engines) {
-    border.Observe({}, Engines(engines), now);
+    partition.Observe({}, Engines(engines), now);
   }
-  CHECK(border.Bulk() == 6);
+  CHECK(partition.BulkEngines() == 6);
 }
 
 TEST_CASE("engine_border/instances_with_slightly_other_sums/mostly_agree")
 {
   std::mt19937_64 random(7);
   std::uniform_real_distribution<double> error(0.97, 1.03);
-  engine_border left{ engine_border_settings{} };
-  engine_border right{ engine_border_settings{} };
+  engine_partition left{ engine_partition_settings{} };
+  engine_partition right{ engine_partition_settings{} };
   time_point now = time_point() + Seconds(100);
   int apart = 0;
   double patient = 100'000;
@@ -206,7 +206,7 @@
       Demand(patient * error(random), 50'000 * error(random)), Engines(9), now);
     right.Observe(
       Demand(patient * error(random), 50'000 * error(random)), Engines(9), now);
-    apart += left.Bulk() == right.Bulk() ? 0 : 1;
+    apart += left.BulkEngines() == right.BulkEngines() ? 0 : 1;
   }
   CHECK(apart < 300);
 }
--- a/thornhollow/policy/engine_sides.cc
+++ b/thornhollow/policy/engine_sides.cc
@@ -13,42 +13,43 @@
 }
 
 void
-engine_sides::Observe(std::vector<engine_standing> aEngines,
+engine_sides::Observe(std::vector<side_candidate> aEngines,
                       std::size_t aBulk,
                       bool aIdle,
                       time_point aNow)
 {
-  std::ranges::sort(aEngines, {}, [](const engine_standing& aOne) {
-    return std::tuple(!aOne.mSlow, aOne.mRank, aOne.mNumber);
+  std::ranges::sort(aEngines, {}, [](const side_candidate& aOne) {
+    return std::tuple(!aOne.mSlow, aOne.mRank, aOne.mId);
   });
   if (aIdle) {
-    mPlaces.clear();
+    mAssignments.clear();
   }
-  Keep(aEngines, aBulk);
+  SyncEngines(aEngines, aBulk);
   if (CountBulk() != aBulk) {
-    MeetCount(aEngines, aBulk, aNow);
-  } else if (!mExchanged || aNow - *mExchanged >= mSettings.mExchangeEvery) {
-    ExchangeSome(aEngines, aBulk, aNow);
+    AdjustCount(aEngines, aBulk, aNow);
+  } else if (!mLastExchange ||
+             aNow - *mLastExchange >= mSettings.mExchangeInterval) {
+    ExchangeMisplaced(aEngines, aBulk, aNow);
   }
 }
 
 std::optional<engine_side>
-engine_sides::Of(std::uint32_t aNumber) const
+engine_sides::SideOf(std::uint32_t aId) const
 {
-  const auto found = mPlaces.find(aNumber);
-  return found == mPlaces.end() ? std::nullopt
-                                : std::optional(found->second.mSide);
+  const auto found = mAssignments.find(aId);
+  return found == mAssignments.end() ? std::nullopt
+                                     : std::optional(found->second.mSide);
 }
 
 std::optional<engine_side>
-engine_sides::Earlier(std::uint32_t aNumber, time_point aNow) const
+engine_sides::PreviousSide(std::uint32_t aId, time_point aNow) const
 {
-  const auto found = mPlaces.find(aNumber);
-  if (found == mPlaces.end()) {
+  const auto found = mAssignments.find(aId);
+  if (found == mAssignments.end()) {
     return std::nullopt;
   }
-  const auto& [side, turned] = found->second;
-  if (!turned || aNow - *turned >= mSettings.mRemember) {
+  const auto& [side, changedAt] = found->second;
+  if (!changedAt || aNow - *changedAt >= mSettings.mPreviousSideRetention) {
     return side;
   }
   return side == engine_side::kBulk ? engine_side::kInteractive
@@ -56,104 +57,107 @@
 }
 
 bool
-engine_sides::Clearing(std::uint32_t aNumber, time_point aNow) const
+engine_sides::IsDraining(std::uint32_t aId, time_point aNow) const
 {
-  const auto found = mPlaces.find(aNumber);
-  return found != mPlaces.end() && found->second.mSide == engine_side::kBulk &&
-         found->second.mTurned &&
-         aNow - *found->second.mTurned < mSettings.mClear;
+  const auto found = mAssignments.find(aId);
+  return found != mAssignments.end() &&
+         found->second.mSide == engine_side::kBulk &&
+         found->second.mChangedAt &&
+         aNow - *found->second.mChangedAt < mSettings.mDrainTime;
 }
 
 // Forgets who is gone; newcomers, which have no streams, go where they belong.
 void
-engine_sides::Keep(const std::vector<engine_standing>& aOrder,
-                   std::size_t aBulk)
+engine_sides::SyncEngines(const std::vector<side_candidate>& aOrder,
+                          std::size_t aBulk)
 {
-  std::map<std::uint32_t, place> kept;
+  std::map<std::uint32_t, assignment> kept;
   for (std::size_t at = 0; at < aOrder.size(); ++at) {
-    const std::uint32_t number = aOrder[at].mNumber;
-    const auto found = mPlaces.find(number);
-    kept[number] =
-      found != mPlaces.end()
-        ? found->second
-        : place{ at < aBulk ? engine_side::kBulk : engine_side::kInteractive };
+    const std::uint32_t id = aOrder[at].mId;
+    const auto found = mAssignments.find(id);
+    kept[id] = found != mAssignments.end()
+                 ? found->second
+                 : assignment{ at < aBulk ? engine_side::kBulk
+                                          : engine_side::kInteractive };
   }
-  mPlaces = std::move(kept);
+  mAssignments = std::move(kept);
 }
 
 // The first in order become bulk, the last interactive.
 void
-engine_sides::MeetCount(const std::vector<engine_standing>& aOrder,
-                        std::size_t aBulk,
-                        time_point aNow)
+engine_sides::AdjustCount(const std::vector<side_candidate>& aOrder,
+                          std::size_t aBulk,
+                          time_point aNow)
 {
   std::size_t count = CountBulk();
   for (std::size_t at = 0; at < aOrder.size() && count < aBulk; ++at) {
-    if (Of(aOrder[at].mNumber) == engine_side::kInteractive) {
-      Turn(aOrder[at].mNumber, engine_side::kBulk, aNow);
+    if (SideOf(aOrder[at].mId) == engine_side::kInteractive) {
+      ChangeSide(aOrder[at].mId, engine_side::kBulk, aNow);
       ++count;
     }
   }
   for (std::size_t at = aOrder.size(); at > 0 && count > aBulk; --at) {
-    if (Of(aOrder[at - 1].mNumber) == engine_side::kBulk) {
-      Turn(aOrder[at - 1].mNumber, engine_side::kInteractive, aNow);
+    if (SideOf(aOrder[at - 1].mId) == engine_side::kBulk) {
+      ChangeSide(aOrder[at - 1].mId, engine_side::kInteractive, aNow);
       --count;
     }
   }
 }
 
 void
-engine_sides::ExchangeSome(const std::vector<engine_standing>& aOrder,
-                           std::size_t aBulk,
-                           time_point aNow)
+engine_sides::ExchangeMisplaced(const std::vector<side_candidate>& aOrder,
+                                std::size_t aBulk,
+                                time_point aNow)
 {
-  const auto most = std::max<std::int64_t>(
-    std::lround(mSettings.mExchangePart * static_cast<double>(aOrder.size())),
-    1);
-  std::int64_t made = 0;
-  while (made < most && ExchangeOne(aOrder, aBulk, aNow)) {
-    ++made;
+  const auto maxExchanges =
+    std::max<std::int64_t>(std::lround(mSettings.mExchangeFraction *
+                                       static_cast<double>(aOrder.size())),
+                           1);
+  std::int64_t count = 0;
+  while (count < maxExchanges && ExchangePair(aOrder, aBulk, aNow)) {
+    ++count;
   }
-  if (made > 0) {
-    mExchanged = aNow;
+  if (count > 0) {
+    mLastExchange = aNow;
   }
 }
 
 // False where all are where they belong.
 bool
-engine_sides::ExchangeOne(const std::vector<engine_standing>& aOrder,
-                          std::size_t aBulk,
-                          time_point aNow)
+engine_sides::ExchangePair(const std::vector<side_candidate>& aOrder,
+                           std::size_t aBulk,
+                           time_point aNow)
 {
   const auto begin = aOrder.begin();
-  const auto border =
+  const auto boundary =
     begin + static_cast<std::ptrdiff_t>(std::min(aBulk, aOrder.size()));
-  const auto toBulk = std::find_if(begin, border, [&](const auto& aOne) {
-    return Of(aOne.mNumber) == engine_side::kInteractive;
+  const auto toBulk = std::find_if(begin, boundary, [&](const auto& aOne) {
+    return SideOf(aOne.mId) == engine_side::kInteractive;
   });
   const auto toInteractive = std::find_if(
-    aOrder.rbegin(), std::make_reverse_iterator(border), [&](const auto& aOne) {
-      return Of(aOne.mNumber) == engine_side::kBulk;
-    });
-  if (toBulk == border || toInteractive == std::make_reverse_iterator(border)) {
+    aOrder.rbegin(),
+    std::make_reverse_iterator(boundary),
+    [&](const auto& aOne) { return SideOf(aOne.mId) == engine_side::kBulk; });
+  if (toBulk == boundary ||
+      toInteractive == std::make_reverse_iterator(boundary)) {
     return false;
   }
-  Turn(toBulk->mNumber, engine_side::kBulk, aNow);
-  Turn(toInteractive->mNumber, engine_side::kInteractive, aNow);
+  ChangeSide(toBulk->mId, engine_side::kBulk, aNow);
+  ChangeSide(toInteractive->mId, engine_side::kInteractive, aNow);
   return true;
 }
 
 void
-engine_sides::Turn(std::uint32_t aNumber, engine_side aSide, time_point aNow)
+engine_sides::ChangeSide(std::uint32_t aId, engine_side aSide, time_point aNow)
 {
-  mPlaces[aNumber] = { aSide, aNow };
+  mAssignments[aId] = { aSide, aNow };
 }
 
 std::size_t
 engine_sides::CountBulk() const
 {
   return static_cast<std::size_t>(
-    std::ranges::count_if(mPlaces, [](const auto& aOne) {
+    std::ranges::count_if(mAssignments, [](const auto& aOne) {
       return aOne.second.mSide == engine_side::kBulk;
     }));
 }
--- a/thornhollow/policy/engine_sides.h
+++ b/thornhollow/policy/engine_sides.h
@@ -36,32 +36,32 @@
   // For so long bulk work passes over an engine that was an interactive one: of
   // interactive streams nine in ten end within 3 s (58 events of 5 tokens on
   // average, 22 ms each).
-  duration mClear = Seconds(3);
+  duration mDrainTime = Seconds(3);
   // Between two exchanges of engines between the sides: as long as an engine
   // clears, so that no more than this part of them (one at least) clears at a
   // time.
-  duration mExchangeEvery = Seconds(3);
-  double mExchangePart = 0.11;
+  duration mExchangeInterval = Seconds(3);
+  double mExchangeFraction = 0.11;
   // For so long it counts where an engine was before: as long as an engine's
   // memory of a prompt is worth anything.
-  duration mRemember = Seconds(30);
+  duration mPreviousSideRetention = Seconds(30);
 
   friend bool operator==(const engine_sides_settings&,
                          const engine_sides_settings&) = default;
 };
 
 // An engine that takes new work.
-struct engine_standing
+struct side_candidate
 {
   // Tells it from others of the pool for as long as it is there.
-  std::uint32_t mNumber = 0;
+  std::uint32_t mId = 0;
   // Goes to the bulk side first.
   bool mSlow = false;
   // Decides among equals; the same on every instance.
   std::uint64_t mRank = 0;
 
-  friend bool operator==(const engine_standing&,
-                         const engine_standing&) = default;
+  friend bool operator==(const side_candidate&,
+                         const side_candidate&) = default;
 };
 
 enum class engine_side : std::uint8_t
@@ -77,46 +77,47 @@
 
   // `aBulk` of `aEngines` are to be bulk. `aIdle`: no work is on its way
   // to any, so that all may change sides at once.
-  void Observe(std::vector<engine_standing> aEngines,
+  void Observe(std::vector<side_candidate> aEngines,
                std::size_t aBulk,
                bool aIdle,
                time_point aNow);
 
   // Nothing for an engine that the last observation didn't name.
-  std::optional<engine_side> Of(std::uint32_t aNumber) const;
+  std::optional<engine_side> SideOf(std::uint32_t aId) const;
 
   // On which side it was before it changed sides within `mRemember`; else its
   // side.
-  std::optional<engine_side> Earlier(std::uint32_t aNumber,
-                                     time_point aNow) const;
+  std::optional<engine_side> PreviousSide(std::uint32_t aId,
+                                          time_point aNow) const;
 
   // It is a bulk one, but interactive streams may still run on it.
-  bool Clearing(std::uint32_t aNumber, time_point aNow) const;
+  bool IsDraining(std::uint32_t aId, time_point aNow) const;
 
 private:
-  struct place
+  struct assignment
   {
     engine_side mSide = engine_side::kInteractive;
     // When it came from the other side.
-    std::optional<time_point> mTurned = std::nullopt;
+    std::optional<time_point> mChangedAt = std::nullopt;
   };
 
-  void Keep(const std::vector<engine_standing>& aOrder, std::size_t aBulk);
-  void MeetCount(const std::vector<engine_standing>& aOrder,
-                 std::size_t aBulk,
-                 time_point aNow);
-  void ExchangeSome(const std::vector<engine_standing>& aOrder,
-                    std::size_t aBulk,
-                    time_point aNow);
-  bool ExchangeOne(const std::vector<engine_standing>& aOrder,
+  void SyncEngines(const std::vector<side_candidate>& aOrder,
+                   std::size_t aBulk);
+  void AdjustCount(const std::vector<side_candidate>& aOrder,
                    std::size_t aBulk,
                    time_point aNow);
-  void Turn(std::uint32_t aNumber, engine_side aSide, time_point aNow);
+  void ExchangeMisplaced(const std::vector<side_candidate>& aOrder,
+                         std::size_t aBulk,
+                         time_point aNow);
+  bool ExchangePair(const std::vector<side_candidate>& aOrder,
+                    std::size_t aBulk,
+                    time_point aNow);
+  void ChangeSide(std::uint32_t aId, engine_side aSide, time_point aNow);
   std::size_t CountBulk() const;
 
   engine_sides_settings mSettings;
-  std::map<std::uint32_t, place> mPlaces;
-  std::optional<time_point> mExchanged;
+  std::map<std::uint32_t, assignment> mAssignments;
+  std::optional<time_point> mLastExchange;
 };
 
 } // namespace thornhollow
--- a/thornhollow/policy/engine_sides_test.cc
+++ b/thornhollow/policy/engine_sides_test.cc
@@ -12,7 +12,7 @@
 struct condition
 {
   engine_sides mSubject{ engine_sides_settings{} };
-  std::vector<engine_standing> mEngines;
+  std::vector<side_candidate> mEngines;
   time_point mNow = time_point() + Seconds(100);
 
   condition()
@@ -31,9 +31,9 @@
   std::set<std::uint32_t> Bulk() const
   {
     std::set<std::uint32_t> result;
-    for (const engine_standing& each : mEngines) {
-      if (mSubject.Of(each.mNumber) == engine_side::kBulk) {
-        result.insert(each.mNumber);
+    for (const side_candidate& each : mEngines) {
+      if (mSubject.SideOf(each.mId) == engine_side::kBulk) {
+        result.insert(each.mId);
       }
     }
     return result;
@@ -42,9 +42,9 @@
   std::set<std::uint32_t> Clearing() const
   {
     std::set<std::uint32_t> result;
-    for (const engine_standing& each : mEngines) {
-      if (mSubject.Clearing(each.mNumber, mNow)) {
-        result.insert(each.mNumber);
+    for (const side_candidate& each : mEngines) {
+      if (mSubject.IsDraining(each.mId, mNow)) {
+        result.insert(each.mId);
       }
     }
     return result;
@@ -101,7 +101,7 @@
 TEST_CASE("engine_sides/ninety_engines/a_ninth_is_exchanged_at_a_time")
 {
   engine_sides subject{ engine_sides_settings{} };
-  std::vector<engine_standing> engines;
+  std::vector<side_candidate> engines;
   for (std::uint32_t each = 0; each < 90; ++each) {
     engines.push_back({ each, false, each });
   }
@@ -112,7 +112,7 @@
   }
   subject.Observe(engines, 60, false, now + Milliseconds(100));
   const auto result = std::ranges::count_if(engines, [&](const auto& aOne) {
-    return subject.Clearing(aOne.mNumber, now + Milliseconds(100));
+    return subject.IsDraining(aOne.mId, now + Milliseconds(100));
   });
   CHECK(result == 10);
 }
@@ -122,7 +122,7 @@
   mEngines.erase(mEngines.begin());
   Observe(5);
   CHECK(Bulk() == numbers{ 1, 2, 3, 4, 5 });
-  CHECK(mSubject.Of(0) == std::nullopt);
+  CHECK(mSubject.SideOf(0) == std::nullopt);
 }
 
 // Instances that started at other times, or saw other moves, send alike after
@@ -139,8 +139,8 @@
     other.Observe(mEngines, 5, tick == 0, mNow);
     mNow += Milliseconds(100);
   }
-  for (const engine_standing& each : mEngines) {
-    CHECK(mSubject.Of(each.mNumber) == other.Of(each.mNumber));
+  for (const side_candidate& each : mEngines) {
+    CHECK(mSubject.SideOf(each.mId) == other.SideOf(each.mId));
   }
 }
 
--- a/thornhollow/policy/internal/endpoint_record.cc
+++ b/thornhollow/policy/internal/endpoint_record.cc
@@ -131,17 +131,17 @@
 void
 endpoint_record::OnReport(const load_report& aReport, time_point aNow)
 {
-  if (mGap && aReport.mTakenAt < *mGap) {
+  if (mGap && aReport.mMeasuredAt < *mGap) {
     return;
   }
   Confirm();
   mLoad.OnReport(aReport, aNow);
   if (aReport.mWaiting > 0) {
-    mHealth.OnQueueReported(std::min(aReport.mTakenAt, aNow));
+    mHealth.OnQueueReported(std::min(aReport.mMeasuredAt, aNow));
   }
   if (aReport.mLeaving) {
     mSaidLeaving = aNow;
-  } else if (mSaidLeaving && aReport.mTakenAt > *mSaidLeaving) {
+  } else if (mSaidLeaving && aReport.mMeasuredAt > *mSaidLeaving) {
     mSaidLeaving.reset();
   }
 }
--- a/thornhollow/policy/minimum_share.h
+++ b/thornhollow/policy/minimum_share.h
@@ -45,7 +45,7 @@
   }
 
   // Whether the next request, of this cost, may go before higher tiers.
-  bool IsOwed(double aNextCost) const
+  bool IsEligible(double aNextCost) const
   {
     return mShare > 0 && aNextCost > 0 && mCredit >= aNextCost;
   }
@@ -53,17 +53,18 @@
   // A request of the class, of this cost, was served, for whatever reason.
   void Spend(double aCost)
   {
-    mCredit = std::max(mCredit - aCost, -kMostDebt * aCost);
+    mCredit = std::max(mCredit - aCost, -kMaxDebtRequests * aCost);
   }
 
   // A request for which `aExpected` was spent cost `aActual`.
   void Settle(double aExpected, double aActual)
   {
-    mCredit = std::max(mCredit + aExpected - aActual, -kMostDebt * aActual);
+    mCredit =
+      std::max(mCredit + aExpected - aActual, -kMaxDebtRequests * aActual);
   }
 
   // Cost that the pool must still serve until the next request is owed.
-  double Missing(double aNextCost) const
+  double CostUntilEligible(double aNextCost) const
   {
     return mShare > 0 ? std::max(0.0, aNextCost - mCredit) / mShare : 0;
   }
@@ -72,7 +73,7 @@
 
 private:
   // Requests.
-  static constexpr double kMostDebt = 16;
+  static constexpr double kMaxDebtRequests = 16;
 
   double mShare;
   double mCredit = 0;
--- a/thornhollow/policy/pool_queue.cc
+++ b/thornhollow/policy/pool_queue.cc
@@ -252,10 +252,10 @@
         std::ranges::find(aPassedOver, key.mClass) != aPassedOver.end()) {
       continue;
     }
-    if (owed == nullptr && queue.mShare.IsOwed(front->mWork.mCost)) {
+    if (owed == nullptr && queue.mShare.IsEligible(front->mWork.mCost)) {
       owed = front;
     }
-    if (mRate.LastPerSecond() && aPeers.HoldsBack(aPool, key.mTier, aNow)) {
+    if (mRate.LastPerSecond() && aPeers.IsRestricted(aPool, key.mTier, aNow)) {
       held = true;
       continue;
     }
@@ -413,7 +413,8 @@
   for (const auto& [key, queue] : mClasses) {
     if (!queue.mWaiting.empty() && queue.mShare.Share() > 0) {
       soonest = std::min(
-        soonest, TimeFor(queue.mShare.Missing(queue.NextCost()), *rate));
+        soonest,
+        TimeFor(queue.mShare.CostUntilEligible(queue.NextCost()), *rate));
     }
   }
   return aNow + std::max(soonest, kLeastStep);
--- a/thornhollow/policy/relay_admission.cc
+++ b/thornhollow/policy/relay_admission.cc
@@ -49,7 +49,7 @@
   ForgetIdleTeams(aNow);
   mAsked.Add(1, aNow);
   mAskedByTeam[aRequest.mTeam].Add(1, aNow);
-  mTiers.OnAsked(aRequest.mTier, aNow);
+  mTiers.OnRequest(aRequest.mTier, aNow);
   if (ServedFirst(aRequest, aNow)) {
     return std::nullopt;
   }
@@ -89,8 +89,8 @@
   const double calm = ToSeconds(aRequest.mTarget) *
                       mSettings.mSeenPartOfTarget *
                       std::min(1.0, PartFor(aRequest.mTeam, aNow));
-  return mTiers.HasLower(aRequest.mTier, aNow) &&
-         ToSeconds(mTiers.SeenWait(aRequest.mTier, aNow)) < calm;
+  return mTiers.HasLowerDemand(aRequest.mTier, aNow) &&
+         ToSeconds(mTiers.MeanWait(aRequest.mTier, aNow)) < calm;
 }
 
 bool
@@ -148,14 +148,14 @@
   mStarted.Add(aPrompt.mTokens, aNow);
   mAnswers.Add(1, aNow);
   mWaits.Add(ToSeconds(aWait), aNow);
-  mTiers.OnStarted(aPrompt.mTier, aWait, aNow);
+  mTiers.OnResponseStarted(aPrompt.mTier, aWait, aNow);
   OnUnstartedLess(aPrompt.mTokens);
 }
 
 void
 relay_admission::OnLost(const admitted_prompt& aPrompt)
 {
-  mTiers.OnLost(aPrompt.mTier);
+  mTiers.OnAbandoned(aPrompt.mTier);
   OnUnstartedLess(aPrompt.mTokens);
 }
 
--- a/thornhollow/policy/relay_pool.cc
+++ b/thornhollow/policy/relay_pool.cc
@@ -63,7 +63,7 @@
   : mSettings(aSettings)
   , mEngines(aEngines)
   , mOwnDomain(std::move(aOwnDomain))
-  , mReach(domain_reach_settings{}, mOwnDomain)
+  , mReach(domain_reachability_settings{}, mOwnDomain)
   , mRandom(aSeed)
   , mAffinity(aSettings.mAffinity)
   , mBorder(aSettings.mBorder)
@@ -115,9 +115,10 @@
     return pick;
   }
   // What is refused counts as asked for.
-  mMeter.OnAsked(KindOf(aWork), pick->mToRead, aNow);
+  mMeter.OnRequest(KindOf(aWork), pick->mToRead, aNow);
   mPopular.OnAsked(aWork.mFirstPart, aNow);
-  const double room = static_cast<double>(mBorder.Bulk()) * mReadPerSecond;
+  const double room =
+    static_cast<double>(mBorder.BulkEngines()) * mReadPerSecond;
   const duration forSlot = SlotWait();
   const bool full =
     mBulkDemand >= room * kFullFrom || forSlot > duration::zero();
@@ -201,31 +202,31 @@
 std::vector<relay_pool::record*>
 relay_pool::WithinReach(std::vector<record*> aSound, time_point aNow) const
 {
-  if (!mReach.AnyDoubted(aNow)) {
+  if (!mReach.AnySuspected(aNow)) {
     return aSound;
   }
   std::vector<record*> within;
   within.reserve(aSound.size());
   std::ranges::copy_if(aSound, std::back_inserter(within), [&](record* aOne) {
-    return !mReach.Doubted(aOne->mEndpoint.mDomain, aNow);
+    return !mReach.IsSuspected(aOne->mEndpoint.mDomain, aNow);
   });
   return within.empty() ? std::move(aSound) : within;
 }
 
 void
-relay_pool::AssignSides(const demand_sums& aDemand, time_point aNow)
+relay_pool::AssignSides(const demand_by_kind& aDemand, time_point aNow)
 {
-  std::vector<engine_standing> sound;
+  std::vector<side_candidate> sound;
   for (auto& [name, each] : mRecords) {
     each.mHealth.Update(aNow);
     if (TakesNewWork(each, aNow)) {
       sound.push_back({ each.mNumber, each.mSlow, each.mRank });
     }
   }
-  if (!mBorder.Separates() || sound.size() < 2) {
+  if (!mBorder.IsPartitioned() || sound.size() < 2) {
     sound.clear();
   }
-  const double part = static_cast<double>(mBorder.Bulk()) /
+  const double part = static_cast<double>(mBorder.BulkEngines()) /
                       static_cast<double>(std::max<std::size_t>(size(), 1));
   const auto bulk = static_cast<std::size_t>(
     std::lround(part * static_cast<double>(sound.size())));
@@ -249,16 +250,16 @@
                    const std::vector<record*>& aSound,
                    time_point aNow) const
 {
-  if (!mBorder.Separates()) {
+  if (!mBorder.IsPartitioned()) {
     return aSound;
   }
   const engine_side side = SideOf(aWork);
   std::vector<record*> all;
   std::vector<record*> clear;
   for (record* each : aSound) {
-    if (mSides.Of(each->mNumber) == side) {
+    if (mSides.SideOf(each->mNumber) == side) {
       all.push_back(each);
-      if (!mSides.Clearing(each->mNumber, aNow)) {
+      if (!mSides.IsDraining(each->mNumber, aNow)) {
         clear.push_back(each);
       }
     }
@@ -413,7 +414,7 @@
   std::uint64_t highest = 0;
   for (const auto& [name, each] : mRecords) {
     const std::uint64_t weight = CombineHash(aWork.mSharedPrefix, each.mRank);
-    if (MayGive(each) && mSides.Earlier(each.mNumber, aNow) == side &&
+    if (MayGive(each) && mSides.PreviousSide(each.mNumber, aNow) == side &&
         (home == nullptr || weight > highest)) {
       home = &each;
       highest = weight;
@@ -493,7 +494,7 @@
     mAdmission.OnStarted({ aWork.mTier, aPick.mToRead }, aWait, aNow);
     mBulkHold.OnBegun(aWait);
   }
-  mReach.OnAnswered(aPick.mDomain, aNow);
+  mReach.OnResponse(aPick.mDomain, aNow);
   if (record* found = Find(aPick)) {
     found->mToRead -= std::min<std::uint64_t>(found->mToRead, aPick.mToRead);
     found->mHealth.OnFirstToken(aWait, aNow);
@@ -522,7 +523,7 @@
     mAdmission.OnLost({ aWork.mTier, aPick.mToRead });
   }
   if (aHow == attempt_end::kDeclined) {
-    mReach.OnAnswered(aPick.mDomain, aNow);
+    mReach.OnResponse(aPick.mDomain, aNow);
   }
   mMeter.OnEnded(KindOf(aWork));
   if (aPick.mBulk && aHow == attempt_end::kCompleted) {
@@ -549,13 +550,13 @@
 bool
 relay_pool::OnUnreached(const relay_pick& aPick, time_point aNow)
 {
-  return mReach.OnUnreached(aPick.mDomain, aNow);
+  return mReach.OnUnreachable(aPick.mDomain, aNow);
 }
 
 void
 relay_pool::OnPeerHeard(const domain_name& aDomain, time_point aNow)
 {
-  mReach.OnPeerHeard(aDomain, aNow);
+  mReach.OnPeerMessage(aDomain, aNow);
 }
 
 void
@@ -633,8 +634,9 @@
   if (!mEngines) {
     return;
   }
-  mReadPerSecond = aView.mReadSeen > 0 ? aView.mReadSum / aView.mReadSeen
-                                       : mReadRate.PerSecond();
+  mReadPerSecond = aView.mPrefillRateCount > 0
+                     ? aView.mPrefillRateSum / aView.mPrefillRateCount
+                     : mReadRate.PerSecond();
   JudgePaces(aNow);
   MeasurePaces(aNow);
   mBorder.Observe(aView.mDemand,
@@ -652,7 +654,7 @@
 void
 relay_pool::OnClockGap(time_point aNow)
 {
-  mReach.Forget();
+  mReach.ClearSuspicions();
   for (auto& [name, each] : mRecords) {
     each.mHealth.OnClockGap(aNow);
     each.mOthersToRead = 0;
@@ -665,8 +667,8 @@
 {
   pool_view view{ mMeter.Demand(aNow) };
   if (mReadRate.Known()) {
-    view.mReadSum = mReadRate.PerSecond();
-    view.mReadSeen = 1;
+    view.mPrefillRateSum = mReadRate.PerSecond();
+    view.mPrefillRateCount = 1;
   }
   return view;
 }
--- a/thornhollow/policy/relay_pool.h
+++ b/thornhollow/policy/relay_pool.h
@@ -48,9 +48,9 @@
 
 #include "thornhollow/base/ids.h"
 #include "thornhollow/base/time.h"
-#include "thornhollow/policy/domain_reach.h"
+#include "thornhollow/policy/domain_reachability.h"
 #include "thornhollow/policy/endpoint_health.h"
-#include "thornhollow/policy/engine_border.h"
+#include "thornhollow/policy/engine_partition.h"
 #include "thornhollow/policy/engine_sides.h"
 #include "thornhollow/policy/known_prefixes.h"
 #include "thornhollow/policy/popular_parts.h"
@@ -60,7 +60,7 @@
 #include "thornhollow/policy/relay_admission.h"
 #include "thornhollow/policy/relay_work.h"
 #include "thornhollow/policy/slot_hold.h"
-#include "thornhollow/policy/work_kind.h"
+#include "thornhollow/policy/workload_kind.h"
 
 namespace thornhollow {
 
@@ -100,7 +100,7 @@
   // few waits hold other prompts' time. Not longer, as slow engines have
   // interactive streams until then, whose pauses break their promise.
   duration mJudgeAfter = Seconds(6);
-  engine_border_settings mBorder;
+  engine_partition_settings mBorder;
   engine_sides_settings mSides;
   relay_admission_settings mAdmission;
   prefix_affinity_settings mAffinity = { .mRemember = true,
@@ -206,7 +206,7 @@
   // This instance's own part of it.
   pool_view OwnView(time_point aNow) const;
   std::vector<relay_load> Loads(time_point aNow) const;
-  std::size_t BulkEngines() const { return mBorder.Bulk(); }
+  std::size_t BulkEngines() const { return mBorder.BulkEngines(); }
   // Prompt tokens that one engine reads in a second, in the mean.
   double ReadPerSecond() const { return mReadPerSecond; }
 
@@ -241,7 +241,7 @@
   std::size_t SlowEngines() const;
   double SecondsPerToken(const record& aRecord, time_point aNow) const;
   engine_side SideOf(const relay_work& aWork) const;
-  void AssignSides(const demand_sums& aDemand, time_point aNow);
+  void AssignSides(const demand_by_kind& aDemand, time_point aNow);
   std::vector<record*> OfSide(const relay_work& aWork,
                               const std::vector<record*>& aSound,
                               time_point aNow) const;
@@ -267,12 +267,12 @@
   relay_pool_settings mSettings;
   bool mEngines;
   domain_name mOwnDomain;
-  domain_reach mReach;
+  domain_reachability mReach;
   std::mt19937_64 mRandom;
   std::map<endpoint_name, record> mRecords;
   std::uint32_t mNextNumber = 0;
   prefix_affinity mAffinity;
-  engine_border mBorder;
+  engine_partition mBorder;
   engine_sides mSides;
   relay_admission mAdmission;
   std::size_t mInstances = 1;
@@ -291,7 +291,7 @@
   // The same over all instances.
   double mReadPerSecond;
   std::size_t mSlots = 0;
-  work_meter mMeter;
+  workload_meter mMeter;
 };
 
 } // namespace thornhollow
--- a/thornhollow/policy/relay_pool_benchmark.cc
+++ b/thornhollow/policy/relay_pool_benchmark.cc
@@ -22,8 +22,8 @@
                1,
                false });
   }
-  const work_kind plan{ Seconds(2), Milliseconds(800) };
-  const work_kind note{ Milliseconds(300), Milliseconds(200) };
+  const workload_kind plan{ Seconds(2), Milliseconds(800) };
+  const workload_kind note{ Milliseconds(300), Milliseconds(200) };
   pool.SetView({ { { note, 28, 20'000, 14e6 }, { plan, 5, 50'000, 600e6 } } },
                now);
   std::uint64_t number = 0;
--- a/thornhollow/policy/relay_work.h
+++ b/thornhollow/policy/relay_work.h
@@ -11,7 +11,7 @@
 
 #include "thornhollow/base/ids.h"
 #include "thornhollow/base/time.h"
-#include "thornhollow/policy/work_kind.h"
+#include "thornhollow/policy/workload_kind.h"
 
 namespace thornhollow {
 
@@ -45,7 +45,7 @@
   friend bool operator==(const relay_work&, const relay_work&) = default;
 };
 
-inline work_kind
+inline workload_kind
 KindOf(const relay_work& aWork)
 {
   return { aWork.mTarget, aWork.mPause };
--- a/thornhollow/policy/request_queue.cc
+++ b/thornhollow/policy/request_queue.cc
@@ -201,7 +201,8 @@
   }
   for (const auto& [name, pool] : mPools) {
     if (!pool.empty()) {
-      if (const auto until = mPeers.HeldUntil(name); until && *until > aNow) {
+      if (const auto until = mPeers.RestrictedUntil(name);
+          until && *until > aNow) {
         take(until);
         take(pool.NextOwed(aNow));
       }
@@ -231,7 +232,7 @@
 {
   std::vector<pool_pressure> out;
   for (const auto& [name, pool] : mPools) {
-    pool_pressure next = pool.Pressure(name, mSettings.mPeers.mLeastWait, aNow);
+    pool_pressure next = pool.Pressure(name, mSettings.mPeers.mMinWait, aNow);
     if (next.mHigherWait > duration::zero()) {
       out.push_back(std::move(next));
     }
--- a/thornhollow/policy/retry_budget.cc
+++ b/thornhollow/policy/retry_budget.cc
@@ -35,11 +35,11 @@
                         time_point aNow)
 {
   const auto earn = [this, aNow](account& aAccount) {
-    double& retries = Refilled(aAccount, aNow).mRetries;
-    retries = std::min(mSettings.mReserve, retries + mSettings.mShare);
+    double& retries = Refill(aAccount, aNow).mRetries;
+    retries = std::min(mSettings.mReserve, retries + mSettings.mRatio);
   };
-  earn(mByClass.try_emplace(aClass, Opened(aNow)).first->second);
-  earn(mByEndpoint.try_emplace(aEndpoint, Opened(aNow)).first->second);
+  earn(mByClass.try_emplace(aClass, NewAccount(aNow)).first->second);
+  earn(mByEndpoint.try_emplace(aEndpoint, NewAccount(aNow)).first->second);
 }
 
 bool
@@ -48,9 +48,9 @@
                     time_point aNow)
 {
   account& ofClass =
-    Refilled(mByClass.try_emplace(aClass, Opened(aNow)).first->second, aNow);
-  account& ofEndpoint = Refilled(
-    mByEndpoint.try_emplace(aEndpoint, Opened(aNow)).first->second, aNow);
+    Refill(mByClass.try_emplace(aClass, NewAccount(aNow)).first->second, aNow);
+  account& ofEndpoint = Refill(
+    mByEndpoint.try_emplace(aEndpoint, NewAccount(aNow)).first->second, aNow);
   if (ofClass.mRetries < 1 || ofEndpoint.mRetries < 1) {
     return false;
   }
@@ -60,17 +60,17 @@
 }
 
 retry_budget::account&
-retry_budget::Refilled(account& aAccount, time_point aNow) const
+retry_budget::Refill(account& aAccount, time_point aNow) const
 {
-  const double passed = std::max(0.0, ToSeconds(aNow - aAccount.mCounted));
+  const double passed = std::max(0.0, ToSeconds(aNow - aAccount.mUpdatedAt));
   aAccount.mRetries = std::min(
     mSettings.mReserve, aAccount.mRetries + passed * mSettings.mFloorPerSecond);
-  aAccount.mCounted = std::max(aNow, aAccount.mCounted);
+  aAccount.mUpdatedAt = std::max(aNow, aAccount.mUpdatedAt);
   return aAccount;
 }
 
 retry_budget::account
-retry_budget::Opened(time_point aNow) const
+retry_budget::NewAccount(time_point aNow) const
 {
   return account{ mSettings.mReserve, aNow };
 }
--- a/thornhollow/policy/retry_budget.h
+++ b/thornhollow/policy/retry_budget.h
@@ -33,7 +33,7 @@
 struct retry_budget_settings
 {
   // Retries that one success earns.
-  double mShare = 0.1;
+  double mRatio = 0.1;
   // Retries a second that are free of charge.
   double mFloorPerSecond = 0.1;
   // Most retries saved up; also what a class or endpoint starts with.
@@ -69,11 +69,11 @@
   struct account
   {
     double mRetries = 0;
-    time_point mCounted{};
+    time_point mUpdatedAt{};
   };
 
-  account& Refilled(account& aAccount, time_point aNow) const;
-  account Opened(time_point aNow) const;
+  account& Refill(account& aAccount, time_point aNow) const;
+  account NewAccount(time_point aNow) const;
 
   retry_budget_settings mSettings;
   std::unordered_map<class_name, account> mByClass;
--- a/thornhollow/policy/retry_budget_test.cc
+++ b/thornhollow/policy/retry_budget_test.cc
@@ -22,7 +22,7 @@
   class_name mSecond{ "second" };
   endpoint_name mEndpoint{ "e1" };
   retry_budget mBudget{
-    { .mShare = 0.1, .mFloorPerSecond = 0.1, .mReserve = 5 }
+    { .mRatio = 0.1, .mFloorPerSecond = 0.1, .mReserve = 5 }
   };
 };
 
--- a/thornhollow/policy/scenario/engine_model.cc
+++ b/thornhollow/policy/scenario/engine_model.cc
@@ -86,7 +86,7 @@
   report.mSlots = mSettings.mSlots;
   report.mCacheUsed = static_cast<double>(mRunning.size()) / mSettings.mSlots;
   report.mStep = Step();
-  report.mTakenAt = mLoop.Now();
+  report.mMeasuredAt = mLoop.Now();
   return report;
 }
 
--- a/thornhollow/policy/scenario/simulation.cc
+++ b/thornhollow/policy/scenario/simulation.cc
@@ -531,25 +531,29 @@
   const bool reaches = Reachable(own, there);
   const duration way =
     own == there ? kToEngine : kToEngine + mDeployment.mBetweenDomains;
-  mLoop.After(
-    reaches ? way : kConnectTimeout,
-    [this, id = aStart.mTicket, owed = aStart.mOwed, engine, reaches] {
-      const auto open = mOpen.find(id);
-      if (open == mOpen.end() || open->second.mEngine != engine) {
-        return;
-      }
-      if (!reaches || !mEngines[engine]->Up()) {
-        OnLost(id, {}, false);
-        return;
-      }
-      const submission& now = open->second;
-      const intent& wanted = mIntents[now.mIntent];
-      mEngines[engine]->Add({ id,
-                              owed ? kHighestTier : now.mItem.mTier,
-                              wanted.mPrefix,
-                              wanted.mPrompt,
-                              std::max(1U, wanted.mOutput - now.mReceived) });
-    });
+  mLoop.After(reaches ? way : kConnectTimeout,
+              [this,
+               id = aStart.mTicket,
+               owed = aStart.mUsesMinimumShare,
+               engine,
+               reaches] {
+                const auto open = mOpen.find(id);
+                if (open == mOpen.end() || open->second.mEngine != engine) {
+                  return;
+                }
+                if (!reaches || !mEngines[engine]->Up()) {
+                  OnLost(id, {}, false);
+                  return;
+                }
+                const submission& now = open->second;
+                const intent& wanted = mIntents[now.mIntent];
+                mEngines[engine]->Add(
+                  { id,
+                    owed ? kHighestTier : now.mItem.mTier,
+                    wanted.mPrefix,
+                    wanted.mPrompt,
+                    std::max(1U, wanted.mOutput - now.mReceived) });
+              });
 }
 
 void
@@ -760,7 +764,7 @@
 void
 simulation::PlanTicks()
 {
-  mLoop.After(clock_gap::kTickEvery, [this] {
+  mLoop.After(clock_gap::kTickInterval, [this] {
     if (IsOver()) {
       return;
     }
--- a/thornhollow/policy/scheduler.cc
+++ b/thornhollow/policy/scheduler.cc
@@ -311,7 +311,7 @@
 }
 
 scheduler::pool_windows::pool_windows(const endpoint_queue_settings& aSettings)
-  : mWindows(kTiers + 1, endpoint_queue_window(aSettings))
+  : mWindows(kTierCount + 1, endpoint_queue_window(aSettings))
 {
 }
 
--- a/thornhollow/policy/scheduler_search_test.cc
+++ b/thornhollow/policy/scheduler_search_test.cc
@@ -272,11 +272,12 @@
     report.mRunning = aEvent.mSecond % 4;
     report.mWaiting = aEvent.mSecond % 3;
     report.mLeaving = aEvent.mSecond % 17 == 0;
-    report.mTakenAt = mNow - Milliseconds(aEvent.mFirst);
+    report.mMeasuredAt = mNow - Milliseconds(aEvent.mFirst);
     if (report.mLeaving) {
       mSaidLeaving[endpoint] = mNow;
     } else if (const auto said = mSaidLeaving.find(endpoint);
-               said != mSaidLeaving.end() && report.mTakenAt > said->second) {
+               said != mSaidLeaving.end() &&
+               report.mMeasuredAt > said->second) {
       mSaidLeaving.erase(said);
     }
     Take(mScheduler.OnLoadReport(endpoint, report, mNow));
--- a/thornhollow/policy/shared_retry_budget.cc
+++ b/thornhollow/policy/shared_retry_budget.cc
@@ -21,13 +21,13 @@
 void
 shared_retry_budget::OnRequest(const pool_name& aPool, time_point aNow)
 {
-  ++Present(aPool, aNow).mRequests;
+  ++CurrentSlice(aPool, aNow).mRequests;
 }
 
 bool
 shared_retry_budget::Spend(const pool_name& aPool, time_point aNow)
 {
-  slice& present = Present(aPool, aNow);
+  slice& present = CurrentSlice(aPool, aNow);
   std::uint64_t requests = 0;
   std::uint64_t retries = 0;
   for (const slice& each : mPools[aPool]) {
@@ -39,10 +39,11 @@
     }
   }
   const std::size_t instances =
-    mInstances == 0 ? mSettings.mUnknownInstances : mInstances;
+    mInstances == 0 ? mSettings.mAssumedInstances : mInstances;
   const double bound =
-    mSettings.mUsed * (mSettings.mRatio * static_cast<double>(requests) +
-                       mSettings.mExtra / static_cast<double>(instances));
+    mSettings.mBoundFraction *
+    (mSettings.mRatio * static_cast<double>(requests) +
+     mSettings.mFixedRetries / static_cast<double>(instances));
   if (static_cast<double>(retries + 1) > bound) {
     return false;
   }
@@ -51,7 +52,7 @@
 }
 
 shared_retry_budget::slice&
-shared_retry_budget::Present(const pool_name& aPool, time_point aNow)
+shared_retry_budget::CurrentSlice(const pool_name& aPool, time_point aNow)
 {
   slices& held = mPools[aPool];
   while (!held.empty() &&
--- a/thornhollow/policy/shared_retry_budget.h
+++ b/thornhollow/policy/shared_retry_budget.h
@@ -33,13 +33,13 @@
   // Retries for each request of a pool within the window.
   double mRatio = 0.2;
   // Retries beside them, over all instances.
-  double mExtra = 50;
+  double mFixedRetries = 50;
   duration mWindow = Seconds(10);
   // Part of the bound that is used: an endpoint may count a request into the
   // next window, and a retry into this one.
-  double mUsed = 0.9;
+  double mBoundFraction = 0.9;
   // Assumed until a peer was heard: letter 1's size has 38 in a failure domain.
-  std::size_t mUnknownInstances = 38;
+  std::size_t mAssumedInstances = 38;
 
   friend bool operator==(const shared_retry_budget_settings&,
                          const shared_retry_budget_settings&) = default;
@@ -68,7 +68,7 @@
   };
   using slices = std::deque<slice>;
 
-  slice& Present(const pool_name& aPool, time_point aNow);
+  slice& CurrentSlice(const pool_name& aPool, time_point aNow);
 
   shared_retry_budget_settings mSettings;
   duration mSliceLength;
--- a/thornhollow/policy/shared_retry_budget_test.cc
+++ b/thornhollow/policy/shared_retry_budget_test.cc
@@ -14,7 +14,7 @@
 {
   // Thirty instances start cut off from each other while the endpoints fail:
   // if each took the whole fixed amount, the retries would be thirty times it.
-  shared_retry_budget budget({ .mRatio = 0, .mExtra = 76 });
+  shared_retry_budget budget({ .mRatio = 0, .mFixedRetries = 76 });
   int spent = 0;
   while (budget.Spend(kPool, time_point() + Seconds(100))) {
     ++spent;
@@ -24,7 +24,7 @@
 
 TEST_CASE("shared_retry_budget/window_passed/is_whole_again")
 {
-  shared_retry_budget budget({ .mRatio = 0, .mExtra = 20 });
+  shared_retry_budget budget({ .mRatio = 0, .mFixedRetries = 20 });
   budget.SetInstances(2);
   time_point now = time_point() + Seconds(100);
   int spent = 0;
@@ -44,7 +44,8 @@
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     std::mt19937_64 random(seed);
     const std::size_t instances = 1 + random() % 9;
-    const shared_retry_budget_settings settings{ .mRatio = 0.2, .mExtra = 52 };
+    const shared_retry_budget_settings settings{ .mRatio = 0.2,
+                                                 .mFixedRetries = 52 };
     std::vector<shared_retry_budget> fleet(instances,
                                            shared_retry_budget(settings));
     std::vector<int> requests;
--- a/thornhollow/policy/tier_pressure.cc
+++ b/thornhollow/policy/tier_pressure.cc
@@ -12,15 +12,15 @@
 
 // A wait that halves each half-life counts until it falls below the least one.
 time_point
-peer_pressure::HeldUntil(duration aWait, time_point aMeasured) const
+peer_pressure::RestrictionEnd(duration aWait, time_point aMeasured) const
 {
-  const double factor = ToSeconds(aWait) / ToSeconds(mSettings.mLeastWait);
+  const double factor = ToSeconds(aWait) / ToSeconds(mSettings.mMinWait);
   if (!mSettings.mEnabled || factor <= 1) {
     return time_point{};
   }
   const duration life =
     FromSeconds(std::log2(factor) * ToSeconds(mSettings.mHalfLife));
-  return aMeasured + std::min(life, mSettings.mLongestLife);
+  return aMeasured + std::min(life, mSettings.mMaxReportLifetime);
 }
 
 void
@@ -29,12 +29,12 @@
                         time_point aNow)
 {
   pool_reports& pool = mPools[aPressure.mPool];
-  held_tiers& held = pool.mFrom[aFrom];
+  tier_restrictions& held = pool.mByInstance[aFrom];
   held = {};
   if (aPressure.mLowestAdmitted >= kHighestTier &&
       aPressure.mLowestAdmitted <= kLowestTier) {
     held.mUntil[aPressure.mLowestAdmitted - kHighestTier] =
-      HeldUntil(aPressure.mHigherWait, aNow - aPressure.mAge);
+      RestrictionEnd(aPressure.mHigherWait, aNow - aPressure.mAge);
   }
   Summarize(pool);
 }
@@ -43,8 +43,8 @@
 peer_pressure::Summarize(pool_reports& aPool)
 {
   aPool.mLatest = {};
-  for (const auto& [from, held] : aPool.mFrom) {
-    for (std::size_t tier = 0; tier < kTiers; ++tier) {
+  for (const auto& [from, held] : aPool.mByInstance) {
+    for (std::size_t tier = 0; tier < kTierCount; ++tier) {
       aPool.mLatest.mUntil[tier] =
         std::max(aPool.mLatest.mUntil[tier], held.mUntil[tier]);
     }
@@ -52,16 +52,16 @@
 }
 
 bool
-peer_pressure::HoldsBack(const pool_name& aPool,
-                         int aTier,
-                         time_point aNow) const
+peer_pressure::IsRestricted(const pool_name& aPool,
+                            int aTier,
+                            time_point aNow) const
 {
   const auto found = mPools.find(aPool);
   if (found == mPools.end()) {
     return false;
   }
   const auto higher = std::clamp<std::ptrdiff_t>(
-    aTier - kHighestTier, 0, static_cast<std::ptrdiff_t>(kTiers));
+    aTier - kHighestTier, 0, static_cast<std::ptrdiff_t>(kTierCount));
   const auto& until = found->second.mLatest.mUntil;
   return std::any_of(until.begin(),
                      until.begin() + higher,
@@ -69,7 +69,7 @@
 }
 
 std::optional<time_point>
-peer_pressure::HeldUntil(const pool_name& aPool) const
+peer_pressure::RestrictedUntil(const pool_name& aPool) const
 {
   const auto found = mPools.find(aPool);
   if (found == mPools.end()) {
@@ -82,12 +82,12 @@
 peer_pressure::Expire(time_point aNow)
 {
   for (auto& [name, pool] : mPools) {
-    std::erase_if(pool.mFrom, [aNow](const auto& aEach) {
+    std::erase_if(pool.mByInstance, [aNow](const auto& aEach) {
       return std::ranges::max(aEach.second.mUntil) <= aNow;
     });
   }
-  std::erase_if(mPools,
-                [](const auto& aEach) { return aEach.second.mFrom.empty(); });
+  std::erase_if(
+    mPools, [](const auto& aEach) { return aEach.second.mByInstance.empty(); });
 }
 
 std::size_t
@@ -95,7 +95,7 @@
 {
   std::size_t reports = 0;
   for (const auto& [name, pool] : mPools) {
-    reports += pool.mFrom.size();
+    reports += pool.mByInstance.size();
   }
   return reports;
 }
--- a/thornhollow/policy/tier_pressure.h
+++ b/thornhollow/policy/tier_pressure.h
@@ -32,15 +32,15 @@
 
 namespace thornhollow {
 
-inline constexpr std::size_t kTiers = kLowestTier - kHighestTier + 1;
+inline constexpr std::size_t kTierCount = kLowestTier - kHighestTier + 1;
 
 struct tier_pressure_settings
 {
   bool mEnabled = true;
-  duration mLeastWait = Seconds(1);
+  duration mMinWait = Seconds(1);
   duration mHalfLife = Milliseconds(500);
   // The weight of a report counts no longer than this.
-  duration mLongestLife = Seconds(5);
+  duration mMaxReportLifetime = Seconds(5);
 
   friend bool operator==(const tier_pressure_settings&,
                          const tier_pressure_settings&) = default;
@@ -57,10 +57,10 @@
                 time_point aNow);
 
   // Whether a higher tier than `aTier` waits at another instance.
-  bool HoldsBack(const pool_name& aPool, int aTier, time_point aNow) const;
+  bool IsRestricted(const pool_name& aPool, int aTier, time_point aNow) const;
 
   // Until when `HoldsBack` may stay true for any tier of the pool.
-  std::optional<time_point> HeldUntil(const pool_name& aPool) const;
+  std::optional<time_point> RestrictedUntil(const pool_name& aPool) const;
 
   // Forgets reports that no longer count.
   void Expire(time_point aNow);
@@ -69,19 +69,19 @@
 
 private:
   // Up to when each tier's wait holds lower tiers back.
-  struct held_tiers
+  struct tier_restrictions
   {
-    std::array<time_point, kTiers> mUntil{};
+    std::array<time_point, kTierCount> mUntil{};
   };
   struct pool_reports
   {
-    std::unordered_map<instance_name, held_tiers> mFrom;
+    std::unordered_map<instance_name, tier_restrictions> mByInstance;
     // The latest over all instances, kept so that a decision doesn't grow with
     // their number.
-    held_tiers mLatest;
+    tier_restrictions mLatest;
   };
 
-  time_point HeldUntil(duration aWait, time_point aMeasured) const;
+  time_point RestrictionEnd(duration aWait, time_point aMeasured) const;
   static void Summarize(pool_reports& aPool);
 
   tier_pressure_settings mSettings;
--- a/thornhollow/policy/tier_waits.h
+++ b/thornhollow/policy/tier_waits.h
@@ -25,26 +25,26 @@
 class tier_waits
 {
 public:
-  void OnAsked(std::uint32_t aTier, time_point aNow);
+  void OnRequest(std::uint32_t aTier, time_point aNow);
   void OnSent(std::uint32_t aTier);
-  void OnStarted(std::uint32_t aTier, duration aWait, time_point aNow);
+  void OnResponseStarted(std::uint32_t aTier, duration aWait, time_point aNow);
   // It ended before its answer began.
-  void OnLost(std::uint32_t aTier);
+  void OnAbandoned(std::uint32_t aTier);
 
   // Of answers that began lately, of this tier and those before it, in the
   // mean; zero where none of them did or none waits any more.
-  duration SeenWait(std::uint32_t aTier, time_point aNow) const;
+  duration MeanWait(std::uint32_t aTier, time_point aNow) const;
   // Whether a tier after this one was asked for lately.
-  bool HasLower(std::uint32_t aTier, time_point aNow) const;
+  bool HasLowerDemand(std::uint32_t aTier, time_point aNow) const;
 
 private:
   struct tier
   {
-    faded_rate mAsked;
+    faded_rate mRequests;
     // Answers that began, and the seconds that they waited.
-    faded_rate mAnswers;
+    faded_rate mResponses;
     faded_rate mWaits;
-    std::uint32_t mOpen = 0;
+    std::uint32_t mWaiting = 0;
   };
   std::map<std::uint32_t, tier> mTiers;
 };
--- a/thornhollow/policy/tier_waits_test.cc
+++ b/thornhollow/policy/tier_waits_test.cc
@@ -13,43 +13,43 @@
   two_tiers()
   {
     for (int each = 0; each < 4; ++each) {
-      mWaits.OnAsked(0, mNow);
-      mWaits.OnAsked(1, mNow);
+      mWaits.OnRequest(0, mNow);
+      mWaits.OnRequest(1, mNow);
       mWaits.OnSent(0);
       mWaits.OnSent(1);
     }
-    mWaits.OnStarted(0, Milliseconds(200), mNow);
-    mWaits.OnStarted(1, Seconds(2), mNow);
+    mWaits.OnResponseStarted(0, Milliseconds(200), mNow);
+    mWaits.OnResponseStarted(1, Seconds(2), mNow);
   }
 };
 
 TEST_CASE("tier_waits/nothing_seen/no_wait_and_no_lower_tier")
 {
   const tier_waits waits;
-  CHECK(waits.SeenWait(0, time_point()) == duration::zero());
-  CHECK_FALSE(waits.HasLower(0, time_point()));
+  CHECK(waits.MeanWait(0, time_point()) == duration::zero());
+  CHECK_FALSE(waits.HasLowerDemand(0, time_point()));
 }
 
 TEST_CASE_FIXTURE(two_tiers, "tier_waits/lower_tier_waits/not_the_first_ones")
 {
-  CHECK(ToSeconds(mWaits.SeenWait(0, mNow)) == doctest::Approx(0.2));
-  CHECK(ToSeconds(mWaits.SeenWait(1, mNow)) == doctest::Approx(1.1));
+  CHECK(ToSeconds(mWaits.MeanWait(0, mNow)) == doctest::Approx(0.2));
+  CHECK(ToSeconds(mWaits.MeanWait(1, mNow)) == doctest::Approx(1.1));
 }
 
 TEST_CASE_FIXTURE(two_tiers, "tier_waits/lower_tier/counts_while_asked_for")
 {
-  CHECK(mWaits.HasLower(0, mNow));
-  CHECK_FALSE(mWaits.HasLower(1, mNow));
-  CHECK_FALSE(mWaits.HasLower(0, mNow + Seconds(30)));
+  CHECK(mWaits.HasLowerDemand(0, mNow));
+  CHECK_FALSE(mWaits.HasLowerDemand(1, mNow));
+  CHECK_FALSE(mWaits.HasLowerDemand(0, mNow + Seconds(30)));
 }
 
 TEST_CASE_FIXTURE(two_tiers, "tier_waits/none_waits_any_more/no_wait")
 {
   for (int each = 0; each < 3; ++each) {
-    mWaits.OnLost(0);
+    mWaits.OnAbandoned(0);
   }
-  CHECK(mWaits.SeenWait(0, mNow) == duration::zero());
-  CHECK(mWaits.SeenWait(1, mNow) > duration::zero());
+  CHECK(mWaits.MeanWait(0, mNow) == duration::zero());
+  CHECK(mWaits.MeanWait(1, mNow) > duration::zero());
 }
 
 } // namespace
--- a/thornhollow/policy/waiting_modules_test.cc
+++ b/thornhollow/policy/waiting_modules_test.cc
@@ -165,12 +165,12 @@
 {
   peer_pressure peers{ tier_pressure_settings{} };
   peers.OnReport(instance_name("a"), { kPool, 2, Seconds(4), {} }, kStart);
-  CHECK(!peers.HoldsBack(kPool, 1, kStart));
-  CHECK(!peers.HoldsBack(kPool, 2, kStart));
-  CHECK(peers.HoldsBack(kPool, 3, kStart));
-  CHECK(peers.HoldsBack(kPool, 4, kStart + Milliseconds(900)));
-  CHECK(!peers.HoldsBack(kPool, 4, kStart + Milliseconds(1100)));
-  CHECK(!peers.HoldsBack(pool_name("other"), 4, kStart));
+  CHECK(!peers.IsRestricted(kPool, 1, kStart));
+  CHECK(!peers.IsRestricted(kPool, 2, kStart));
+  CHECK(peers.IsRestricted(kPool, 3, kStart));
+  CHECK(peers.IsRestricted(kPool, 4, kStart + Milliseconds(900)));
+  CHECK(!peers.IsRestricted(kPool, 4, kStart + Milliseconds(1100)));
+  CHECK(!peers.IsRestricted(pool_name("other"), 4, kStart));
   peers.Expire(kStart + Seconds(2));
   CHECK(peers.size() == 0);
 }
@@ -183,12 +183,12 @@
                    { kPool, 3, duration::zero(), {} },
                    kStart);
   }
-  CHECK(!peers.HoldsBack(kPool, 4, kStart));
+  CHECK(!peers.IsRestricted(kPool, 4, kStart));
   peers.OnReport(instance_name("i5"), { kPool, 1, Seconds(8), {} }, kStart);
-  CHECK(peers.HoldsBack(kPool, 2, kStart));
+  CHECK(peers.IsRestricted(kPool, 2, kStart));
   // Its next word takes the last one's place.
   peers.OnReport(instance_name("i5"), { kPool, 4, {}, {} }, kStart);
-  CHECK(!peers.HoldsBack(kPool, 2, kStart));
+  CHECK(!peers.IsRestricted(kPool, 2, kStart));
 }
 
 TEST_CASE("peer_pressure/stale_on_arrival/counts_from_when_it_was_measured")
@@ -196,7 +196,7 @@
   peer_pressure peers{ tier_pressure_settings{} };
   peers.OnReport(
     instance_name("a"), { kPool, 1, Seconds(4), Seconds(3) }, kStart);
-  CHECK(!peers.HoldsBack(kPool, 4, kStart));
+  CHECK(!peers.IsRestricted(kPool, 4, kStart));
 }
 
 } // namespace
--- a/thornhollow/policy/work.h
+++ b/thornhollow/policy/work.h
@@ -51,7 +51,7 @@
   // The request takes its class's minimum share: the endpoint is to serve it
   // with the highest priority instead of its tier's, or it would wait there
   // behind every later request of a higher tier.
-  bool mOwed = false;
+  bool mUsesMinimumShare = false;
 
   friend bool operator==(const start&, const start&) = default;
 };
@@ -101,7 +101,7 @@
   duration mStep{};
   bool mLeaving = false;
   // When the figures were true, on this process's clock.
-  time_point mTakenAt{};
+  time_point mMeasuredAt{};
 
   friend bool operator==(const load_report&, const load_report&) = default;
 };
--- a/thornhollow/policy/work_kind.cc
+++ b/thornhollow/policy/workload_kind.cc
@@ -1,4 +1,4 @@
-#include "thornhollow/policy/work_kind.h"
+#include "thornhollow/policy/workload_kind.h"
 
 #include <algorithm>
 #include <cmath>
@@ -11,15 +11,15 @@
 
 // A kind of which less than this many requests came in a second gives its place
 // to another one: none for several times the rates' memory.
-constexpr double kIdleRequests = 0.01;
+constexpr double kIdleRequestsPerSecond = 0.01;
 // Before that long after the first request a rate isn't scaled up any further:
 // one request would count for many.
-constexpr double kLeastSeconds = 0.4;
+constexpr double kMinWarmUpSeconds = 0.4;
 
 } // namespace
 
 void
-AddDemand(demand_sums& aSums, const demand_sums& aOthers, double aScale)
+AddDemand(demand_by_kind& aSums, const demand_by_kind& aOthers, double aScale)
 {
   for (const kind_demand& each : aOthers) {
     auto at = std::ranges::lower_bound(
@@ -29,7 +29,7 @@
     }
     at->mRequests += each.mRequests * aScale;
     at->mTokens += each.mTokens * aScale;
-    at->mSquares += each.mSquares * aScale;
+    at->mSquaredTokensPerSecond += each.mSquaredTokensPerSecond * aScale;
     at->mOpen += each.mOpen * aScale;
   }
 }
@@ -38,57 +38,62 @@
 AddView(pool_view& aSums, const pool_view& aOthers, double aScale)
 {
   AddDemand(aSums.mDemand, aOthers.mDemand, aScale);
-  if (aOthers.mReadSeen <= 0) {
+  if (aOthers.mPrefillRateCount <= 0) {
     return;
   }
   // One instance that tells of engines a million times as fast would make all
   // others send them everything.
-  const double told = std::clamp(
-    aOthers.mReadSum / aOthers.mReadSeen, read_rate::kLeast, read_rate::kMost);
-  aSums.mReadSum += told * aOthers.mReadSeen;
-  aSums.mReadSeen += aOthers.mReadSeen;
+  const double reported =
+    std::clamp(aOthers.mPrefillRateSum / aOthers.mPrefillRateCount,
+               read_rate::kLeast,
+               read_rate::kMost);
+  aSums.mPrefillRateSum += reported * aOthers.mPrefillRateCount;
+  aSums.mPrefillRateCount += aOthers.mPrefillRateCount;
 }
 
-work_meter::counts*
-work_meter::Of(const work_kind& aKind, time_point aNow)
+workload_meter::counts*
+workload_meter::FindOrAdd(const workload_kind& aKind, time_point aNow)
 {
   if (const auto found = mKinds.find(aKind); found != mKinds.end()) {
     return &found->second;
   }
   if (mKinds.size() >= kMaxKinds) {
     std::erase_if(mKinds, [aNow](const auto& aOne) {
-      return aOne.second.mOpen == 0 &&
-             aOne.second.mRequests.PerSecond(aNow) < kIdleRequests;
+      return aOne.second.mInFlight == 0 &&
+             aOne.second.mRequests.PerSecond(aNow) < kIdleRequestsPerSecond;
     });
   }
   return mKinds.size() < kMaxKinds ? &mKinds[aKind] : nullptr;
 }
 
 void
-work_meter::OnAsked(const work_kind& aKind, double aTokens, time_point aNow)
+workload_meter::OnRequest(const workload_kind& aKind,
+                          double aTokens,
+                          time_point aNow)
 {
-  mBegun = mBegun.value_or(aNow);
-  if (counts* its = Of(aKind, aNow)) {
+  mFirstRequestAt = mFirstRequestAt.value_or(aNow);
+  if (counts* its = FindOrAdd(aKind, aNow)) {
     its->mRequests.Add(1, aNow);
     its->mTokens.Add(aTokens, aNow);
     its->mSizes.Add(aTokens, aNow);
-    its->mSizeSquares.Add(aTokens * aTokens, aNow);
+    its->mSquaredSizes.Add(aTokens * aTokens, aNow);
   }
 }
 
 void
-work_meter::OnSent(const work_kind& aKind, time_point aNow)
+workload_meter::OnSent(const workload_kind& aKind, time_point aNow)
 {
-  if (counts* its = Of(aKind, aNow)) {
-    ++its->mOpen;
+  if (counts* its = FindOrAdd(aKind, aNow)) {
+    ++its->mInFlight;
   }
 }
 
 void
-work_meter::OnEnded(const work_kind& aKind)
+workload_meter::OnEnded(const workload_kind& aKind)
 {
   if (const auto found = mKinds.find(aKind); found != mKinds.end()) {
-    found->second.mOpen -= std::min<std::size_t>(found->second.mOpen, 1);
+    found->second.mInFlight -=
+      std::min<std::size_t>(found->second.mInFlight, 1);
   }
 }
 
@@ -96,31 +101,32 @@
 // callers sent meanwhile comes at once: with rates that take two seconds to
 // rise, engines were shared out for half of what came.
 double
-work_meter::StartFactor(time_point aNow) const
+workload_meter::WarmUpFactor(time_point aNow) const
 {
-  if (!mBegun) {
+  if (!mFirstRequestAt) {
     return 1;
   }
-  const double age = std::max(ToSeconds(aNow - *mBegun), kLeastSeconds);
+  const double age =
+    std::max(ToSeconds(aNow - *mFirstRequestAt), kMinWarmUpSeconds);
   return 1 / (1 - std::exp(-age / faded_rate::kMemorySeconds));
 }
 
-demand_sums
-work_meter::Demand(time_point aNow) const
+demand_by_kind
+workload_meter::Demand(time_point aNow) const
 {
-  const double factor = StartFactor(aNow);
-  demand_sums sums;
+  const double factor = WarmUpFactor(aNow);
+  demand_by_kind sums;
   sums.reserve(mKinds.size());
   for (const auto& [kind, its] : mKinds) {
     const double tokens = its.mTokens.PerSecond(aNow) * factor;
     const double sizes = its.mSizes.PerSecond(aNow);
     const double weighted =
-      sizes > 0 ? its.mSizeSquares.PerSecond(aNow) / sizes : 0;
+      sizes > 0 ? its.mSquaredSizes.PerSecond(aNow) / sizes : 0;
     sums.push_back({ kind,
                      its.mRequests.PerSecond(aNow) * factor,
                      tokens,
                      tokens * weighted,
-                     static_cast<double>(its.mOpen) });
+                     static_cast<double>(its.mInFlight) });
   }
   return sums;
 }
--- a/thornhollow/policy/work_kind.h
+++ b/thornhollow/policy/workload_kind.h
@@ -10,8 +10,8 @@
 //
 // All that placement decides for a whole pool follows from these sums, which
 // instances tell each other; so they come to the same decisions without asking.
-#ifndef THORNHOLLOW_POLICY_WORK_KIND_H_
-#define THORNHOLLOW_POLICY_WORK_KIND_H_
+#ifndef THORNHOLLOW_POLICY_WORKLOAD_KIND_H_
+#define THORNHOLLOW_POLICY_WORKLOAD_KIND_H_
 
 #include <cstddef>
 #include <map>
@@ -25,15 +25,15 @@
 namespace thornhollow {
 
 // Work of one kind has the same promises.
-struct work_kind
+struct workload_kind
 {
   // To the first event or the whole answer.
   duration mTarget{};
   // Between two events; zero: none is promised.
   duration mPause{};
 
-  friend bool operator==(const work_kind&, const work_kind&) = default;
-  friend bool operator<(const work_kind& aLeft, const work_kind& aRight)
+  friend bool operator==(const workload_kind&, const workload_kind&) = default;
+  friend bool operator<(const workload_kind& aLeft, const workload_kind& aRight)
   {
     return std::tie(aLeft.mTarget, aLeft.mPause) <
            std::tie(aRight.mTarget, aRight.mPause);
@@ -43,12 +43,12 @@
 // What arrives of a kind in a second.
 struct kind_demand
 {
-  work_kind mKind;
+  workload_kind mKind;
   double mRequests = 0;
   // Prompt tokens to be read for them.
   double mTokens = 0;
   // Sum of the squares of the same: long prompts among short ones weigh more.
-  double mSquares = 0;
+  double mSquaredTokensPerSecond = 0;
   // Requests that are at engines now.
   double mOpen = 0;
 
@@ -56,20 +56,22 @@
 };
 
 // Sorted by kind, each kind once.
-using demand_sums = std::vector<kind_demand>;
+using demand_by_kind = std::vector<kind_demand>;
 
 // Adds `aOthers`, each figure times `aScale`.
 void
-AddDemand(demand_sums& aSums, const demand_sums& aOthers, double aScale = 1);
+AddDemand(demand_by_kind& aSums,
+          const demand_by_kind& aOthers,
+          double aScale = 1);
 
 // What is known of a pool over several instances.
 struct pool_view
 {
-  demand_sums mDemand;
+  demand_by_kind mDemand;
   // Prompt tokens that an engine was seen to read in a second: the sum of what
   // instances saw, and how many did.
-  double mReadSum = 0;
-  double mReadSeen = 0;
+  double mPrefillRateSum = 0;
+  double mPrefillRateCount = 0;
 
   friend bool operator==(const pool_view&, const pool_view&) = default;
 };
@@ -78,7 +80,7 @@
 AddView(pool_view& aSums, const pool_view& aOthers, double aScale = 1);
 
 // Counts what callers ask this instance for.
-class work_meter
+class workload_meter
 {
 public:
   // Kinds held; more than the routes of a pool promise. What comes beyond them
@@ -87,14 +89,14 @@
   static constexpr std::size_t kMaxKinds = 6;
 
   // A caller asks for it, and `aTokens` would have to be read.
-  void OnAsked(const work_kind& aKind, double aTokens, time_point aNow);
-  void OnSent(const work_kind& aKind, time_point aNow);
-  void OnEnded(const work_kind& aKind);
+  void OnRequest(const workload_kind& aKind, double aTokens, time_point aNow);
+  void OnSent(const workload_kind& aKind, time_point aNow);
+  void OnEnded(const workload_kind& aKind);
 
-  demand_sums Demand(time_point aNow) const;
+  demand_by_kind Demand(time_point aNow) const;
 
 private:
-  static constexpr double kSizeMemorySeconds = 30;
+  static constexpr double kSizeTimeConstantSeconds = 30;
 
   struct counts
   {
@@ -102,19 +104,19 @@
     faded_rate mTokens;
     // Sizes change with what callers do, not with how many call: they are taken
     // from many more prompts, as the few longest decide.
-    faded_rate mSizes{ kSizeMemorySeconds };
-    faded_rate mSizeSquares{ kSizeMemorySeconds };
-    std::size_t mOpen = 0;
+    faded_rate mSizes{ kSizeTimeConstantSeconds };
+    faded_rate mSquaredSizes{ kSizeTimeConstantSeconds };
+    std::size_t mInFlight = 0;
   };
 
   // What the rates, which begin at nothing, lack while this instance is new.
-  double StartFactor(time_point aNow) const;
-  counts* Of(const work_kind& aKind, time_point aNow);
+  double WarmUpFactor(time_point aNow) const;
+  counts* FindOrAdd(const workload_kind& aKind, time_point aNow);
 
-  std::map<work_kind, counts> mKinds;
-  std::optional<time_point> mBegun;
+  std::map<workload_kind, counts> mKinds;
+  std::optional<time_point> mFirstRequestAt;
 };
 
 } // namespace thornhollow
 
-#endif // THORNHOLLOW_POLICY_WORK_KIND_H_
+#endif // THORNHOLLOW_POLICY_WORKLOAD_KIND_H_
--- a/thornhollow/wire/relay_codec.cc
+++ b/thornhollow/wire/relay_codec.cc
@@ -85,7 +85,7 @@
   told.__set_requests_per_100_s(Rounded(aKind.mRequests * kHundredths));
   told.__set_tokens_per_s(Rounded(aKind.mTokens));
   told.__set_weighted_tokens(
-    Rounded(aKind.mSquares / std::max(aKind.mTokens, 1.0)));
+    Rounded(aKind.mSquaredTokensPerSecond / std::max(aKind.mTokens, 1.0)));
   told.__set_open(Rounded(aKind.mOpen));
   return told;
 }
@@ -110,8 +110,9 @@
     told.kinds.push_back(Told(each));
   }
   told.__isset.kinds = true;
-  const double seen = std::clamp(Sane(aView.mReadSeen), 0.0, kMostInstances);
-  told.__set_read_per_s(seen > 0 ? Rounded(aView.mReadSum / seen) : 0);
+  const double seen =
+    std::clamp(Sane(aView.mPrefillRateCount), 0.0, kMostInstances);
+  told.__set_read_per_s(seen > 0 ? Rounded(aView.mPrefillRateSum / seen) : 0);
   if (seen > 1) {
     told.__set_read_seen(static_cast<std::int32_t>(seen));
   }
@@ -130,8 +131,8 @@
       aTold.__isset.read_seen
         ? std::clamp<double>(aTold.read_seen, 1, kMostInstances)
         : 1;
-    view.mReadSum = read * seen;
-    view.mReadSeen = seen;
+    view.mPrefillRateSum = read * seen;
+    view.mPrefillRateCount = seen;
   }
   return view;
 }
--- a/thornhollow/wire/relay_codec_test.cc
+++ b/thornhollow/wire/relay_codec_test.cc
@@ -8,8 +8,8 @@
 namespace thornhollow {
 namespace {
 
-constexpr work_kind kNote{ Milliseconds(300), Milliseconds(200) };
-constexpr work_kind kPlan{ Seconds(2), Milliseconds(800) };
+constexpr workload_kind kNote{ Milliseconds(300), Milliseconds(200) };
+constexpr workload_kind kPlan{ Seconds(2), Milliseconds(800) };
 
 relay_hello
 Hello()
@@ -54,7 +54,7 @@
 {
   relay_hello hello = Hello();
   hello.mPeers.assign(6, "255.255.255.255:65535");
-  demand_sums& demand = hello.mDemand.front().mView.mDemand;
+  demand_by_kind& demand = hello.mDemand.front().mView.mDemand;
   demand.push_back({ { Seconds(3), Seconds(2) }, 300, 3e6, 3e6 * 40'000, 900 });
   // What an instance sends at most (relay_peer_link.cc); CAPACITY.md counts on
   // it.
@@ -70,8 +70,8 @@
     { { { Seconds(2), Seconds(1) }, 123, 1e6, 9e9, 900 },
       { { Milliseconds(300), Milliseconds(250) }, 101, 6e4, 6e7, 150 },
       { { Milliseconds(400), Milliseconds(400) }, 185, 3e5, 6e8, 40 } });
-  view.mReadSum = 66'000.0 * 128;
-  view.mReadSeen = 128;
+  view.mPrefillRateSum = 66'000.0 * 128;
+  view.mPrefillRateCount = 128;
   relay_hello hello;
   hello.mBrief = true;
   hello.mAddress = "255.255.255.255:65535";
@@ -112,10 +112,10 @@
     if (const auto hello = DecodeHello(bytes)) {
       CHECK(hello->mWork.size() <= 128);
       for (const pool_demand& each : hello->mDemand) {
-        CHECK(each.mView.mReadSum >= 0);
+        CHECK(each.mView.mPrefillRateSum >= 0);
         CHECK(each.mView.mDemand.size() <= 128);
         for (const kind_demand& kind : each.mView.mDemand) {
-          CHECK(std::isfinite(kind.mSquares));
+          CHECK(std::isfinite(kind.mSquaredTokensPerSecond));
           CHECK(kind.mTokens >= 0);
           CHECK(kind.mRequests >= 0);
           CHECK(kind.mOpen >= 0);
