--- a/thornhollow/policy/clock_gap.h
+++ b/thornhollow/policy/clock_gap.h
@@ -1,18 +1,18 @@
-// Detects that this process stood still: its loop ticks regularly, so a long
-// step of the monotonic clock between two ticks means that it was not running.
+// Detects that this process was paused: its loop ticks regularly, so a long
+// step of the monotonic clock between two ticks means that it did not run.
 //
 //   if (gap.Tick(now)) { Apply(scheduler.OnClockGap(now)); }
 //
-// Load pattern: a process is paused (suspended instance, memory pressure, a
-// debugger) and wakes up late. Without this it goes on with what it believed
-// before: endpoints that left meanwhile look live, old load reports look new,
-// and the pause is learnt as latency of the endpoints.
+// Failure scenario: a process is paused (suspended instance, memory pressure, a
+// debugger) and resumes late. Without detection it continues with outdated
+// state: endpoints that left meanwhile appear live, old load reports appear
+// current, and the pause is measured as latency of the endpoints.
 //
-// Grounds for the figures: the loop ticks every 100 ms; a step of the engines
-// takes 4 ms, and scheduling on a busy small instance delays a tick by tens of
-// milliseconds, so 1 s is ten missed ticks and no busy loop. Load reports and
-// the instance list lag by up to seconds anyway: what changed within a pause of
-// less than 1 s could not have been known without the pause either.
+// Default values: the loop ticks every 100 ms. An engine step takes 4 ms, and
+// scheduling on a busy small instance delays a tick by tens of milliseconds, so
+// 1 s means ten missed ticks rather than a busy loop. Load reports and the
+// instance list lag by up to seconds anyway: a change within a pause of less
+// than 1 s could not have been known without the pause either.
 #ifndef THORNHOLLOW_POLICY_CLOCK_GAP_H_
 #define THORNHOLLOW_POLICY_CLOCK_GAP_H_
 
@@ -24,7 +24,7 @@
 
 struct clock_gap_settings
 {
-  // A longer step between two ticks is a gap.
+  // Longest step between two ticks that is not a gap.
   duration mMaxStep = Seconds(1);
 
   friend bool operator==(const clock_gap_settings&,
@@ -43,8 +43,8 @@
   {
   }
 
-  // Called regularly, before anything else that the loop does in this turn.
-  // True where the process stood still since the tick before.
+  // To be called regularly, before anything else in an iteration of the loop.
+  // Returns true if the process was paused since the previous call.
   bool Tick(time_point aNow)
   {
     const bool wasPaused = mLastTick && aNow - *mLastTick > mSettings.mMaxStep;
--- a/thornhollow/policy/domain_reachability.cc
+++ b/thornhollow/policy/domain_reachability.cc
@@ -27,7 +27,7 @@
 domain_reachability::OnUnreachable(const domain_name& aDomain, time_point aNow)
 {
   domain_state* its = FindOrAdd(aDomain);
-  // Attempts that were on their way are part of the same doubt.
+  // Attempts that were already in flight belong to the same suspicion.
   if (its == nullptr || IsSuspicionActive(*its, aNow)) {
     return false;
   }
@@ -103,7 +103,7 @@
   return aDomain.mSuspectedAt && aNow - *aDomain.mSuspectedAt < maxDuration;
 }
 
-// When a second domain other than the own one came into doubt.
+// When a second domain other than the own one became suspected.
 std::optional<time_point>
 domain_reachability::CutOffAt(time_point aNow) const
 {
--- a/thornhollow/policy/domain_reachability.h
+++ b/thornhollow/policy/domain_reachability.h
@@ -1,24 +1,26 @@
-// Whether another failure domain can be reached from this instance, by what
-// came from there lately.
+// Judges whether another failure domain is reachable from this instance, by
+// what was recently received from it.
 //
-//   domain_reach reach(domain_reach_settings{}, own);
-//   reach.OnUnreached(domain, now);  // no connection to an endpoint there
-//   reach.OnPeerHeard(domain, now);  // another instance's message from there
-//   if (reach.Doubted(domain, now)) { ... }
+//   domain_reachability reach(domain_reachability_settings{}, own);
+//   reach.OnUnreachable(domain, now);   // no connection to an endpoint there
+//   reach.OnPeerMessage(domain, now);   // message from an instance there
+//   if (reach.IsSuspected(domain, now)) { ... }
 //
-// Load this answers: the network between failure domains is cut, with dropped
-// packets or with resets. An instance that judges each endpoint by itself then
-// tries one after the other in the domains beyond the cut and tells its caller
-// that there is none, while those of its own domain idle.
+// Failure scenario: the network between failure domains is partitioned, with
+// dropped packets or with resets. An instance that judges each endpoint on its
+// own would try one after the other in the unreachable domains and then report
+// to its caller that there is none, while the endpoints of its own domain idle.
 //
-// One endpoint that can't be reached may have crashed. So the doubt ends with
-// the next word from its domain, which comes within a fraction of a second
-// where instances run there. Doubts about two other domains at once cast doubt
-// on all: it is this domain that is cut off.
+// A single unreachable endpoint may have crashed. So a suspicion ends with the
+// next message from its domain, which arrives within a fraction of a second
+// where instances run there. If two other domains are suspected at once, all
+// others are that nothing was received from since: it is this domain that is
+// cut off.
 //
-// Words may come through though connections don't. After some doubts in a row
-// without an answer between them words don't end the doubt any more, only time
-// does, so that not every word sends the next request into the cut.
+// Messages may get through although connections do not. After several
+// consecutive suspicions without a response in between, messages no longer end
+// a suspicion and only time does. Otherwise each message would send the next
+// request into the unreachable domain.
 #ifndef THORNHOLLOW_POLICY_DOMAIN_REACHABILITY_H_
 #define THORNHOLLOW_POLICY_DOMAIN_REACHABILITY_H_
 
@@ -34,14 +36,15 @@
 
 struct domain_reachability_settings
 {
-  // A doubt lasts no longer where no instance of the domain was ever heard,
+  // Maximum duration of a suspicion if no message was ever received from an
+  // instance of the domain.
   duration mSuspicionWithoutPeers = Seconds(1);
-  // and where one was, whose silence confirms it.
+  // The same if one was received, so that its silence confirms the suspicion.
   duration mSuspicionWithPeers = Seconds(5);
-  // Doubts in a row that an instance's words end.
+  // Number of consecutive suspicions that messages from instances can end.
   std::uint32_t mMaxClearedByPeers = 3;
-  // Domains known; what comes of more isn't noted. Names come in messages, and
-  // forged ones must not fill the memory.
+  // Maximum number of domains tracked; others are ignored. Domain names arrive
+  // in messages, and forged ones must not exhaust memory.
   std::size_t mMaxDomains = 64;
 
   friend bool operator==(const domain_reachability_settings&,
@@ -54,18 +57,20 @@
   domain_reachability(const domain_reachability_settings& aSettings,
                       domain_name aOwn);
 
-  // An endpoint of the domain gave no sign: no connection could be made, or
-  // nothing came on it in time. Returns whether that is a new doubt.
+  // An endpoint of the domain did not respond: no connection could be made, or
+  // nothing was received on it in time. Returns true if that starts a new
+  // suspicion.
   bool OnUnreachable(const domain_name& aDomain, time_point aNow);
-  // An endpoint of the domain answered.
+  // An endpoint of the domain responded.
   void OnResponse(const domain_name& aDomain, time_point aNow);
-  // An instance of the domain was heard.
+  // A message from an instance of the domain was received.
   void OnPeerMessage(const domain_name& aDomain, time_point aNow);
-  // This process stood still: what wasn't heard meanwhile says nothing.
+  // Ends all suspicions. To be called after this process was paused: that
+  // nothing was received in the meantime proves nothing.
   void ClearSuspicions();
 
   bool AnySuspected(time_point aNow) const;
-  // Whether work is better sent elsewhere.
+  // Whether requests should be sent to other domains.
   bool IsSuspected(const domain_name& aDomain, time_point aNow) const;
 
 private:
@@ -77,7 +82,7 @@
     bool mHasPeer = false;
   };
 
-  // Nothing where there is no room for it.
+  // Returns null if `mMaxDomains` are already tracked.
   domain_state* FindOrAdd(const domain_name& aName);
   bool IsSuspicionActive(const domain_state& aDomain, time_point aNow) const;
   std::optional<time_point> CutOffAt(time_point aNow) const;
--- a/thornhollow/policy/domain_reachability_test.cc
+++ b/thornhollow/policy/domain_reachability_test.cc
@@ -120,8 +120,8 @@
   CHECK_FALSE(reach.IsSuspected(kYard, now + Seconds(1)));
 }
 
-// Guards against forged messages, each with a name of its own, that fill the
-// memory: known domains are judged on, others aren't noted.
+// Forged messages, each with a domain name of its own, must not exhaust memory:
+// known domains are still judged, further ones are ignored.
 TEST_CASE_FIXTURE(four_reachable_domains,
                   "domain_reach/many_names/few_are_noted")
 {
--- a/thornhollow/policy/engine_partition.cc
+++ b/thornhollow/policy/engine_partition.cc
@@ -8,27 +8,27 @@
 namespace thornhollow {
 namespace {
 
-// Of an engine's slots, what requests may take in the mean: each one more makes
-// all others slower, and the rest is for clumps of arrivals.
+// Target fraction of an engine's slots in use on average. Each further request
+// slows down all others, and the remaining slots absorb bunched arrivals.
 constexpr double kTargetSlotUse = 0.6;
-// Engines for bulk work when kinds are kept apart first: what arrived until
-// then is too little to go by, and long prompts need more of them.
+// Fraction of engines for bulk work when kinds are first separated. The demand
+// observed until then is too little to compute it from, and long prompts need
+// more engines.
 constexpr double kInitialBulkFraction = 0.62;
-// Kinds of which less comes than this many requests a second don't count.
+// Kinds with a lower request rate are ignored.
 constexpr double kMinRequestsPerSecond = 0.05;
 
-// When a side counts as full.
+// Targets that define a load of 1 for a side.
 struct side_targets
 {
-  // Part of the time for which its engines read.
+  // Fraction of the time that its engines spend on prefill.
   double mBusy = 0;
-  // What each hundredth of its slots beyond `kSlotsInUse` counts for, as
-  // compared to one before.
+  // Weight of slots in use beyond `kTargetSlotUse`, relative to those below it.
   double mBeyondSlots = 1;
 };
 
-// How full so many engines are with these kinds: 1 where they read for as long,
-// or have as many requests, as they should.
+// Load of `aEngines` engines that serve these kinds: 1 where their prefill time
+// or their number of requests reaches the target.
 double
 SideLoad(std::span<const kind_demand> aKinds,
          std::size_t aEngines,
@@ -51,7 +51,6 @@
     std::min(taken, 1.0) + beyond * aTargets.mBeyondSlots);
 }
 
-// The nearest whole number of engines to a part of them.
 std::size_t
 RoundedFraction(double aFraction, std::size_t aEngines)
 {
@@ -59,7 +58,8 @@
     std::lround(aFraction * static_cast<double>(aEngines)));
 }
 
-// The size of a prompt, weighted by size: what a token that is read belongs to.
+// Prompt size weighted by size: the mean size of the prompt that a prefilled
+// token belongs to.
 double
 WeightedTokens(const kind_demand& aKind)
 {
@@ -103,8 +103,9 @@
   }
 }
 
-// The longest kinds that make up a quarter of all reading, if a few of their
-// prompts in a row take longer to read than streams of another kind may pause.
+// The kinds with the longest prompts that make up a quarter of all prefill
+// work, if a few of their prompts in a row take longer to prefill than the
+// streams of another kind may pause; empty otherwise.
 std::vector<workload_kind>
 engine_partition::KindsToSeparate(demand_by_kind aArriving,
                                   const pool_capacity& aCapacity) const
@@ -196,8 +197,8 @@
   RecordMove(aNow);
 }
 
-// What came in the first moment says little, and few streams have begun on the
-// wrong engines: a first choice is taken back sooner.
+// The first arrivals are a poor sample, and few streams have started on the
+// wrong engines by then, so an initial choice is revised sooner.
 duration
 engine_partition::KindChangeDelay(time_point aNow) const
 {
--- a/thornhollow/policy/engine_partition.h
+++ b/thornhollow/policy/engine_partition.h
@@ -1,36 +1,43 @@
-// Which kinds of work a pool's engines keep apart, and how many engines each
-// side gets.
+// Decides which workload kinds of a pool are separated from the others, and how
+// many engines each side of the partition gets.
 //
-//   engine_border border(engine_border_settings{});
-//   border.Observe(demand, { .mEngines = 9, .mReadPerSecond = 60'000 }, now);
-//   if (border.IsBulk(kind)) { ... one of border.Bulk() engines ... }
+//   engine_partition partition(engine_partition_settings{});
+//   partition.Observe(demand,
+//                     { .mEngines = 9, .mPrefillTokensPerSecond = 60'000 },
+//                     now);
+//   if (partition.IsBulk(kind)) {
+//     ... one of partition.BulkEngines() engines ...
+//   }
 //
-// Load pattern: long prompts beside streams that may not pause. An engine reads
-// prompts in chunks between the steps of all its streams, so while it has
-// prompts to read each event takes as many chunks as it has tokens. Streams
-// that promise shorter pauses are late then, if the reading lasts.
+// Load pattern: long prompts run beside streams that allow only short pauses.
+// An engine prefills prompts in chunks between the decode steps of all its
+// streams, so while it has prompts to prefill, each event takes as many chunks
+// as it has tokens. If the prefill lasts, streams that promise shorter pauses
+// are late.
 //
-// Kept apart are the longest kinds that make up a quarter of the reading, if a
-// few of their prompts in a row take longer to read than another kind's streams
-// may pause. Where no stream is in danger, or only one kind of work comes,
-// nothing is kept apart and no engine waits for work that doesn't come. How
-// urgent a route is doesn't decide: where every route is, long prompts still
-// break short pauses.
+// The separated kinds are those with the longest prompts that together make up
+// a quarter of the prefill work, provided that a few of their prompts in a row
+// take longer to prefill than the streams of another kind may pause. Where no
+// stream is at risk, or only one workload kind arrives, nothing is separated
+// and no engine idles for work that does not come. The urgency of a route does
+// not matter: where every route is urgent, long prompts still break short
+// pauses.
 //
-// A fixed border is wrong in a burst, which is of one kind or the other. So the
-// border follows what arrives. It is worked out from sums over all
-// instances, so they agree on it without asking each other; and it moves only
-// where one side is too full, by a ninth of the engines at a time, no sooner
-// than `mHold` after the last move, so that it doesn't flap: each move breaks
-// the streams on the engines that change sides.
+// A fixed partition is wrong during a burst, which consists of one kind or the
+// other, so the partition follows the arriving work. It is computed from sums
+// over all instances, so that they agree on it without asking each other. It
+// moves only when one side is overloaded, by a ninth of the engines at a time
+// and no sooner than `mMinMoveInterval` after the last move. This prevents
+// oscillation: each move interrupts the streams on the engines that change
+// sides.
 //
-// Engines that run few requests at a time are short of slots before they are
-// busy reading. Both sides are then filled alike up to a share of their slots;
-// beyond it the interactive side gets engines first.
+// Engines that run few requests at a time run out of slots before prefill
+// saturates them. Both sides are then filled equally up to a fraction of their
+// slots; beyond it, the interactive side gets engines first.
 //
-// The interactive side is to be busy 25% of the time where the bulk one is busy
-// 50%: a burst doubles either, and short streams pause on an engine that is
-// busy half of the time.
+// The interactive side is targeted at 25% utilization and the bulk side at 50%:
+// a burst doubles either, and short streams pause on an engine that is busy
+// half of the time.
 #ifndef THORNHOLLOW_POLICY_ENGINE_PARTITION_H_
 #define THORNHOLLOW_POLICY_ENGINE_PARTITION_H_
 
@@ -45,63 +52,66 @@
 
 struct engine_partition_settings
 {
-  // False: all engines take all work.
+  // If false, all engines take all work.
   bool mSeparate = true;
-  // Of all reading, what the kinds that are kept apart make up at least: the
-  // rest is what few prompts do, and finds room beside the streams.
+  // Minimum fraction of all prefill work that the separated kinds make up. The
+  // rest comes from few prompts, which fit beside the streams.
   double mMinBulkFraction = 0.25;
-  // So many prompts in a row must take longer to read than streams beside them
-  // may pause: engines that are busy for half of the time have such rows in the
-  // life of most streams. What is kept apart stays so until even twice as many
-  // take less.
+  // Kinds are separated if this many of their prompts in a row take longer to
+  // prefill than the streams beside them may pause. Engines that are busy half
+  // of the time see such a run of prompts during the life of most streams. A
+  // separated kind stays separated until even twice as many prompts take less
+  // time.
   double mConsecutivePrompts = 6;
   double mConsecutivePromptsToMerge = 12;
-  // Between two moves: a wave of arrivals takes longer, a stream less.
+  // Minimum time between two moves: longer than a stream lasts, shorter than a
+  // wave of arrivals.
   duration mMinMoveInterval = Milliseconds(700);
-  // For so long other kinds must ask to be kept apart than are now: streams of
-  // before are on the wrong engines until they have ended, which takes some
-  // seconds.
+  // A different set of kinds must qualify for this long before it replaces the
+  // current one. Streams that started earlier are on the wrong engines until
+  // they end, which takes some seconds.
   duration mKindChangeDelay = Seconds(3);
-  // Engines that change sides in one move, as a part of all, one at least: one
-  // of nine. By one of ninety at a time a burst of eight seconds was over
-  // before the border had followed.
+  // Fraction of all engines that change sides in one move, at least one engine;
+  // one of nine by default. Moving one of ninety engines at a time, the
+  // partition had not yet followed a burst of eight seconds when it ended.
   double mStepFraction = 0.11;
-  // Busy shares at which both sides count as equally loaded.
+  // Utilizations at which both sides count as equally loaded.
   double mBulkUtilization = 0.5;
   double mInteractiveUtilization = 0.25;
-  // Slots that interactive work takes beyond the share that it should count for
-  // so many times as much. Its first event is due long before a stream gives a
-  // slot back, so that a short queue makes all of it late; bulk work can wait a
-  // little, and what is too much of it is refused.
+  // Weight of the slots that interactive work uses beyond the target fraction.
+  // Its first event is due long before a stream frees a slot, so even a short
+  // queue makes all of it late. Bulk work can wait a little, and its excess is
+  // rejected.
   double mExcessSlotWeight = 6;
-  // No move while the fuller side is no fuller than this part of its busy
-  // share: each one mixes the work of both sides on one engine until the
+  // No move while the load of the more loaded side is at most this multiple of
+  // its target. Each move mixes the work of both sides on an engine until the
   // streams there have ended.
   double mMoveThreshold = 1;
-  // Another border must be better by this factor before it is moved to.
+  // The partition moves only if that reduces the load by at least this factor.
   double mMinImprovement = 1.15;
-  // Engines on either side at least, as a part of all and as a number: with
-  // fewer the loss of one engine takes half of a side's room or more.
+  // Minimum number of engines on each side, as a fraction of all and as a
+  // count. With fewer, the loss of one engine removes half of a side's capacity
+  // or more.
   double mMinSideFraction = 0.11;
   std::size_t mMinSideEngines = 2;
-  // Below this many engines nothing is kept apart: a side of one has no room
-  // for a long prompt and no second choice.
+  // With fewer engines nothing is separated: a side of one engine has no
+  // capacity for a long prompt and no alternative.
   std::size_t mMinEngines = 4;
 
   friend bool operator==(const engine_partition_settings&,
                          const engine_partition_settings&) = default;
 };
 
-// What is known of a pool's engines.
+// Capacity of a pool's engines.
 struct pool_capacity
 {
   std::size_t mEngines = 0;
-  // Prompt tokens that one reads in a second, in the mean.
+  // Mean prefill rate of one engine, in tokens per second.
   double mPrefillTokensPerSecond = 0;
-  // Requests that one runs at a time; 0: not stated.
+  // Requests that one engine runs at a time; 0 if unknown.
   std::size_t mSlotsPerEngine = 0;
-  // Those that read so slowly that streams beside any prompt are late: they are
-  // for bulk work.
+  // Engines whose prefill is so slow that streams beside any prompt are late.
+  // They are used for bulk work.
   std::size_t mSlowEngines = 0;
 
   friend bool operator==(const pool_capacity&, const pool_capacity&) = default;
@@ -116,7 +126,7 @@
                const pool_capacity& aCapacity,
                time_point aNow);
 
-  // Engines for bulk work; all of them where nothing is kept apart.
+  // Number of engines for bulk work; all of them if nothing is separated.
   std::size_t BulkEngines() const { return mBulkEngines; }
   bool IsPartitioned() const
   {
@@ -126,7 +136,7 @@
   bool IsBulk(const workload_kind& aKind) const;
 
 private:
-  // What arrives, by where it goes.
+  // Arriving work, by the side that it goes to.
   struct side_demands
   {
     demand_by_kind mBulk;
@@ -144,7 +154,7 @@
                          time_point aNow);
   duration KindChangeDelay(time_point aNow) const;
   side_demands SplitBySide(const demand_by_kind& aArriving) const;
-  // How full the fuller side is with `aBulk` engines for bulk work.
+  // Load of the more loaded side if `aBulk` engines are used for bulk work.
   double MaxLoad(const side_demands& aDemands,
                  std::size_t aBulk,
                  const pool_capacity& aCapacity) const;
@@ -159,12 +169,12 @@
   std::size_t mEngines = 0;
   std::size_t mBulkEngines = 0;
   std::vector<workload_kind> mBulkKinds;
-  // Kept apart from the count, so that engines that join one by one don't shift
-  // it by rounding.
+  // Stored in addition to the count, so that rounding does not shift the
+  // partition as engines join one by one.
   double mBulkFraction = 1;
   std::optional<time_point> mLastMove;
   std::optional<time_point> mFirstDemandAt;
-  // Since when other kinds would be kept apart than are.
+  // Since when the kinds to separate differ from the current ones.
   std::optional<time_point> mKindsDifferSince;
 };
 
--- a/thornhollow/policy/engine_partition_test.cc
+++ b/thornhollow/policy/engine_partition_test.cc
@@ -18,8 +18,8 @@
   return { aKind, aTokens / aSize, aTokens, aTokens * aSize, 0 };
 }
 
-// Prompt tokens a second of long prompts and of short ones beside streams that
-// may not pause.
+// Demand in prompt tokens per second: long prompts, and short ones whose
+// streams allow only short pauses.
 demand_by_kind
 Demand(double aPlans, double aNotes)
 {
@@ -80,8 +80,8 @@
   CHECK(mPartition.BulkEngines() == 2);
 }
 
-// A site's only work were long prompts; four of its eighteen engines stood idle
-// for short ones that never came, and a third of the prompts began late.
+// If only long prompts arrive, engines reserved for short ones idle: with four
+// of eighteen engines reserved, a third of the prompts started late.
 TEST_CASE_FIXTURE(partition_of_nine_engines,
                   "engine_border/one_kind_only/no_engine_stands_idle")
 {
@@ -94,8 +94,8 @@
   CHECK(mPartition.BulkEngines() == 9);
 }
 
-// The long prompts were the urgent ones, and streams of the short ones could
-// wait for a second between events: nothing is to be kept from anything.
+// Urgency must not cause a separation: here the long prompts are urgent, but
+// streams of the short ones may pause for a second, so no stream is at risk.
 TEST_CASE_FIXTURE(partition_of_nine_engines,
                   "engine_border/streams_may_pause_long/nothing_is_kept_apart")
 {
@@ -106,9 +106,10 @@
   CHECK_FALSE(mPartition.IsPartitioned());
 }
 
-// All routes promised a first event within 600 ms, so nothing counted as work
-// that may wait, and long prompts were read beside all short streams: 1,500 of
-// 2,660 of these paused for too long.
+// If only work with a long target counted as bulk, nothing would be separated
+// where all routes promise a first event within 600 ms. Long prompts were then
+// prefilled beside all short streams, and 1,500 of 2,660 of these paused for
+// too long.
 TEST_CASE_FIXTURE(partition_of_nine_engines,
                   "engine_border/targets_alike/long_prompts_are_kept_apart")
 {
@@ -121,9 +122,9 @@
   CHECK_FALSE(mPartition.IsBulk(help));
 }
 
-// The first prompts of a day were some of the middle kind; taken for the long
-// ones, they had engines of their own for three seconds, and the long ones were
-// read beside all the short streams.
+// The first arrivals may be mostly medium prompts. If these keep engines of
+// their own for the full three seconds, the long prompts are meanwhile
+// prefilled beside all short streams.
 TEST_CASE_FIXTURE(partition_of_nine_engines,
                   "engine_border/first_moment_misleads/is_taken_back_soon")
 {
@@ -151,8 +152,8 @@
   CHECK(mPartition.BulkEngines() == 4);
 }
 
-// Ninety engines met a burst of eight seconds; the border moved by one of them
-// every 0.7 s, and the burst was over before it had got anywhere.
+// With moves of a single engine every 0.7 s, a pool of ninety engines does not
+// follow a burst of eight seconds before it ends.
 TEST_CASE("engine_border/ninety_engines/follows_a_burst_as_soon_as_nine")
 {
   engine_partition partition{ engine_partition_settings{} };
@@ -177,8 +178,8 @@
 
 TEST_CASE("engine_border/engines_join_one_by_one/part_is_kept")
 {
-  // Short streams had two of nine engines instead of three: the part was
-  // rounded up anew with each engine that joined.
+  // If the fraction is rounded anew each time an engine joins, the bulk side
+  // grows: short streams ended up with two of nine engines instead of three.
   engine_partition partition{ engine_partition_settings{} };
   const time_point now = time_point() + Seconds(1);
   partition.Observe(Demand(90'000, 20'000), Engines(9), now);
--- a/thornhollow/policy/engine_sides.cc
+++ b/thornhollow/policy/engine_sides.cc
@@ -66,7 +66,8 @@
          aNow - *found->second.mChangedAt < mSettings.mDrainTime;
 }
 
-// Forgets who is gone; newcomers, which have no streams, go where they belong.
+// Removes engines that have left. New engines, which have no streams, are
+// assigned directly to the side given by their position.
 void
 engine_sides::SyncEngines(const std::vector<side_candidate>& aOrder,
                           std::size_t aBulk)
@@ -83,7 +84,8 @@
   mAssignments = std::move(kept);
 }
 
-// The first in order become bulk, the last interactive.
+// Moves engines to the bulk side from the front of the order, and to the
+// interactive side from its end.
 void
 engine_sides::AdjustCount(const std::vector<side_candidate>& aOrder,
                           std::size_t aBulk,
@@ -122,7 +124,7 @@
   }
 }
 
-// False where all are where they belong.
+// Returns false if all engines are on the side given by the order.
 bool
 engine_sides::ExchangePair(const std::vector<side_candidate>& aOrder,
                            std::size_t aBulk,
--- a/thornhollow/policy/engine_sides.h
+++ b/thornhollow/policy/engine_sides.h
@@ -1,23 +1,24 @@
-// Which engines of a pool take bulk work and which interactive, given how many
-// the border leaves to each.
+// Assigns the engines of a pool to bulk or interactive work, given how many the
+// partition grants to each side.
 //
 //   engine_sides sides(engine_sides_settings{});
 //   sides.Observe(engines, 5, !demand, now);
-//   if (sides.Of(number) == engine_side::kBulk &&
-//       !sides.Clearing(number, now)) { ... }
+//   if (sides.SideOf(id) == engine_side::kBulk &&
+//       !sides.IsDraining(id, now)) { ... }
 //
 // Load pattern: an engine changes sides while interactive streams run on it,
-// since the border moved or the engine turned out to be slow. Long prompts that
-// come to it at once break the pauses of all those streams: in one calm hour 45
-// of 61 late interactive streams had been begun on an engine that then became a
-// bulk one, their pauses 250 to 320 ms at a promise of 200. So bulk work passes
-// over such an engine until most of its streams have ended.
+// because the partition moved or the engine turned out to be slow. If long
+// prompts are sent to it at once, they break the pause limits of all these
+// streams: in one hour of steady load, 45 of 61 late interactive streams had
+// started on an engine that then became a bulk engine, with pauses of 250 to
+// 320 ms against a limit of 200 ms. So bulk work skips such an engine until
+// most of its streams have ended.
 //
-// All instances come to the same sides by the same engines and the same border,
-// without asking each other. Exchanges are few at a time: three of nine
-// engines found slow within two seconds had taken three fifths of the bulk
-// side's sessions from their engines at once, and 150 thousand prompt tokens
-// were read again.
+// All instances derive the same sides from the same engines and the same
+// partition without asking each other. Only a few engines are exchanged at a
+// time: when three of nine engines were found slow within two seconds and were
+// exchanged at once, three fifths of the bulk side's sessions lost their engine
+// and 150 thousand prompt tokens had to be prefilled again.
 #ifndef THORNHOLLOW_POLICY_ENGINE_SIDES_H_
 #define THORNHOLLOW_POLICY_ENGINE_SIDES_H_
 
@@ -33,31 +34,31 @@
 
 struct engine_sides_settings
 {
-  // For so long bulk work passes over an engine that was an interactive one: of
-  // interactive streams nine in ten end within 3 s (58 events of 5 tokens on
-  // average, 22 ms each).
+  // How long bulk work skips an engine that was interactive. Nine in ten
+  // interactive streams end within 3 s (58 events of 5 tokens on average, 22 ms
+  // each).
   duration mDrainTime = Seconds(3);
-  // Between two exchanges of engines between the sides: as long as an engine
-  // clears, so that no more than this part of them (one at least) clears at a
-  // time.
+  // Time between two exchanges of engines between the sides. It equals the
+  // drain time, so that no more than `mExchangeFraction` of the engines (at
+  // least one) drain at a time.
   duration mExchangeInterval = Seconds(3);
   double mExchangeFraction = 0.11;
-  // For so long it counts where an engine was before: as long as an engine's
-  // memory of a prompt is worth anything.
+  // How long the previous side of an engine is remembered: as long as the
+  // prompts in its cache are of use.
   duration mPreviousSideRetention = Seconds(30);
 
   friend bool operator==(const engine_sides_settings&,
                          const engine_sides_settings&) = default;
 };
 
-// An engine that takes new work.
+// An engine that accepts new work.
 struct side_candidate
 {
-  // Tells it from others of the pool for as long as it is there.
+  // Unique within the pool for as long as the engine is part of it.
   std::uint32_t mId = 0;
-  // Goes to the bulk side first.
+  // Slow engines are assigned to the bulk side first.
   bool mSlow = false;
-  // Decides among equals; the same on every instance.
+  // Breaks ties; the same on every instance.
   std::uint64_t mRank = 0;
 
   friend bool operator==(const side_candidate&,
@@ -75,29 +76,31 @@
 public:
   explicit engine_sides(const engine_sides_settings& aSettings);
 
-  // `aBulk` of `aEngines` are to be bulk. `aIdle`: no work is on its way
-  // to any, so that all may change sides at once.
+  // Assigns `aBulk` of `aEngines` to the bulk side. `aIdle`: no work is on its
+  // way to any engine, so that all may change sides at once.
   void Observe(std::vector<side_candidate> aEngines,
                std::size_t aBulk,
                bool aIdle,
                time_point aNow);
 
-  // Nothing for an engine that the last observation didn't name.
+  // Empty for an engine that was not part of the last observation.
   std::optional<engine_side> SideOf(std::uint32_t aId) const;
 
-  // On which side it was before it changed sides within `mRemember`; else its
-  // side.
+  // The side before the last change if that change is more recent than
+  // `mPreviousSideRetention`; otherwise the current side. Empty for an unknown
+  // engine.
   std::optional<engine_side> PreviousSide(std::uint32_t aId,
                                           time_point aNow) const;
 
-  // It is a bulk one, but interactive streams may still run on it.
+  // Whether the engine is a bulk engine on which interactive streams may still
+  // run.
   bool IsDraining(std::uint32_t aId, time_point aNow) const;
 
 private:
   struct assignment
   {
     engine_side mSide = engine_side::kInteractive;
-    // When it came from the other side.
+    // When the engine last changed sides.
     std::optional<time_point> mChangedAt = std::nullopt;
   };
 
--- a/thornhollow/policy/engine_sides_test.cc
+++ b/thornhollow/policy/engine_sides_test.cc
@@ -59,9 +59,8 @@
   CHECK(Clearing().empty());
 }
 
-// The border left one engine more to long prompts. They came to it at once,
-// beside the interactive streams that it had, and each of those paused too
-// long.
+// An engine that becomes a bulk engine still runs interactive streams. If long
+// prompts are sent to it at once, each of these streams pauses too long.
 TEST_CASE_FIXTURE(condition, "engine_sides/border_moves/engine_clears_first")
 {
   Observe(6);
@@ -80,8 +79,8 @@
   CHECK(Clearing().empty());
 }
 
-// Three engines were found slow within two seconds. All changed sides at once:
-// three fifths of the sessions lost the engine that held their prompts.
+// Three engines are found slow within two seconds. If all are exchanged at
+// once, three fifths of the sessions lose the engine that caches their prompts.
 TEST_CASE_FIXTURE(condition, "engine_sides/several_are_slow/one_at_a_time")
 {
   for (const std::uint32_t slow : { 6U, 7U, 8U }) {
@@ -125,8 +124,8 @@
   CHECK(mSubject.SideOf(0) == std::nullopt);
 }
 
-// Instances that started at other times, or saw other moves, send alike after
-// a while.
+// Instances that started at different times or saw different moves must
+// converge to the same sides.
 TEST_CASE_FIXTURE(condition, "engine_sides/other_past/same_sides_in_the_end")
 {
   engine_sides other{ engine_sides_settings{} };
--- a/thornhollow/policy/minimum_share.h
+++ b/thornhollow/policy/minimum_share.h
@@ -1,26 +1,29 @@
-// Keeps each class's guaranteed minimum share of a pool, as a credit in cost.
+// Tracks a class's guaranteed minimum share of a pool as a credit in units of
+// cost.
 //
 //   minimum_share share(0.15);
-//   share.Accrue(servedCost, isWaiting, nextCost);   // the pool served work
-//   if (share.IsOwed(nextCost)) { ... share.Spend(nextCost); }
+//   share.Accrue(servedCost, nextCost);   // the pool served work
+//   if (share.IsEligible(nextCost)) { ... share.Spend(nextCost); }
 //
-// Load pattern: a higher tier asks for more than the whole pool for as long as
-// it likes. Strict tier order alone then never serves the lower classes, and
-// they starve. Each class with a share saves that part of all the cost that the
-// pool serves; once it saved the cost of its next request, that request goes
+// Load pattern: a higher tier demands more than the whole pool for an unlimited
+// time. Strict tier order alone would then never serve the lower classes and
+// starve them. Each class with a share accrues that fraction of all cost that
+// the pool serves. Once its credit covers its next request, that request goes
 // before the higher tiers.
 //
-// That is no service taken from a higher tier: the shares of all classes add up
-// to at most 1, and a class's own part was never the higher tier's.
+// This takes no guaranteed service from a higher tier: the shares of all
+// classes add up to at most 1, and a class's own share never belonged to the
+// higher tier.
 //
-// Grounds for the figures: a class can save no more than its next request's
-// cost, so that it can't collect a claim while it waits for nothing and then
-// crowd out a higher tier in one go; and it saves from zero when it has nothing
-// waiting, so that a class that asks for less than its share is served by tier
-// order, not before it. What a class was served by tier order counts as well,
-// up to 16 requests' cost: a share is kept over some tens of requests, not in
-// each moment. With a debt of one request the class was paid twice, by its turn
-// in quiet moments and by its share; the highest tier attained less.
+// Limits: the credit is capped at the cost of the class's next request. A class
+// cannot accumulate a claim while nothing of it waits and then displace a
+// higher tier all at once. While nothing of it waits, its credit is at most
+// zero, so a class that demands less than its share is served in tier order and
+// not before it. Service in tier order also counts against the share, up to a
+// debt of 16 requests' cost, so that the share holds over some tens of requests
+// rather than at every moment. With a debt limit of one request a class was
+// served twice, by tier order at times of low load and by its share, and the
+// highest tier attained less.
 #ifndef THORNHOLLOW_POLICY_MINIMUM_SHARE_H_
 #define THORNHOLLOW_POLICY_MINIMUM_SHARE_H_
 
@@ -31,39 +34,41 @@
 class minimum_share
 {
 public:
-  // A part of the pool between 0 and 1.
+  // `aShare`: fraction of the pool, between 0 and 1.
   explicit minimum_share(double aShare)
     : mShare(aShare)
   {
   }
 
-  // The pool served work of this cost, or could have. `aNextCost` is the cost
-  // of the class's next request; 0 where none waits.
+  // The pool served work of cost `aServed`, or could have. `aNextCost` is the
+  // cost of the class's next request; 0 if none waits.
   void Accrue(double aServed, double aNextCost)
   {
     mCredit = std::min(mCredit + mShare * aServed, aNextCost);
   }
 
-  // Whether the next request, of this cost, may go before higher tiers.
+  // Whether the next request, of cost `aNextCost`, may go before higher tiers.
   bool IsEligible(double aNextCost) const
   {
     return mShare > 0 && aNextCost > 0 && mCredit >= aNextCost;
   }
 
-  // A request of the class, of this cost, was served, for whatever reason.
+  // A request of the class, of cost `aCost`, was served for any reason.
   void Spend(double aCost)
   {
     mCredit = std::max(mCredit - aCost, -kMaxDebtRequests * aCost);
   }
 
-  // A request for which `aExpected` was spent cost `aActual`.
+  // Corrects the credit for a request that was charged `aExpected` and cost
+  // `aActual`.
   void Settle(double aExpected, double aActual)
   {
     mCredit =
       std::max(mCredit + aExpected - aActual, -kMaxDebtRequests * aActual);
   }
 
-  // Cost that the pool must still serve until the next request is owed.
+  // Cost that the pool must still serve until the next request is eligible; 0
+  // for a class without a share.
   double CostUntilEligible(double aNextCost) const
   {
     return mShare > 0 ? std::max(0.0, aNextCost - mCredit) / mShare : 0;
@@ -72,7 +77,7 @@
   double Share() const { return mShare; }
 
 private:
-  // Requests.
+  // In multiples of the cost of a request.
   static constexpr double kMaxDebtRequests = 16;
 
   double mShare;
--- a/thornhollow/policy/retry_budget.h
+++ b/thornhollow/policy/retry_budget.h
@@ -1,23 +1,24 @@
-// Bounds how much work retries add: a share of the successes of the request's
-// class and of the endpoint that failed it, with a small floor.
+// Limits the load added by retries to a fraction of the successes, both of the
+// request's class and of the endpoint that failed it, plus a small constant
+// rate.
 //
 //   retry_budget budget(retry_budget_settings{});
 //   budget.OnSuccess(item.mClass, endpoint, now);
-//   if (budget.Spend(item.mClass, failedEndpoint, now)) { ... run again ... }
+//   if (budget.Spend(item.mClass, failedEndpoint, now)) { ... retry ... }
 //
-// Load pattern: endpoints fail because they are overloaded, or answer nothing
-// at all. Without a budget every failure becomes one more attempt, the attempts
+// Load pattern: endpoints fail because they are overloaded, or do not respond
+// at all. Without a budget every failure causes another attempt, the attempts
 // multiply the load that caused the failures, and the overload outlasts its
-// cause. The budget is kept for the class too, so that one class's retries
-// can't spend what another class's successes earned.
+// cause. Budgets are also kept per class, so that the retries of one class
+// cannot spend what the successes of another class earned.
 //
-// Grounds for the figures: with a share of 0.1 retries add at most a tenth to
-// the load in steady state, which is less than the headroom at which the first
-// token's target still holds. The reserve is what one endpoint may hold in
-// flight when it crashes (tens of slots): each of those requests needs one
-// retry at once, and without a reserve a crash would be answered with refusals
-// although the other endpoints have places. The floor of one retry in ten
-// seconds lets a class with hardly any traffic survive a broken connection.
+// Default values: with a ratio of 0.1, retries add at most a tenth to the load
+// in steady state, which is less than the headroom at which the first-token
+// target still holds. The reserve is what one endpoint may have in flight when
+// it crashes (tens of slots): each of those requests needs one retry at once,
+// and without a reserve a crash would cause rejections although the other
+// endpoints have free slots. The minimum rate of one retry in ten seconds lets
+// a class with hardly any traffic survive a broken connection.
 #ifndef THORNHOLLOW_POLICY_RETRY_BUDGET_H_
 #define THORNHOLLOW_POLICY_RETRY_BUDGET_H_
 
@@ -32,11 +33,12 @@
 
 struct retry_budget_settings
 {
-  // Retries that one success earns.
+  // Retries earned per success.
   double mRatio = 0.1;
-  // Retries a second that are free of charge.
+  // Retries per second that are granted without any success.
   double mFloorPerSecond = 0.1;
-  // Most retries saved up; also what a class or endpoint starts with.
+  // Maximum number of retries saved; also the initial balance of a class or
+  // endpoint.
   double mReserve = 32;
 
   friend bool operator==(const retry_budget_settings&,
@@ -48,21 +50,22 @@
 public:
   explicit retry_budget(const retry_budget_settings& aSettings);
 
-  // Forgets classes and endpoints that are no longer declared.
+  // Removes classes and endpoints that are no longer declared.
   void Configure(const declarations& aDeclared);
 
-  // A request of `aClass` got its whole answer from `aEndpoint`.
+  // A request of `aClass` received its complete response from `aEndpoint`.
   void OnSuccess(const class_name& aClass,
                  const endpoint_name& aEndpoint,
                  time_point aNow);
 
-  // Takes one retry for a request of `aClass` that `aEndpoint` failed. False,
-  // and nothing taken, where the class's or the endpoint's budget is spent.
+  // Takes one retry for a request of `aClass` that failed at `aEndpoint`.
+  // Returns false and takes nothing if the budget of the class or the endpoint
+  // is exhausted.
   bool Spend(const class_name& aClass,
              const endpoint_name& aEndpoint,
              time_point aNow);
 
-  // Budgets held, for metrics and memory figures.
+  // Number of budgets held, for metrics and memory accounting.
   std::size_t size() const { return mByClass.size() + mByEndpoint.size(); }
 
 private:
--- a/thornhollow/policy/retry_budget_test.cc
+++ b/thornhollow/policy/retry_budget_test.cc
@@ -26,9 +26,9 @@
   };
 };
 
-// An overloaded endpoint answers one request in ten. Each caller whose request
-// failed is tried again, each try fails as well, and the endpoint gets a
-// multiple of the load that it could not carry in the first place.
+// An overloaded endpoint answers one request in ten. If every failed request is
+// retried, the retries fail as well and multiply the load that overloaded the
+// endpoint in the first place.
 TEST_CASE_FIXTURE(two_classes,
                   "retry_budget/most_attempts_fail/adds_a_share_of_successes")
 {
@@ -36,7 +36,7 @@
   for (int i = 0; i < 40; ++i) {
     mBudget.OnSuccess(mFirst, mEndpoint, kStart);
   }
-  // 40 successes at a share of 0.1; a sum of tenths may stay just below 4.
+  // 40 successes at a ratio of 0.1; rounding may leave the sum just below 4.
   const int spent = SpendAll(mFirst, kStart);
   CHECK(spent >= 3);
   CHECK(spent <= 4);
--- a/thornhollow/policy/shared_retry_budget.cc
+++ b/thornhollow/policy/shared_retry_budget.cc
@@ -5,8 +5,8 @@
 namespace thornhollow {
 namespace {
 
-// Slices that a window is counted in. A slice counts whole until it has left
-// the window, which errs on the side of fewer retries.
+// Slices per window. A slice counts in full until it has left the window, which
+// errs towards fewer retries.
 constexpr int kSlices = 20;
 
 } // namespace
@@ -32,8 +32,8 @@
   std::uint64_t retries = 0;
   for (const slice& each : mPools[aPool]) {
     retries += each.mRetries;
-    // The oldest slice may lie outside the window in part: its retries count
-    // here, its requests don't.
+    // The oldest slice may lie partly outside the window: its retries count
+    // here, its requests do not.
     if (each.mBegin >= aNow - mSettings.mWindow) {
       requests += each.mRequests;
     }
--- a/thornhollow/policy/shared_retry_budget.h
+++ b/thornhollow/policy/shared_retry_budget.h
@@ -1,20 +1,21 @@
-// Bounds what retries add to the work of a pool, over all instances together,
-// without any of them asking another.
+// Limits the load that retries add to a pool over all instances together,
+// without communication between them.
 //
 //   shared_retry_budget budget(settings);
 //   budget.OnRequest(pool, now);
-//   if (budget.Spend(pool, now)) { ... send it once more ... }
+//   if (budget.Spend(pool, now)) { ... retry ... }
 //
 // Load pattern: endpoints fail because they are overloaded, or are all gone at
-// once. Every instance then sends each request once more, and the load doubles
-// when there is least room for it.
+// once. Every instance then retries each request, and the load doubles when
+// there is the least capacity for it.
 //
-// The bound over the fleet is a ratio of the requests plus a fixed amount, in
-// any window. Each instance keeps to the ratio of its own requests, and to its
-// part of the fixed amount: the sums over all instances then keep to the bound
-// whatever each of them believes of the others, as long as none believes in
-// fewer instances than there are. So the number used is the largest seen
-// lately, and an instance that has met no peer yet takes a small part.
+// The limit for the fleet is a ratio of the requests plus a fixed number, in
+// any window. Each instance keeps to the ratio of its own requests and to its
+// fraction of the fixed number. The sums over all instances then keep the limit
+// whatever number of instances each of them assumes, as long as none assumes
+// fewer than there are. So the number used is the largest seen recently, and an
+// instance that has not yet received a message from any peer takes a small
+// fraction.
 #ifndef THORNHOLLOW_POLICY_SHARED_RETRY_BUDGET_H_
 #define THORNHOLLOW_POLICY_SHARED_RETRY_BUDGET_H_
 
@@ -30,15 +31,16 @@
 
 struct shared_retry_budget_settings
 {
-  // Retries for each request of a pool within the window.
+  // Retries per request of a pool within the window.
   double mRatio = 0.2;
-  // Retries beside them, over all instances.
+  // Retries in addition to these, over all instances.
   double mFixedRetries = 50;
   duration mWindow = Seconds(10);
-  // Part of the bound that is used: an endpoint may count a request into the
-  // next window, and a retry into this one.
+  // Fraction of the limit that is used: an endpoint may count a request in the
+  // next window, and a retry in this one.
   double mBoundFraction = 0.9;
-  // Assumed until a peer was heard: letter 1's size has 38 in a failure domain.
+  // Number of instances assumed until a message from a peer is received. A
+  // large fleet has 38 in a failure domain.
   std::size_t mAssumedInstances = 38;
 
   friend bool operator==(const shared_retry_budget_settings&,
@@ -53,10 +55,11 @@
   // A caller sent a request for this pool.
   void OnRequest(const pool_name& aPool, time_point aNow);
 
-  // Takes one retry; false, and nothing taken, where none is left.
+  // Takes one retry. Returns false and takes nothing if none is left.
   bool Spend(const pool_name& aPool, time_point aNow);
 
-  // Instances that run, this one included; 0 while no peer was heard.
+  // Number of running instances, including this one; 0 while no message from a
+  // peer was received.
   void SetInstances(std::size_t aCount) { mInstances = aCount; }
 
 private:
--- a/thornhollow/policy/tier_pressure.cc
+++ b/thornhollow/policy/tier_pressure.cc
@@ -10,7 +10,8 @@
 {
 }
 
-// A wait that halves each half-life counts until it falls below the least one.
+// The reported wait is halved every half-life; the restriction ends when it
+// falls below the minimum wait.
 time_point
 peer_pressure::RestrictionEnd(duration aWait, time_point aMeasured) const
 {
--- a/thornhollow/policy/tier_pressure.h
+++ b/thornhollow/policy/tier_pressure.h
@@ -1,21 +1,23 @@
-// What entry instances tell each other about a pool under load, so that tier
-// order holds over all of them and not only inside each.
+// Tracks the load that other instances report for a pool, so that tier order
+// holds across all instances and not only within each.
 //
 //   peer_pressure peers(settings);
 //   peers.OnReport(instance_name("a"), pressure, now);
-//   if (peers.HoldsBack(pool, tier, now)) { only its minimum share }
+//   if (peers.IsRestricted(pool, tier, now)) { ... only its minimum share ... }
 //
-// Load pattern: one instance is full of the highest tier, another has only low
-// tiers. Each keeps its own order, and yet low-tier work takes places at the
-// endpoints that the other instance's high tier waits for. So each instance
-// publishes how long each of its tiers waits; the others then start lower tiers
-// only within their classes' minimum shares, until the report ages.
+// Load pattern: one instance is saturated with requests of the highest tier
+// while another has only low tiers. Each keeps its own order, yet low-tier work
+// takes slots at the endpoints that the other instance's high tier waits for.
+// So each instance publishes how long its tiers wait; the others then start
+// lower tiers only within their classes' minimum shares until the report
+// expires.
 //
-// Grounds for the figures: a wait below 1 s is no reason yet: the urgent
-// part of it passes in the endpoints' own queues (endpoint_queue_window.h), and
-// the scenario table showed no gain from less. A report loses
-// half of its weight each 500 ms, so that one lost message changes little and
-// an instance that vanished holds nobody back for longer than a few seconds.
+// Default values: a wait below 1 s does not restrict other instances, because
+// the endpoints' own queues already order work by tier for that long
+// (endpoint_queue_window.h), and a lower threshold brought no gain in the
+// scenario table. A report loses half of its weight every 500 ms, so that one
+// lost message changes little and an instance that disappeared restricts nobody
+// for longer than a few seconds.
 #ifndef THORNHOLLOW_POLICY_TIER_PRESSURE_H_
 #define THORNHOLLOW_POLICY_TIER_PRESSURE_H_
 
@@ -39,14 +41,14 @@
   bool mEnabled = true;
   duration mMinWait = Seconds(1);
   duration mHalfLife = Milliseconds(500);
-  // The weight of a report counts no longer than this.
+  // A report expires after this time at the latest.
   duration mMaxReportLifetime = Seconds(5);
 
   friend bool operator==(const tier_pressure_settings&,
                          const tier_pressure_settings&) = default;
 };
 
-// The latest reports of the other instances.
+// The latest reports from the other instances.
 class peer_pressure
 {
 public:
@@ -56,19 +58,21 @@
                 const pool_pressure& aPressure,
                 time_point aNow);
 
-  // Whether a higher tier than `aTier` waits at another instance.
+  // Whether requests of `aTier` are limited to their minimum shares because a
+  // higher tier waits at another instance.
   bool IsRestricted(const pool_name& aPool, int aTier, time_point aNow) const;
 
-  // Until when `HoldsBack` may stay true for any tier of the pool.
+  // Until when `IsRestricted` may remain true for any tier of the pool; empty
+  // if there is no report for the pool.
   std::optional<time_point> RestrictedUntil(const pool_name& aPool) const;
 
-  // Forgets reports that no longer count.
+  // Removes expired reports.
   void Expire(time_point aNow);
 
   std::size_t size() const;
 
 private:
-  // Up to when each tier's wait holds lower tiers back.
+  // For each tier, the time until which its wait restricts lower tiers.
   struct tier_restrictions
   {
     std::array<time_point, kTierCount> mUntil{};
@@ -76,8 +80,8 @@
   struct pool_reports
   {
     std::unordered_map<instance_name, tier_restrictions> mByInstance;
-    // The latest over all instances, kept so that a decision doesn't grow with
-    // their number.
+    // The maximum over all instances, stored so that the cost of a decision
+    // does not grow with their number.
     tier_restrictions mLatest;
   };
 
--- a/thornhollow/policy/tier_waits.cc
+++ b/thornhollow/policy/tier_waits.cc
@@ -5,7 +5,8 @@
 namespace thornhollow {
 namespace {
 
-// Of one tier, for it to count as asked for: one within some seconds.
+// Minimum request rate at which a tier counts as in demand: one request within
+// some seconds.
 constexpr double kMinRequestsPerSecond = 0.05;
 
 } // namespace
@@ -39,8 +40,8 @@
   tier& its = mTiers[aTier];
   its.mWaiting -= std::min(its.mWaiting, 1U);
   if (its.mWaiting == 0) {
-    // Both rates fade alike, so their ratio would say forever how long the last
-    // answers had waited.
+    // Both rates decay alike, so their ratio would report the wait of the last
+    // responses forever.
     its.mResponses = faded_rate();
     its.mWaits = faded_rate();
   }
--- a/thornhollow/policy/tier_waits.h
+++ b/thornhollow/policy/tier_waits.h
@@ -1,16 +1,17 @@
-// How long requests of each tier waited lately for their answer to begin, and
-// which tiers are asked for.
+// Tracks per tier how long recent requests waited for their response to begin,
+// and which tiers are in demand.
 //
 //   tier_waits waits;
-//   waits.OnAsked(tier, now);
+//   waits.OnRequest(tier, now);
 //   waits.OnSent(tier);
-//   waits.OnStarted(tier, wait, now);   // or OnLost(tier)
-//   if (waits.HasLower(tier, now) && waits.SeenWait(tier, now) < bound) { ... }
+//   waits.OnResponseStarted(tier, wait, now);   // or OnAbandoned(tier)
+//   if (waits.HasLowerDemand(tier, now) &&
+//       waits.MeanWait(tier, now) < bound) { ... }
 //
-// Load this answers: long prompts of several tiers, more than engines have
-// slots for. Engines that serve by tier begin those of the first tier at once,
-// while the wait in the mean over all tiers, which the lower ones make, has the
-// first tier's refused as well.
+// Load pattern: more long prompts of several tiers than the engines have slots
+// for. Engines that serve by tier start those of the first tier at once, while
+// the mean wait over all tiers, which the lower tiers dominate, would cause
+// requests of the first tier to be rejected as well.
 #ifndef THORNHOLLOW_POLICY_TIER_WAITS_H_
 #define THORNHOLLOW_POLICY_TIER_WAITS_H_
 
@@ -28,20 +29,20 @@
   void OnRequest(std::uint32_t aTier, time_point aNow);
   void OnSent(std::uint32_t aTier);
   void OnResponseStarted(std::uint32_t aTier, duration aWait, time_point aNow);
-  // It ended before its answer began.
+  // A sent request ended before its response began.
   void OnAbandoned(std::uint32_t aTier);
 
-  // Of answers that began lately, of this tier and those before it, in the
-  // mean; zero where none of them did or none waits any more.
+  // Mean wait of responses that began recently, over this tier and all higher
+  // ones; zero if there were none, or once no request of those tiers waits.
   duration MeanWait(std::uint32_t aTier, time_point aNow) const;
-  // Whether a tier after this one was asked for lately.
+  // Whether a lower tier was requested recently.
   bool HasLowerDemand(std::uint32_t aTier, time_point aNow) const;
 
 private:
   struct tier
   {
     faded_rate mRequests;
-    // Answers that began, and the seconds that they waited.
+    // Responses that began, and the seconds that they waited.
     faded_rate mResponses;
     faded_rate mWaits;
     std::uint32_t mWaiting = 0;
--- a/thornhollow/policy/work.h
+++ b/thornhollow/policy/work.h
@@ -1,8 +1,9 @@
-// What the decision modules know of a request: values only, no sockets.
+// Value types that describe requests and endpoints to the scheduling modules.
+// They involve no I/O.
 //
 //   const work_item item{ .mTicket = 7, .mTier = 1, ... };
 //   for (const decision& next : scheduler.Submit(item, now)) { ... }
-//
+// .
 #ifndef THORNHOLLOW_POLICY_WORK_H_
 #define THORNHOLLOW_POLICY_WORK_H_
 
@@ -18,10 +19,10 @@
 
 namespace thornhollow {
 
-// Names a request within one process.
+// Identifies a request within one process.
 using ticket = std::uint64_t;
 
-// One request, as the scheduler sees it.
+// A request as seen by the scheduler.
 struct work_item
 {
   ticket mTicket = 0;
@@ -30,84 +31,88 @@
   pool_name mPool;
   // 1 (highest) to 4.
   int mTier = kLowestTier;
-  // Hash of the prompt's leading part; 0 where there is none to share.
+  // Hash of the prompt's shareable prefix; 0 if there is none.
   std::uint64_t mPrefix = 0;
   std::uint32_t mPromptTokens = 0;
-  // The caller's `max_tokens`; 0 where it gave none.
+  // The caller's `max_tokens`; 0 if not given.
   std::uint32_t mMaxOutputTokens = 0;
   time_point mArrival{};
-  // When the whole answer is due.
+  // When the complete response is due.
   time_point mDeadline{};
   bool mIdempotent = false;
 
   friend bool operator==(const work_item&, const work_item&) = default;
 };
 
-// Send the request to this endpoint now; a place there is taken for it.
+// Send the request to this endpoint now. A slot there is reserved for it.
 struct start
 {
   ticket mTicket = 0;
   endpoint_name mEndpoint;
-  // The request takes its class's minimum share: the endpoint is to serve it
-  // with the highest priority instead of its tier's, or it would wait there
-  // behind every later request of a higher tier.
+  // The request is served from its class's minimum share. The endpoint must run
+  // it with the highest priority instead of its tier's; otherwise it would
+  // queue there behind every later request of a higher tier.
   bool mUsesMinimumShare = false;
 
   friend bool operator==(const start&, const start&) = default;
 };
 
-// Answer the request with an error now. It was not sent by this decision.
+// Answer the request with an error now. This decision did not send it to an
+// endpoint.
 struct refuse
 {
   ticket mTicket = 0;
   error_kind mKind = error_kind::kInternal;
-  // When to come back; zero where the kind says never.
+  // How long the caller should wait before it retries; zero for errors that
+  // must not be retried.
   duration mRetryAfter{};
 
   friend bool operator==(const refuse&, const refuse&) = default;
 };
 
-// What the scheduler wants done. A request for which no decision was returned
-// waits.
+// Actions requested by the scheduler. A request for which no decision was
+// returned stays queued.
 using decision = std::variant<start, refuse>;
 using decisions = std::vector<decision>;
 
-// How an attempt at an endpoint ended.
+// Outcome of an attempt at an endpoint.
 enum class attempt_end : std::uint8_t
 {
-  // The whole answer came.
+  // The complete response was received.
   kCompleted,
-  // The endpoint can't be reached, or broke off, or answered nonsense.
+  // The endpoint could not be reached, closed the connection early, or sent an
+  // invalid response.
   kFailed,
-  // It took the request and fell silent.
+  // The endpoint accepted the request and then stopped responding.
   kSilent,
-  // It said that it did not run the request (busy).
+  // The endpoint reported that it did not run the request (busy).
   kDeclined,
-  // It said that it is leaving and did not run the request.
+  // The endpoint reported that it is leaving and did not run the request.
   kDeclinedLeaving,
-  // The router gave it up: the caller left, or the deadline passed.
+  // The router cancelled the attempt: the caller disconnected or the deadline
+  // passed.
   kCancelled,
 };
 
-// What an endpoint published about itself.
+// Load that an endpoint reported.
 struct load_report
 {
   std::uint32_t mRunning = 0;
   std::uint32_t mWaiting = 0;
   std::uint32_t mSlots = 0;
-  // Filled share of the engine's cache memory, 0 to 1.
+  // Used fraction of the engine's cache memory, 0 to 1.
   double mCacheUsed = 0;
-  // Length of one engine step; zero where unknown.
+  // Duration of one engine step; zero if unknown.
   duration mStep{};
   bool mLeaving = false;
-  // When the figures were true, on this process's clock.
+  // When the values were measured, on this process's clock.
   time_point mMeasuredAt{};
 
   friend bool operator==(const load_report&, const load_report&) = default;
 };
 
-// Whether new work may go to an endpoint, by the platform's list or by its own
-// word.
+// Whether an endpoint may receive new work, according to the platform's list or
+// the endpoint itself.
 enum class endpoint_state : std::uint8_t
 {
   kLive,
--- a/thornhollow/policy/workload_kind.cc
+++ b/thornhollow/policy/workload_kind.cc
@@ -9,11 +9,11 @@
 namespace thornhollow {
 namespace {
 
-// A kind of which less than this many requests came in a second gives its place
-// to another one: none for several times the rates' memory.
+// A kind with a lower request rate is replaced by a new one: it had no request
+// for several time constants of the rates.
 constexpr double kIdleRequestsPerSecond = 0.01;
-// Before that long after the first request a rate isn't scaled up any further:
-// one request would count for many.
+// Earlier than this after the first request a rate is not scaled up any
+// further: a single request would count as many.
 constexpr double kMinWarmUpSeconds = 0.4;
 
 } // namespace
@@ -41,8 +41,8 @@
   if (aOthers.mPrefillRateCount <= 0) {
     return;
   }
-  // One instance that tells of engines a million times as fast would make all
-  // others send them everything.
+  // An instance that reports engines a million times as fast would otherwise
+  // make all others send them everything.
   const double reported =
     std::clamp(aOthers.mPrefillRateSum / aOthers.mPrefillRateCount,
                read_rate::kLeast,
@@ -97,9 +97,10 @@
   }
 }
 
-// All instances start at the same moment when a whole site was killed, and what
-// callers sent meanwhile comes at once: with rates that take two seconds to
-// rise, engines were shared out for half of what came.
+// When a whole site restarts, all instances start at the same moment and
+// receive at once what callers sent meanwhile. Without the correction, rates
+// take two seconds to rise, and engines were divided for half of the actual
+// demand.
 double
 workload_meter::WarmUpFactor(time_point aNow) const
 {
--- a/thornhollow/policy/workload_kind.h
+++ b/thornhollow/policy/workload_kind.h
@@ -1,15 +1,16 @@
-// Kinds of relayed work, as their routes declare them, and how much of each
-// arrives.
+// Workload kinds of relayed requests, as declared by their routes, and the
+// demand of each kind.
 //
-//   work_meter meter;
-//   meter.OnAsked(KindOf(work), 3'600, now);
+//   workload_meter meter;
+//   meter.OnRequest(KindOf(work), 3'600, now);
 //   meter.OnSent(KindOf(work), now);
 //   meter.OnEnded(KindOf(work));
-//   demand_sums sums = meter.Demand(now);
-//   AddDemand(sums, others);                      // what other instances told
+//   demand_by_kind sums = meter.Demand(now);
+//   AddDemand(sums, others);              // received from other instances
 //
-// All that placement decides for a whole pool follows from these sums, which
-// instances tell each other; so they come to the same decisions without asking.
+// All placement decisions for a whole pool follow from these sums, which
+// instances exchange, so that they reach the same decisions without asking each
+// other.
 #ifndef THORNHOLLOW_POLICY_WORKLOAD_KIND_H_
 #define THORNHOLLOW_POLICY_WORKLOAD_KIND_H_
 
@@ -24,12 +25,12 @@
 
 namespace thornhollow {
 
-// Work of one kind has the same promises.
+// Requests with the same latency targets belong to one kind.
 struct workload_kind
 {
-  // To the first event or the whole answer.
+  // Time to the first event or to the complete response.
   duration mTarget{};
-  // Between two events; zero: none is promised.
+  // Maximum pause between two events; zero if none is promised.
   duration mPause{};
 
   friend bool operator==(const workload_kind&, const workload_kind&) = default;
@@ -40,36 +41,37 @@
   }
 };
 
-// What arrives of a kind in a second.
+// Demand of one workload kind.
 struct kind_demand
 {
   workload_kind mKind;
   double mRequests = 0;
-  // Prompt tokens to be read for them.
+  // Prompt tokens to prefill for these requests, per second.
   double mTokens = 0;
-  // Sum of the squares of the same: long prompts among short ones weigh more.
+  // Sum of the squared prompt sizes per second, in tokens squared, so that long
+  // prompts among short ones weigh more.
   double mSquaredTokensPerSecond = 0;
-  // Requests that are at engines now.
+  // Requests that are currently at engines.
   double mOpen = 0;
 
   friend bool operator==(const kind_demand&, const kind_demand&) = default;
 };
 
-// Sorted by kind, each kind once.
+// Sorted by kind, without duplicates.
 using demand_by_kind = std::vector<kind_demand>;
 
-// Adds `aOthers`, each figure times `aScale`.
+// Adds `aOthers` to `aSums`, each value multiplied by `aScale`.
 void
 AddDemand(demand_by_kind& aSums,
           const demand_by_kind& aOthers,
           double aScale = 1);
 
-// What is known of a pool over several instances.
+// State of a pool, summed over several instances.
 struct pool_view
 {
   demand_by_kind mDemand;
-  // Prompt tokens that an engine was seen to read in a second: the sum of what
-  // instances saw, and how many did.
+  // Prefill rate of one engine in tokens per second: the sum of the rates that
+  // instances measured, and the number of instances that measured one.
   double mPrefillRateSum = 0;
   double mPrefillRateCount = 0;
 
@@ -79,16 +81,17 @@
 void
 AddView(pool_view& aSums, const pool_view& aOthers, double aScale = 1);
 
-// Counts what callers ask this instance for.
+// Measures the demand that callers put on this instance.
 class workload_meter
 {
 public:
-  // Kinds held; more than the routes of a pool promise. What comes beyond them
-  // isn't counted: a configuration with many different promises would fill the
-  // messages between instances.
+  // Maximum number of kinds, more than the routes of a pool declare. Further
+  // kinds are not counted, because a configuration with many different targets
+  // would fill the messages between instances.
   static constexpr std::size_t kMaxKinds = 6;
 
-  // A caller asks for it, and `aTokens` would have to be read.
+  // A caller sent a request of this kind for which `aTokens` prompt tokens
+  // would have to be prefilled.
   void OnRequest(const workload_kind& aKind, double aTokens, time_point aNow);
   void OnSent(const workload_kind& aKind, time_point aNow);
   void OnEnded(const workload_kind& aKind);
@@ -102,14 +105,16 @@
   {
     faded_rate mRequests;
     faded_rate mTokens;
-    // Sizes change with what callers do, not with how many call: they are taken
-    // from many more prompts, as the few longest decide.
+    // Prompt sizes depend on what callers do, not on how many there are. They
+    // are averaged over many more prompts than the rates, because the few
+    // longest prompts dominate.
     faded_rate mSizes{ kSizeTimeConstantSeconds };
     faded_rate mSquaredSizes{ kSizeTimeConstantSeconds };
     std::size_t mInFlight = 0;
   };
 
-  // What the rates, which begin at nothing, lack while this instance is new.
+  // Correction factor for the rates, which start at zero, while this instance
+  // is new.
   double WarmUpFactor(time_point aNow) const;
   counts* FindOrAdd(const workload_kind& aKind, time_point aNow);
 
--- a/thornhollow/policy/workload_kind_test.cc
+++ b/thornhollow/policy/workload_kind_test.cc
@@ -24,14 +24,16 @@
   CHECK(result[0].mKind == mNote);
   CHECK(result[0].mRequests == doctest::Approx(50).epsilon(0.02));
   CHECK(result[0].mTokens == doctest::Approx(50 * 830).epsilon(0.03));
-  // One in ten is long: weighted by size they count for more than the mean.
+  // One prompt in ten is long. Weighted by size, these raise the result above
+  // the mean.
   CHECK(result[0].mSquaredTokensPerSecond / result[0].mTokens ==
         doctest::Approx(899).epsilon(0.03));
   CHECK(result[0].mOpen == 1'000);
 }
 
-// A site was killed whole; what callers had sent meanwhile came in the first
-// second after, and engines were shared out for a third of it.
+// After a whole site restarts, the requests that callers sent meanwhile arrive
+// within the first second. Uncorrected rates made the engines be divided for a
+// third of that demand.
 TEST_CASE_FIXTURE(meter_of_two_kinds, "work_meter/first_second/rate_is_whole")
 {
   for (int each = 0; each < 50; ++each, mNow += Milliseconds(20)) {
@@ -60,8 +62,8 @@
   CHECK(mSubject.Demand(mNow).at(0).mOpen == 0);
 }
 
-// A configuration with hundreds of routes, each with a target of its own, would
-// make the messages between instances longer than a datagram.
+// With hundreds of routes, each with a target of its own, the messages between
+// instances would exceed the size of a datagram.
 TEST_CASE_FIXTURE(meter_of_two_kinds, "work_meter/many_kinds/a_few_are_counted")
 {
   for (int each = 0; each < 300; ++each) {
@@ -87,7 +89,8 @@
   CHECK(result[1] == kind_demand{ mPlan, 4, 36'000, 32e7, 2 });
 }
 
-// A peer told that an engine reads a billion tokens in a millisecond.
+// A peer reports an implausible prefill rate of a billion tokens per
+// millisecond.
 TEST_CASE("add_view/peer_tells_nonsense/is_bounded")
 {
   pool_view result{ {}, 50'000, 1 };
