--- a/thornhollow/policy/engine_partition.cc
+++ b/thornhollow/policy/engine_partition.cc
@@ -22,9 +22,9 @@
 struct side_targets
 {
   // Fraction of the time that its engines spend on prefill.
-  double mBusy = 0;
+  double mUtilization = 0;
   // Weight of slots in use beyond `kTargetSlotUse`, relative to those below it.
-  double mBeyondSlots = 1;
+  double mExcessSlotWeight = 1;
 };
 
 // Load of `aEngines` engines that serve these kinds: 1 where their prefill time
@@ -36,19 +36,19 @@
          const pool_capacity& aCapacity)
 {
   double tokens = 0;
-  double open = 0;
+  double inFlight = 0;
   for (const kind_demand& each : aKinds) {
     tokens += each.mTokens;
-    open += each.mOpen;
+    inFlight += each.mOpen;
   }
   const auto engines = static_cast<double>(aEngines);
   const double slots =
     engines * static_cast<double>(aCapacity.mSlotsPerEngine) * kTargetSlotUse;
-  const double taken = slots > 0 ? open / slots : 0;
-  const double beyond = std::max(taken - 1, 0.0);
-  return std::max(
-    tokens / (engines * aCapacity.mPrefillTokensPerSecond * aTargets.mBusy),
-    std::min(taken, 1.0) + beyond * aTargets.mBeyondSlots);
+  const double slotUse = slots > 0 ? inFlight / slots : 0;
+  const double excess = std::max(slotUse - 1, 0.0);
+  return std::max(tokens / (engines * aCapacity.mPrefillTokensPerSecond *
+                            aTargets.mUtilization),
+                  std::min(slotUse, 1.0) + excess * aTargets.mExcessSlotWeight);
 }
 
 std::size_t
@@ -116,19 +116,20 @@
     all += each.mTokens;
   }
   std::vector<workload_kind> bulk;
-  double read = 0;
+  double bulkTokens = 0;
   double shortest = 0;
   std::size_t at = 0;
-  for (; at < aArriving.size() && read < all * mSettings.mMinBulkFraction;
+  for (; at < aArriving.size() && bulkTokens < all * mSettings.mMinBulkFraction;
        ++at) {
-    read += aArriving[at].mTokens;
+    bulkTokens += aArriving[at].mTokens;
     shortest = WeightedTokens(aArriving[at]);
     bulk.push_back(aArriving[at].mKind);
   }
-  const double row = mBulkKinds.empty() ? mSettings.mConsecutivePrompts
-                                        : mSettings.mConsecutivePromptsToMerge;
+  const double prompts = mBulkKinds.empty()
+                           ? mSettings.mConsecutivePrompts
+                           : mSettings.mConsecutivePromptsToMerge;
   const double prefillSeconds =
-    shortest / aCapacity.mPrefillTokensPerSecond * row;
+    shortest / aCapacity.mPrefillTokensPerSecond * prompts;
   const bool breaksPauses =
     std::any_of(aArriving.begin() + static_cast<std::ptrdiff_t>(at),
                 aArriving.end(),
@@ -237,10 +238,10 @@
     std::clamp(mBulkEngines, first, mEngines - MinSideEngines());
   double minLoad = MaxLoad(aDemands, best, aCapacity);
   for (std::size_t each = first; each + MinSideEngines() <= mEngines; ++each) {
-    if (const double full = MaxLoad(aDemands, each, aCapacity);
-        full < minLoad) {
+    if (const double load = MaxLoad(aDemands, each, aCapacity);
+        load < minLoad) {
       best = each;
-      minLoad = full;
+      minLoad = load;
     }
   }
   return best;
