--- a/thornhollow/daemon/relay_gateway.cc
+++ b/thornhollow/daemon/relay_gateway.cc
@@ -471,7 +471,7 @@
     ApplyPeerState(now);
     mDispatcher.Tick(now);
     mOnTick();
-    mTimer.expires_after(clock_gap::kTickEvery);
+    mTimer.expires_after(clock_gap::kTickInterval);
     mTimer.async_wait([this](const error_code& aError) {
       if (!aError) {
         Tick();
--- /dev/null
+++ b/thornhollow/policy/domain_reachability.h
@@ -0,0 +1,97 @@
+// Judges whether another failure domain is reachable from this instance, by
+// what was recently received from it.
+//
+//   domain_reachability reach(domain_reachability_settings{}, own);
+//   reach.OnUnreachable(domain, now);   // no connection to an endpoint there
+//   reach.OnPeerMessage(domain, now);   // message from an instance there
+//   if (reach.IsSuspected(domain, now)) { ... }
+//
+// Failure scenario: the network between failure domains is partitioned, with
+// dropped packets or with resets. An instance that judges each endpoint on its
+// own would try one after the other in the unreachable domains and then report
+// to its caller that there is none, while the endpoints of its own domain idle.
+//
+// A single unreachable endpoint may have crashed. So a suspicion ends with the
+// next message from its domain, which arrives within a fraction of a second
+// where instances run there. If two other domains are suspected at once, all
+// others are that nothing was received from since: it is this domain that is
+// cut off.
+//
+// Messages may get through although connections do not. After several
+// consecutive suspicions without a response in between, messages no longer end
+// a suspicion and only time does. Otherwise each message would send the next
+// request into the unreachable domain.
+#ifndef THORNHOLLOW_POLICY_DOMAIN_REACHABILITY_H_
+#define THORNHOLLOW_POLICY_DOMAIN_REACHABILITY_H_
+
+#include <cstddef>
+#include <cstdint>
+#include <map>
+#include <optional>
+
+#include "thornhollow/base/ids.h"
+#include "thornhollow/base/time.h"
+
+namespace thornhollow {
+
+struct domain_reachability_settings
+{
+  // Maximum duration of a suspicion if no message was ever received from an
+  // instance of the domain.
+  duration mSuspicionWithoutPeers = Seconds(1);
+  // The same if one was received, so that its silence confirms the suspicion.
+  duration mSuspicionWithPeers = Seconds(5);
+  // Number of consecutive suspicions that messages from instances can end.
+  std::uint32_t mMaxClearedByPeers = 3;
+  // Maximum number of domains tracked; others are ignored. Domain names arrive
+  // in messages, and forged ones must not exhaust memory.
+  std::size_t mMaxDomains = 64;
+
+  friend bool operator==(const domain_reachability_settings&,
+                         const domain_reachability_settings&) = default;
+};
+
+class domain_reachability
+{
+public:
+  domain_reachability(const domain_reachability_settings& aSettings,
+                      domain_name aOwn);
+
+  // An endpoint of the domain did not respond: no connection could be made, or
+  // nothing was received on it in time. Returns true if that starts a new
+  // suspicion.
+  bool OnUnreachable(const domain_name& aDomain, time_point aNow);
+  // An endpoint of the domain responded.
+  void OnResponse(const domain_name& aDomain, time_point aNow);
+  // A message from an instance of the domain was received.
+  void OnPeerMessage(const domain_name& aDomain, time_point aNow);
+  // Ends all suspicions. To be called after this process was paused: that
+  // nothing was received in the meantime proves nothing.
+  void ClearSuspicions();
+
+  bool AnySuspected(time_point aNow) const;
+  // Whether requests should be sent to other domains.
+  bool IsSuspected(const domain_name& aDomain, time_point aNow) const;
+
+private:
+  struct domain_state
+  {
+    std::optional<time_point> mSuspectedAt;
+    std::uint32_t mConsecutiveSuspicions = 0;
+    time_point mLastContactAt{};
+    bool mHasPeer = false;
+  };
+
+  // Returns null if `mMaxDomains` are already tracked.
+  domain_state* FindOrAdd(const domain_name& aName);
+  bool IsSuspicionActive(const domain_state& aDomain, time_point aNow) const;
+  std::optional<time_point> CutOffAt(time_point aNow) const;
+
+  domain_reachability_settings mSettings;
+  domain_name mOwnDomain;
+  std::map<domain_name, domain_state> mDomains;
+};
+
+} // namespace thornhollow
+
+#endif // THORNHOLLOW_POLICY_DOMAIN_REACHABILITY_H_
--- a/thornhollow/policy/internal/endpoint_record.cc
+++ b/thornhollow/policy/internal/endpoint_record.cc
@@ -137,17 +137,17 @@
 void
 endpoint_record::OnReport(const load_report& aReport, time_point aNow)
 {
-  if (mLastClockGap && aReport.mTakenAt < *mLastClockGap) {
+  if (mLastClockGap && aReport.mMeasuredAt < *mLastClockGap) {
     return;
   }
   ClearUnconfirmed();
   mLoad.OnReport(aReport, aNow);
   if (aReport.mWaiting > 0) {
-    mHealth.OnQueueReported(std::min(aReport.mTakenAt, aNow));
+    mHealth.OnQueueReported(std::min(aReport.mMeasuredAt, aNow));
   }
   if (aReport.mLeaving) {
     mLeavingReportedAt = aNow;
-  } else if (mLeavingReportedAt && aReport.mTakenAt > *mLeavingReportedAt) {
+  } else if (mLeavingReportedAt && aReport.mMeasuredAt > *mLeavingReportedAt) {
     mLeavingReportedAt.reset();
   }
 }
--- a/thornhollow/policy/pool_queue.cc
+++ b/thornhollow/policy/pool_queue.cc
@@ -259,10 +259,10 @@
       continue;
     }
     if (byMinimumShare == nullptr &&
-        queue.mMinimumShare.IsOwed(front->mWork.mCost)) {
+        queue.mMinimumShare.IsEligible(front->mWork.mCost)) {
       byMinimumShare = front;
     }
-    if (mRate.LastPerSecond() && aPeers.HoldsBack(aPool, key.mTier, aNow)) {
+    if (mRate.LastPerSecond() && aPeers.IsRestricted(aPool, key.mTier, aNow)) {
       heldBack = true;
       continue;
     }
@@ -421,7 +421,9 @@
   for (const auto& [key, queue] : mClasses) {
     if (!queue.mWaiting.empty() && queue.mMinimumShare.Share() > 0) {
       soonest = std::min(
-        soonest, TimeFor(queue.mMinimumShare.Missing(queue.NextCost()), *rate));
+        soonest,
+        TimeFor(queue.mMinimumShare.CostUntilEligible(queue.NextCost()),
+                *rate));
     }
   }
   return aNow + std::max(soonest, kMinWakeDelay);
--- a/thornhollow/policy/relay_admission.cc
+++ b/thornhollow/policy/relay_admission.cc
@@ -50,7 +50,7 @@
   EvictIdleTeams(aNow);
   mRequests.Add(1, aNow);
   mRequestsByTeam[aRequest.mTeam].Add(1, aNow);
-  mTiers.OnAsked(aRequest.mTier, aNow);
+  mTiers.OnRequest(aRequest.mTier, aNow);
   if (OvertakesQueue(aRequest, aNow)) {
     return std::nullopt;
   }
@@ -91,8 +91,8 @@
   const double calm = ToSeconds(aRequest.mTarget) *
                       mSettings.mMinObservedFraction *
                       std::min(1.0, WaitFactor(aRequest.mTeam, aNow));
-  return mTiers.HasLower(aRequest.mTier, aNow) &&
-         ToSeconds(mTiers.SeenWait(aRequest.mTier, aNow)) < calm;
+  return mTiers.HasLowerDemand(aRequest.mTier, aNow) &&
+         ToSeconds(mTiers.MeanWait(aRequest.mTier, aNow)) < calm;
 }
 
 bool
@@ -152,14 +152,14 @@
   mStartedTokens.Add(aPrompt.mTokens, aNow);
   mAnswers.Add(1, aNow);
   mWaits.Add(ToSeconds(aWait), aNow);
-  mTiers.OnStarted(aPrompt.mTier, aWait, aNow);
+  mTiers.OnResponseStarted(aPrompt.mTier, aWait, aNow);
   ReduceUnstarted(aPrompt.mTokens);
 }
 
 void
 relay_admission::OnAborted(const admitted_prompt& aPrompt)
 {
-  mTiers.OnLost(aPrompt.mTier);
+  mTiers.OnAbandoned(aPrompt.mTier);
   ReduceUnstarted(aPrompt.mTokens);
 }
 
--- a/thornhollow/policy/relay_pool.cc
+++ b/thornhollow/policy/relay_pool.cc
@@ -64,7 +64,7 @@
   : mSettings(aSettings)
   , mEngines(aEngines)
   , mOwnDomain(std::move(aOwnDomain))
-  , mReach(domain_reach_settings{}, mOwnDomain)
+  , mReach(domain_reachability_settings{}, mOwnDomain)
   , mRandom(aSeed)
   , mAffinity(aSettings.mAffinity)
   , mPartition(aSettings.mPartition)
@@ -118,10 +118,10 @@
     return pick;
   }
   // Refused requests count towards the demand as well.
-  mMeter.OnAsked(KindOf(aRequest), pick->mPrefillTokens, aNow);
+  mMeter.OnRequest(KindOf(aRequest), pick->mPrefillTokens, aNow);
   mPopularBlocks.OnRequested(aRequest.mFirstBlock, aNow);
   const double capacity =
-    static_cast<double>(mPartition.Bulk()) * mPrefillTokensPerSecond;
+    static_cast<double>(mPartition.BulkEngines()) * mPrefillTokensPerSecond;
   const duration slotWait = SlotWait();
   const bool saturated = mBulkDemand >= capacity * kSaturationThreshold ||
                          slotWait > duration::zero();
@@ -206,33 +206,33 @@
 std::vector<relay_pool::record*>
 relay_pool::Reachable(std::vector<record*> aHealthy, time_point aNow) const
 {
-  if (!mReach.AnyDoubted(aNow)) {
+  if (!mReach.AnySuspected(aNow)) {
     return aHealthy;
   }
   std::vector<record*> reachable;
   reachable.reserve(aHealthy.size());
   std::ranges::copy_if(
     aHealthy, std::back_inserter(reachable), [&](record* aRecord) {
-      return !mReach.Doubted(aRecord->mEndpoint.mDomain, aNow);
+      return !mReach.IsSuspected(aRecord->mEndpoint.mDomain, aNow);
     });
   return reachable.empty() ? std::move(aHealthy) : reachable;
 }
 
 void
-relay_pool::AssignSides(const demand_sums& aDemand, time_point aNow)
+relay_pool::AssignSides(const demand_by_kind& aDemand, time_point aNow)
 {
-  std::vector<engine_standing> healthy;
+  std::vector<side_candidate> healthy;
   for (auto& [name, each] : mRecords) {
     each.mHealth.Update(aNow);
     if (TakesNewWork(each, aNow)) {
       healthy.push_back({ each.mNumber, each.mSlow, each.mRank });
     }
   }
-  if (!mPartition.Separates() || healthy.size() < 2) {
+  if (!mPartition.IsPartitioned() || healthy.size() < 2) {
     healthy.clear();
   }
   const double bulkFraction =
-    static_cast<double>(mPartition.Bulk()) /
+    static_cast<double>(mPartition.BulkEngines()) /
     static_cast<double>(std::max<std::size_t>(size(), 1));
   const auto bulk = static_cast<std::size_t>(
     std::lround(bulkFraction * static_cast<double>(healthy.size())));
@@ -256,16 +256,16 @@
                    const std::vector<record*>& aHealthy,
                    time_point aNow) const
 {
-  if (!mPartition.Separates()) {
+  if (!mPartition.IsPartitioned()) {
     return aHealthy;
   }
   const engine_side side = SideOf(aRequest);
   std::vector<record*> all;
   std::vector<record*> clear;
   for (record* each : aHealthy) {
-    if (mSides.Of(each->mNumber) == side) {
+    if (mSides.SideOf(each->mNumber) == side) {
       all.push_back(each);
-      if (!mSides.Clearing(each->mNumber, aNow)) {
+      if (!mSides.IsDraining(each->mNumber, aNow)) {
         clear.push_back(each);
       }
     }
@@ -430,7 +430,7 @@
   for (const auto& [name, each] : mRecords) {
     const std::uint64_t weight =
       CombineHash(aRequest.mSharedPrefix, each.mRank);
-    if (CanServeCopy(each) && mSides.Earlier(each.mNumber, aNow) == side &&
+    if (CanServeCopy(each) && mSides.PreviousSide(each.mNumber, aNow) == side &&
         (preferred == nullptr || weight > highest)) {
       preferred = &each;
       highest = weight;
@@ -511,7 +511,7 @@
     mAdmission.OnStarted({ aRequest.mTier, aPick.mPrefillTokens }, aWait, aNow);
     mBulkOccupancy.OnStarted(aWait);
   }
-  mReach.OnAnswered(aPick.mDomain, aNow);
+  mReach.OnResponse(aPick.mDomain, aNow);
   if (record* found = Find(aPick)) {
     found->mPrefillTokens -=
       std::min<std::uint64_t>(found->mPrefillTokens, aPick.mPrefillTokens);
@@ -544,7 +544,7 @@
     mAdmission.OnAborted({ aRequest.mTier, aPick.mPrefillTokens });
   }
   if (aHow == attempt_end::kDeclined) {
-    mReach.OnAnswered(aPick.mDomain, aNow);
+    mReach.OnResponse(aPick.mDomain, aNow);
   }
   mMeter.OnEnded(KindOf(aRequest));
   if (aPick.mBulk && aHow == attempt_end::kCompleted) {
@@ -572,13 +572,13 @@
 bool
 relay_pool::OnUnreachable(const relay_pick& aPick, time_point aNow)
 {
-  return mReach.OnUnreached(aPick.mDomain, aNow);
+  return mReach.OnUnreachable(aPick.mDomain, aNow);
 }
 
 void
 relay_pool::OnPeerMessage(const domain_name& aDomain, time_point aNow)
 {
-  mReach.OnPeerHeard(aDomain, aNow);
+  mReach.OnPeerMessage(aDomain, aNow);
 }
 
 void
@@ -660,8 +660,8 @@
   if (!mEngines) {
     return;
   }
-  mPrefillTokensPerSecond = aView.mReadSeen > 0
-                              ? aView.mReadSum / aView.mReadSeen
+  mPrefillTokensPerSecond = aView.mPrefillRateCount > 0
+                              ? aView.mPrefillRateSum / aView.mPrefillRateCount
                               : mPrefillRate.PerSecond();
   UpdateSlowEngines(aNow);
   UpdateMeanPrefillTime(aNow);
@@ -681,7 +681,7 @@
 void
 relay_pool::OnClockGap(time_point aNow)
 {
-  mReach.Forget();
+  mReach.ClearSuspicions();
   for (auto& [name, each] : mRecords) {
     each.mHealth.OnClockGap(aNow);
     each.mRemotePrefillTokens = 0;
@@ -694,8 +694,8 @@
 {
   pool_view view{ mMeter.Demand(aNow) };
   if (mPrefillRate.Known()) {
-    view.mReadSum = mPrefillRate.PerSecond();
-    view.mReadSeen = 1;
+    view.mPrefillRateSum = mPrefillRate.PerSecond();
+    view.mPrefillRateCount = 1;
   }
   return view;
 }
--- a/thornhollow/policy/relay_pool.h
+++ b/thornhollow/policy/relay_pool.h
@@ -50,9 +50,9 @@
 
 #include "thornhollow/base/ids.h"
 #include "thornhollow/base/time.h"
-#include "thornhollow/policy/domain_reach.h"
+#include "thornhollow/policy/domain_reachability.h"
 #include "thornhollow/policy/endpoint_health.h"
-#include "thornhollow/policy/engine_border.h"
+#include "thornhollow/policy/engine_partition.h"
 #include "thornhollow/policy/engine_sides.h"
 #include "thornhollow/policy/popular_prefix_blocks.h"
 #include "thornhollow/policy/prefill_rate.h"
@@ -62,7 +62,7 @@
 #include "thornhollow/policy/relay_admission.h"
 #include "thornhollow/policy/request_profile.h"
 #include "thornhollow/policy/slot_occupancy.h"
-#include "thornhollow/policy/work_kind.h"
+#include "thornhollow/policy/workload_kind.h"
 
 namespace thornhollow {
 
@@ -107,7 +107,7 @@
   // until then slow engines serve interactive streams and exceed the promised
   // time between events.
   duration mWarmup = Seconds(6);
-  engine_border_settings mPartition;
+  engine_partition_settings mPartition;
   engine_sides_settings mSides;
   relay_admission_settings mAdmission;
   prefix_affinity_settings mAffinity = { .mEnabled = true,
@@ -215,7 +215,7 @@
   // This instance's contribution to the view.
   pool_view LocalView(time_point aNow) const;
   std::vector<relay_load> Loads(time_point aNow) const;
-  std::size_t BulkEngines() const { return mPartition.Bulk(); }
+  std::size_t BulkEngines() const { return mPartition.BulkEngines(); }
   // Mean prefill rate of an engine, in tokens per second.
   double PrefillTokensPerSecond() const { return mPrefillTokensPerSecond; }
 
@@ -251,7 +251,7 @@
   std::size_t SlowEngines() const;
   double SecondsPerToken(const record& aRecord, time_point aNow) const;
   engine_side SideOf(const request_profile& aRequest) const;
-  void AssignSides(const demand_sums& aDemand, time_point aNow);
+  void AssignSides(const demand_by_kind& aDemand, time_point aNow);
   std::vector<record*> OnSide(const request_profile& aRequest,
                               const std::vector<record*>& aHealthy,
                               time_point aNow) const;
@@ -279,12 +279,12 @@
   relay_pool_settings mSettings;
   bool mEngines;
   domain_name mOwnDomain;
-  domain_reach mReach;
+  domain_reachability mReach;
   std::mt19937_64 mRandom;
   std::map<endpoint_name, record> mRecords;
   std::uint32_t mNextNumber = 0;
   prefix_affinity mAffinity;
-  engine_border mPartition;
+  engine_partition mPartition;
   engine_sides mSides;
   relay_admission mAdmission;
   std::size_t mInstances = 1;
@@ -303,7 +303,7 @@
   // Mean prefill rate over all instances, in tokens per second.
   double mPrefillTokensPerSecond;
   std::size_t mSlots = 0;
-  work_meter mMeter;
+  workload_meter mMeter;
 };
 
 } // namespace thornhollow
--- a/thornhollow/policy/request_profile.h
+++ b/thornhollow/policy/request_profile.h
@@ -12,7 +12,7 @@
 
 #include "thornhollow/base/ids.h"
 #include "thornhollow/base/time.h"
-#include "thornhollow/policy/work_kind.h"
+#include "thornhollow/policy/workload_kind.h"
 
 namespace thornhollow {
 
@@ -48,7 +48,7 @@
                          const request_profile&) = default;
 };
 
-inline work_kind
+inline workload_kind
 KindOf(const request_profile& aWork)
 {
   return { aWork.mTarget, aWork.mPause };
--- a/thornhollow/policy/request_queue.cc
+++ b/thornhollow/policy/request_queue.cc
@@ -203,7 +203,7 @@
   }
   for (const auto& [name, pool] : mPools) {
     if (!pool.empty()) {
-      if (const auto until = mPeerPressure.HeldUntil(name);
+      if (const auto until = mPeerPressure.RestrictedUntil(name);
           until && *until > aNow) {
         keepEarlier(until);
         keepEarlier(pool.NextMinimumShareDue(aNow));
@@ -235,7 +235,7 @@
   std::vector<pool_pressure> out;
   for (const auto& [name, pool] : mPools) {
     pool_pressure next =
-      pool.Pressure(name, mSettings.mPeerPressure.mLeastWait, aNow);
+      pool.Pressure(name, mSettings.mPeerPressure.mMinWait, aNow);
     if (next.mHigherWait > duration::zero()) {
       out.push_back(std::move(next));
     }
--- a/thornhollow/policy/scenario/simulation.cc
+++ b/thornhollow/policy/scenario/simulation.cc
@@ -540,7 +540,11 @@
                              : kEngineLatency + mDeployment.mInterDomainLatency;
   mLoop.After(
     isReachable ? latency : kConnectTimeout,
-    [this, id = aStart.mTicket, owed = aStart.mOwed, engine, isReachable] {
+    [this,
+     id = aStart.mTicket,
+     owed = aStart.mUsesMinimumShare,
+     engine,
+     isReachable] {
       const auto open = mOpenSubmissions.find(id);
       if (open == mOpenSubmissions.end() || open->second.mEngine != engine) {
         return;
@@ -771,7 +775,7 @@
 void
 simulation::ScheduleTicks()
 {
-  mLoop.After(clock_gap::kTickEvery, [this] {
+  mLoop.After(clock_gap::kTickInterval, [this] {
     if (IsOver()) {
       return;
     }
--- a/thornhollow/policy/scheduler.cc
+++ b/thornhollow/policy/scheduler.cc
@@ -316,7 +316,7 @@
 
 scheduler::pool_windows::pool_windows(
   const endpoint_queue_window_settings& aSettings)
-  : mWindows(kTiers + 1, endpoint_queue_window(aSettings))
+  : mWindows(kTierCount + 1, endpoint_queue_window(aSettings))
 {
 }
 
--- a/thornhollow/policy/scheduler_search_test.cc
+++ b/thornhollow/policy/scheduler_search_test.cc
@@ -274,12 +274,12 @@
     report.mRunning = aEvent.mSecond % 4;
     report.mWaiting = aEvent.mSecond % 3;
     report.mLeaving = aEvent.mSecond % 17 == 0;
-    report.mTakenAt = mNow - Milliseconds(aEvent.mFirst);
+    report.mMeasuredAt = mNow - Milliseconds(aEvent.mFirst);
     if (report.mLeaving) {
       mReportedLeaving[endpoint] = mNow;
     } else if (const auto reported = mReportedLeaving.find(endpoint);
                reported != mReportedLeaving.end() &&
-               report.mTakenAt > reported->second) {
+               report.mMeasuredAt > reported->second) {
       mReportedLeaving.erase(reported);
     }
     Apply(mScheduler.OnLoadReport(endpoint, report, mNow));
--- a/thornhollow/policy/shared_retry_budget.cc
+++ b/thornhollow/policy/shared_retry_budget.cc
@@ -5,8 +5,8 @@
 namespace thornhollow {
 namespace {
 
-// Slices that a window is counted in. A slice counts whole until it has left
-// the window, which errs on the side of fewer retries.
+// Slices per window. A slice counts in full until it has left the window, which
+// errs towards fewer retries.
 constexpr int kSlices = 20;
 
 } // namespace
@@ -21,28 +21,29 @@
 void
 shared_retry_budget::OnRequest(const pool_name& aPool, time_point aNow)
 {
-  ++Present(aPool, aNow).mRequests;
+  ++CurrentSlice(aPool, aNow).mRequests;
 }
 
 bool
 shared_retry_budget::Spend(const pool_name& aPool, time_point aNow)
 {
-  slice& present = Present(aPool, aNow);
+  slice& present = CurrentSlice(aPool, aNow);
   std::uint64_t requests = 0;
   std::uint64_t retries = 0;
   for (const slice& each : mPools[aPool]) {
     retries += each.mRetries;
-    // The oldest slice may lie outside the window in part: its retries count
-    // here, its requests don't.
+    // The oldest slice may lie partly outside the window: its retries count
+    // here, its requests do not.
     if (each.mBegin >= aNow - mSettings.mWindow) {
       requests += each.mRequests;
     }
   }
   const std::size_t instances =
-    mInstances == 0 ? mSettings.mUnknownInstances : mInstances;
+    mInstances == 0 ? mSettings.mAssumedInstances : mInstances;
   const double bound =
-    mSettings.mUsed * (mSettings.mRatio * static_cast<double>(requests) +
-                       mSettings.mExtra / static_cast<double>(instances));
+    mSettings.mBoundFraction *
+    (mSettings.mRatio * static_cast<double>(requests) +
+     mSettings.mFixedRetries / static_cast<double>(instances));
   if (static_cast<double>(retries + 1) > bound) {
     return false;
   }
@@ -51,7 +52,7 @@
 }
 
 shared_retry_budget::slice&
-shared_retry_budget::Present(const pool_name& aPool, time_point aNow)
+shared_retry_budget::CurrentSlice(const pool_name& aPool, time_point aNow)
 {
   slices& held = mPools[aPool];
   while (!held.empty() &&
--- a/thornhollow/policy/shared_retry_budget_test.cc
+++ b/thornhollow/policy/shared_retry_budget_test.cc
@@ -12,9 +12,10 @@
 
 TEST_CASE("shared_retry_budget/no_peer_heard/takes_a_small_part")
 {
-  // Thirty instances start cut off from each other while the endpoints fail:
-  // if each took the whole fixed amount, the retries would be thirty times it.
-  shared_retry_budget budget({ .mRatio = 0, .mExtra = 76 });
+  // Thirty instances start without contact to each other while the endpoints
+  // fail. If each took the whole fixed number, there would be thirty times as
+  // many retries.
+  shared_retry_budget budget({ .mRatio = 0, .mFixedRetries = 76 });
   int spent = 0;
   while (budget.Spend(kPool, time_point() + Seconds(100))) {
     ++spent;
@@ -24,7 +25,7 @@
 
 TEST_CASE("shared_retry_budget/window_passed/is_whole_again")
 {
-  shared_retry_budget budget({ .mRatio = 0, .mExtra = 20 });
+  shared_retry_budget budget({ .mRatio = 0, .mFixedRetries = 20 });
   budget.SetInstances(2);
   time_point now = time_point() + Seconds(100);
   int spent = 0;
@@ -36,15 +37,16 @@
   CHECK(budget.Spend(kPool, now + Seconds(11)));
 }
 
-// Retries of all instances in any window, against the bound on their requests
-// in it, the one before, or the one half a window before.
+// Compares the retries of all instances in any window with the limit for the
+// requests in that window, the one before, or the one half a window before.
 TEST_CASE("shared_retry_budget/random_fleet/sum_keeps_the_bound")
 {
   constexpr int kTicksInWindow = 200;
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     std::mt19937_64 random(seed);
     const std::size_t instances = 1 + random() % 9;
-    const shared_retry_budget_settings settings{ .mRatio = 0.2, .mExtra = 52 };
+    const shared_retry_budget_settings settings{ .mRatio = 0.2,
+                                                 .mFixedRetries = 52 };
     std::vector<shared_retry_budget> fleet(instances,
                                            shared_retry_budget(settings));
     std::vector<int> requests;
@@ -57,7 +59,7 @@
       const std::uint64_t arrivals = random() % (tick % 300 < 60 ? 12 : 3);
       for (std::uint64_t each = 0; each < arrivals; ++each) {
         shared_retry_budget& one = fleet[random() % instances];
-        // Views differ, but none counts too few.
+        // The instances' counts differ, but none is too low.
         one.SetInstances(random() % 8 == 0 ? 0 : instances + random() % 2);
         one.OnRequest(kPool, now);
         ++requests.back();
--- /dev/null
+++ b/thornhollow/policy/workload_kind.h
@@ -0,0 +1,127 @@
+// Workload kinds of relayed requests, as declared by their routes, and the
+// demand of each kind.
+//
+//   workload_meter meter;
+//   meter.OnRequest(KindOf(work), 3'600, now);
+//   meter.OnSent(KindOf(work), now);
+//   meter.OnEnded(KindOf(work));
+//   demand_by_kind sums = meter.Demand(now);
+//   AddDemand(sums, others);              // received from other instances
+//
+// All placement decisions for a whole pool follow from these sums, which
+// instances exchange, so that they reach the same decisions without asking each
+// other.
+#ifndef THORNHOLLOW_POLICY_WORKLOAD_KIND_H_
+#define THORNHOLLOW_POLICY_WORKLOAD_KIND_H_
+
+#include <cstddef>
+#include <map>
+#include <optional>
+#include <tuple>
+#include <vector>
+
+#include "thornhollow/base/time.h"
+#include "thornhollow/policy/decaying_rate.h"
+
+namespace thornhollow {
+
+// Requests with the same latency targets belong to one kind.
+struct workload_kind
+{
+  // Time to the first event or to the complete response.
+  duration mTarget{};
+  // Maximum pause between two events; zero if none is promised.
+  duration mPause{};
+
+  friend bool operator==(const workload_kind&, const workload_kind&) = default;
+  friend bool operator<(const workload_kind& aLeft, const workload_kind& aRight)
+  {
+    return std::tie(aLeft.mTarget, aLeft.mPause) <
+           std::tie(aRight.mTarget, aRight.mPause);
+  }
+};
+
+// Demand of one workload kind.
+struct kind_demand
+{
+  workload_kind mKind;
+  double mRequests = 0;
+  // Prompt tokens to prefill for these requests, per second.
+  double mTokens = 0;
+  // Sum of the squared prompt sizes per second, in tokens squared, so that long
+  // prompts among short ones weigh more.
+  double mSquaredTokensPerSecond = 0;
+  // Requests that are currently at engines.
+  double mOpen = 0;
+
+  friend bool operator==(const kind_demand&, const kind_demand&) = default;
+};
+
+// Sorted by kind, without duplicates.
+using demand_by_kind = std::vector<kind_demand>;
+
+// Adds `aOthers` to `aSums`, each value multiplied by `aScale`.
+void
+AddDemand(demand_by_kind& aSums,
+          const demand_by_kind& aOthers,
+          double aScale = 1);
+
+// State of a pool, summed over several instances.
+struct pool_view
+{
+  demand_by_kind mDemand;
+  // Prefill rate of one engine in tokens per second: the sum of the rates that
+  // instances measured, and the number of instances that measured one.
+  double mPrefillRateSum = 0;
+  double mPrefillRateCount = 0;
+
+  friend bool operator==(const pool_view&, const pool_view&) = default;
+};
+
+void
+AddView(pool_view& aSums, const pool_view& aOthers, double aScale = 1);
+
+// Measures the demand that callers put on this instance.
+class workload_meter
+{
+public:
+  // Maximum number of kinds, more than the routes of a pool declare. Further
+  // kinds are not counted, because a configuration with many different targets
+  // would fill the messages between instances.
+  static constexpr std::size_t kMaxKinds = 6;
+
+  // A caller sent a request of this kind for which `aTokens` prompt tokens
+  // would have to be prefilled.
+  void OnRequest(const workload_kind& aKind, double aTokens, time_point aNow);
+  void OnSent(const workload_kind& aKind, time_point aNow);
+  void OnEnded(const workload_kind& aKind);
+
+  demand_by_kind Demand(time_point aNow) const;
+
+private:
+  static constexpr double kSizeTimeConstantSeconds = 30;
+
+  struct counts
+  {
+    decaying_rate mRequests;
+    decaying_rate mTokens;
+    // Prompt sizes depend on what callers do, not on how many there are. They
+    // are averaged over many more prompts than the rates, because the few
+    // longest prompts dominate.
+    decaying_rate mSizes{ kSizeTimeConstantSeconds };
+    decaying_rate mSquaredSizes{ kSizeTimeConstantSeconds };
+    std::size_t mInFlight = 0;
+  };
+
+  // Correction factor for the rates, which start at zero, while this instance
+  // is new.
+  double WarmUpFactor(time_point aNow) const;
+  counts* FindOrAdd(const workload_kind& aKind, time_point aNow);
+
+  std::map<workload_kind, counts> mKinds;
+  std::optional<time_point> mFirstRequestAt;
+};
+
+} // namespace thornhollow
+
+#endif // THORNHOLLOW_POLICY_WORKLOAD_KIND_H_
--- a/thornhollow/policy/work_kind_test.cc
+++ b/thornhollow/policy/workload_kind_test.cc
@@ -1,50 +1,52 @@
 #include <doctest/doctest.h>
 
-#include "thornhollow/policy/work_kind.h"
+#include "thornhollow/policy/workload_kind.h"
 
 namespace thornhollow {
 namespace {
 
 struct meter_of_two_kinds
 {
-  work_kind mPlan{ Seconds(2), Milliseconds(800) };
-  work_kind mNote{ Milliseconds(300), Milliseconds(200) };
-  work_meter mSubject;
+  workload_kind mPlan{ Seconds(2), Milliseconds(800) };
+  workload_kind mNote{ Milliseconds(300), Milliseconds(200) };
+  workload_meter mSubject;
   time_point mNow = time_point() + Seconds(100);
 };
 
 TEST_CASE_FIXTURE(meter_of_two_kinds, "work_meter/steady_work/rates_and_sizes")
 {
   for (int each = 0; each < 1'000; ++each, mNow += Milliseconds(20)) {
-    mSubject.OnAsked(mNote, each % 10 == 0 ? 1'550 : 750, mNow);
+    mSubject.OnRequest(mNote, each % 10 == 0 ? 1'550 : 750, mNow);
     mSubject.OnSent(mNote, mNow);
   }
-  const demand_sums result = mSubject.Demand(mNow);
+  const demand_by_kind result = mSubject.Demand(mNow);
   REQUIRE(result.size() == 1);
   CHECK(result[0].mKind == mNote);
   CHECK(result[0].mRequests == doctest::Approx(50).epsilon(0.02));
   CHECK(result[0].mTokens == doctest::Approx(50 * 830).epsilon(0.03));
-  // One in ten is long: weighted by size they count for more than the mean.
-  CHECK(result[0].mSquares / result[0].mTokens ==
+  // One prompt in ten is long. Weighted by size, these raise the result above
+  // the mean.
+  CHECK(result[0].mSquaredTokensPerSecond / result[0].mTokens ==
         doctest::Approx(899).epsilon(0.03));
   CHECK(result[0].mOpen == 1'000);
 }
 
-// A site was killed whole; what callers had sent meanwhile came in the first
-// second after, and engines were shared out for a third of it.
+// After a whole site restarts, the requests that callers sent meanwhile arrive
+// within the first second. Uncorrected rates made the engines be divided for a
+// third of that demand.
 TEST_CASE_FIXTURE(meter_of_two_kinds, "work_meter/first_second/rate_is_whole")
 {
   for (int each = 0; each < 50; ++each, mNow += Milliseconds(20)) {
-    mSubject.OnAsked(mNote, 800, mNow);
+    mSubject.OnRequest(mNote, 800, mNow);
   }
-  const demand_sums result = mSubject.Demand(mNow);
+  const demand_by_kind result = mSubject.Demand(mNow);
   CHECK(result.at(0).mRequests == doctest::Approx(50).epsilon(0.1));
   CHECK(result.at(0).mTokens == doctest::Approx(40'000).epsilon(0.1));
 }
 
 TEST_CASE_FIXTURE(meter_of_two_kinds, "work_meter/first_request/counts_for_few")
 {
-  mSubject.OnAsked(mNote, 800, mNow);
+  mSubject.OnRequest(mNote, 800, mNow);
   CHECK(mSubject.Demand(mNow).at(0).mRequests < 3);
 }
 
@@ -60,26 +62,26 @@
   CHECK(mSubject.Demand(mNow).at(0).mOpen == 0);
 }
 
-// A configuration with hundreds of routes, each with a target of its own, would
-// make the messages between instances longer than a datagram.
+// With hundreds of routes, each with a target of its own, the messages between
+// instances would exceed the size of a datagram.
 TEST_CASE_FIXTURE(meter_of_two_kinds, "work_meter/many_kinds/a_few_are_counted")
 {
   for (int each = 0; each < 300; ++each) {
-    mSubject.OnAsked({ Milliseconds(100 + each), {} }, 500, mNow);
+    mSubject.OnRequest({ Milliseconds(100 + each), {} }, 500, mNow);
   }
-  CHECK(mSubject.Demand(mNow).size() == work_meter::kMaxKinds);
+  CHECK(mSubject.Demand(mNow).size() == workload_meter::kMaxKinds);
   for (int each = 0; each < 300; ++each) {
     mSubject.OnEnded({ Milliseconds(100 + each), {} });
   }
   mNow += Seconds(60);
-  mSubject.OnAsked(mNote, 700, mNow);
-  CHECK(mSubject.Demand(mNow).size() <= work_meter::kMaxKinds);
+  mSubject.OnRequest(mNote, 700, mNow);
+  CHECK(mSubject.Demand(mNow).size() <= workload_meter::kMaxKinds);
   CHECK(mSubject.Demand(mNow).back().mKind.mTarget == mNote.mTarget);
 }
 
 TEST_CASE_FIXTURE(meter_of_two_kinds, "add_demand/others/sums_by_kind")
 {
-  demand_sums result{ { mNote, 10, 7'000, 5e6, 3 } };
+  demand_by_kind result{ { mNote, 10, 7'000, 5e6, 3 } };
   AddDemand(
     result, { { mNote, 1, 700, 5e5, 1 }, { mPlan, 2, 18'000, 16e7, 1 } }, 2);
   REQUIRE(result.size() == 2);
@@ -87,16 +89,17 @@
   CHECK(result[1] == kind_demand{ mPlan, 4, 36'000, 32e7, 2 });
 }
 
-// A peer told that an engine reads a billion tokens in a millisecond.
+// A peer reports an implausible prefill rate of a billion tokens per
+// millisecond.
 TEST_CASE("add_view/peer_tells_nonsense/is_bounded")
 {
   pool_view result{ {}, 50'000, 1 };
   AddView(result, { {}, 1e12, 1 });
   AddView(result, { {}, 0.001, 1 });
   AddView(result, { {}, 1e12, 0 });
-  CHECK(result.mReadSeen == 3);
-  CHECK(result.mReadSum <= 50'000 + 2e6 + 2'000);
-  CHECK(result.mReadSum >= 50'000 + 2'000);
+  CHECK(result.mPrefillRateCount == 3);
+  CHECK(result.mPrefillRateSum <= 50'000 + 2e6 + 2'000);
+  CHECK(result.mPrefillRateSum >= 50'000 + 2'000);
 }
 
 } // namespace
