--- a/thornhollow/fleet/copy_requests.h
+++ b/thornhollow/fleet/copy_requests.h
@@ -1,23 +1,23 @@
-// When an instance asks a peer for what that one has heard of the source.
+// Decides when an instance requests a copy of the source's items from a peer.
 //
 //   copy_requests requests(copy_request_settings{});
-//   if (const auto from = requests.Tick(peers, mine, reads, now)) {
-//     ... ask it for the copies that it has later revisions of ...
-//     ... requests.OnBytes(which, now) for each part of an answer ...
+//   if (const auto from = requests.Tick(peers, own, reads, now)) {
+//     ... request the copies of which it holds later revisions ...
+//     ... requests.OnBytes(which, now) for each received chunk ...
 //   }
 //
-// Guards against news that reaches some instances only: the source turns this
-// one away, or its open watch will never answer. It shows as a copy that stays
-// behind a peer's for longer than the source's own word takes.
+// Guards against changes that reach only some instances: the source does not
+// serve this one, or its open watch will never be answered. Its copy then stays
+// behind that of a peer for longer than an answer of the source takes.
 //
-// Guards against peers that know but can't tell in time: a large copy that many
-// ask for, a peer's link that is full or cut. It shows as a copy that stays
-// behind though it is asked for again and again; the instance then asks the
-// source, as if nobody read it for all.
+// Guards against peers that hold the copy but cannot send it in time, because
+// it is large and many request it, or because the link of a peer is saturated
+// or down. The copy then stays behind despite repeated requests, and the
+// instance asks the source as if there were no readers.
 //
-// Guards against a large copy that never comes whole on a narrow link, as it is
-// asked for once more while it comes: one of which a part came a moment ago is
-// waited for, and isn't in vain.
+// Guards against a large copy that never completes on a narrow link because it
+// is requested again during the transfer. A copy of which bytes arrived
+// recently is waited for, and its request does not count as failed.
 #ifndef THORNHOLLOW_FLEET_COPY_REQUESTS_H_
 #define THORNHOLLOW_FLEET_COPY_REQUESTS_H_
 
@@ -32,7 +32,7 @@
 
 namespace thornhollow {
 
-// Which copy is asked for.
+// The copy that is requested.
 enum class copied_items : std::uint8_t
 {
   kConfiguration,
@@ -41,16 +41,17 @@
 
 struct copy_request_settings
 {
-  // Behind for so long: the source's own word takes a few milliseconds, and
-  // most are told by it.
+  // Time to be behind before a reader asks a peer: the source's own answer
+  // takes a few milliseconds and usually arrives first.
   duration mSourceGracePeriod = Milliseconds(250);
-  // Between two questions while still behind.
+  // Between two requests while still behind.
   duration mRequestInterval = Milliseconds(250);
-  // Behind the same revision for so long: two questions were in vain. Of the
-  // two seconds in which a change must be in force, the rest is for the
-  // source's answer and for reading it.
+  // Time to be behind the same revision before asking the source, after two
+  // failed requests. A change must be in force within two seconds; the
+  // remaining time is for the answer of the source and for parsing it.
   duration mSourceFallbackDelay = Milliseconds(700);
-  // Between two parts of an answer: a lost packet comes again within.
+  // Longest pause between two chunks of an answer; a lost packet is
+  // retransmitted within this time.
   duration mTransferTimeout = Milliseconds(600);
 
   friend bool operator==(const copy_request_settings&,
@@ -65,39 +66,39 @@
   {
   }
 
-  // The peer to ask now, if any, and for which copies. To be called every 100
-  // ms.
-  // `aReads`: this instance asks the source itself; else it is told of nothing
-  // by it, and asks a peer at once.
+  // Returns the peer to ask now, if any, and for which copies. To be called
+  // every 100 ms. `aReads`: whether this instance reads the source itself. If
+  // not, it receives nothing from the source and asks a peer without delay.
   std::optional<newer_copy> Tick(const relay_peers& aPeers,
                                  const known_revisions& aOwn,
                                  bool aReads,
                                  time_point aNow);
 
-  // A part of a peer's answer came, and the answer's end.
+  // To be called for each received chunk of a peer's answer, and when the
+  // answer has ended.
   void OnBytes(copied_items aWhich, time_point aNow);
   void OnEnded(copied_items aWhich);
-  // The peer has given as many large copies as it may: another one is asked at
-  // the next look.
+  // To be called when a peer declined the request, as it is sending as many
+  // large copies as it may. Another peer is asked at the next `Tick`.
   void OnDeclined() { mNextRequest = time_point{}; }
 
-  // Whether peers were asked in vain for so long that this instance is to ask
-  // the source itself.
+  // Whether requests to peers have failed for so long that this instance should
+  // ask the source itself.
   bool NeedsSource(time_point aNow) const;
 
 private:
   bool IsInTransfer(copied_items aWhich, time_point aNow) const;
 
   copy_request_settings mSettings;
-  // Since when some peer has known more at each look.
+  // Since when every `Tick` has found a peer with a later revision.
   std::optional<time_point> mBehindSince;
-  // Since when a peer is known to hold `mTargetRevisions`, which isn't held
-  // here, and no copy comes.
+  // Since when a peer is known to hold `mTargetRevisions`, which this instance
+  // lacks, and no copy is being transferred.
   std::optional<time_point> mNoProgressSince;
   known_revisions mTargetRevisions;
   time_point mNextRequest{};
   std::uint64_t mAttempt = 0;
-  // When the last part came of a copy that isn't whole, by which one it is.
+  // By copy: when the last chunk of an incomplete transfer arrived.
   std::array<std::optional<time_point>, 2> mLastBytes;
 };
 
--- a/thornhollow/fleet/copy_requests_test.cc
+++ b/thornhollow/fleet/copy_requests_test.cc
@@ -8,7 +8,7 @@
 const domain_name kHall("hall");
 const newer_copy kConfiguration{ "peer", { 34, 34 }, true, false };
 
-// One peer, which knows revision 34 of both copies.
+// One peer that holds revision 34 of both copies.
 struct one_peer_with_newer_copies
 {
   relay_peers mPeers{ relay_peer_settings{}, "self", kHall, {}, 1 };
@@ -59,8 +59,8 @@
   CHECK(TickAfter(duration::zero(), { 29, 34 }, false) == kConfiguration);
 }
 
-// Guards against a configuration that comes into force seconds late, as the
-// peers that have it can't give it to all who ask.
+// Guards against a configuration that comes into force seconds late because the
+// peers that hold it cannot serve everyone who requests it.
 TEST_CASE_FIXTURE(one_peer_with_newer_copies,
                   "copy_requests/asked_in_vain/the_source_is_asked")
 {
@@ -73,8 +73,8 @@
   CHECK_FALSE(mRequests.NeedsSource(mNow + Milliseconds(700)));
 }
 
-// Guards against a large copy that is asked for once more, of a peer or of the
-// source, while it comes over a narrow link.
+// Guards against requesting a large copy again, from a peer or from the source,
+// while it is being transferred over a narrow link.
 TEST_CASE_FIXTURE(one_peer_with_newer_copies,
                   "copy_requests/copy_comes_slowly/it_is_waited_for")
 {
@@ -91,7 +91,8 @@
   CHECK(TickAfter(duration::zero(), own, false) == kConfiguration);
 }
 
-// Guards against news of endpoints that waits for a large configuration.
+// Guards against endpoint changes that are delayed by the transfer of a large
+// configuration.
 TEST_CASE_FIXTURE(one_peer_with_newer_copies,
                   "copy_requests/configuration_comes/endpoints_are_asked_for")
 {
@@ -110,8 +111,9 @@
   CHECK(TickAfter(Milliseconds(100), { 29, 34 }, false) == kConfiguration);
 }
 
-// Guards against a series of changes of which each waits anew: a reader that is
-// always behind by the last one knows already that its source is late.
+// Guards against restarting the delay with each change of a series: a reader
+// that is always behind by the last change already knows that its source is
+// late.
 TEST_CASE_FIXTURE(one_peer_with_newer_copies,
                   "copy_requests/reader_behind_in_a_series/asks_on")
 {
@@ -127,8 +129,8 @@
   CHECK(result->mRevisions.mConfiguration == 36);
 }
 
-// Guards against instances that all ask the source in a series of changes, each
-// of which they hear of in time.
+// Guards against all instances asking the source during a series of changes,
+// each of which reaches them in time through a peer.
 TEST_CASE_FIXTURE(one_peer_with_newer_copies,
                   "copy_requests/behind_another_revision/the_time_begins_anew")
 {
--- a/thornhollow/fleet/demand_aggregation.cc
+++ b/thornhollow/fleet/demand_aggregation.cc
@@ -46,7 +46,8 @@
     levels.push_back(next);
     const aggregation_message* preceding = FreshMessage(level, aNow);
     if ((aInstances & blockSize) != 0) {
-      // The rest grows by this run, behind the rest of the one before it.
+      // This bit of the instance count is set, so the remainder now covers this
+      // block and the preceding instance's remainder before it.
       next.mRemainder = next.mBlock;
       if (preceding != nullptr) {
         AddViews(next.mRemainder, preceding->mRemainder);
--- a/thornhollow/fleet/demand_aggregation.h
+++ b/thornhollow/fleet/demand_aggregation.h
@@ -1,28 +1,27 @@
-// Sums over all instances of what is asked for, which all of them know alike a
-// second or two later.
+// Aggregates the demand over all instances, so that all of them arrive at the
+// same totals within a second or two.
 //
-//   demand_aggregation sums(demand_aggregation_settings{});
-//   for (const outgoing_aggregation& each : sums.Round(own, ring, now)) {
-//   Send(each); } sums.OnMessage(told, now); if (const aggregated_views all =
-//   sums.All(own, 195, now); all.mInstances > 0)
-//   {
-//     ...
-//   }
+//   demand_aggregation aggregation(demand_aggregation_settings{});
+//   for (const outgoing_aggregation& each :
+//        aggregation.NextMessages(own, ring, now)) { Send(each); }
+//   aggregation.OnMessage(message, now);
+//   const aggregated_views all = aggregation.Total(own, 195, now);
 //
-// Instances stand in a ring, in an order that all know. In each round each
-// tells the one that stands 1, 2, 4, 8 and so on places after it the sum over
-// as many instances as that, up to itself; what it was told by those before it
-// makes up each sum. So a sum over all takes a number of messages that grows
-// with the logarithm of the instances.
+// Instances form a ring in an order known to all. In each round an instance
+// sends to those 1, 2, 4, 8, ... positions after it the sum over as many
+// instances up to and including itself, which it computes from the sums
+// received from its predecessors. The number of messages for a total thus grows
+// with the logarithm of the number of instances.
 //
-// Load this answers: a burst before hundreds of instances. Each heard a tenth
-// of the others in a second, scaled that up, and drew the border between kinds
-// of work where its tenth said; so a third of the engines had streams from some
-// instances and long prompts from others.
+// Guards against diverging estimates in a burst before hundreds of instances.
+// When each heard from a tenth of the others in a second and extrapolated from
+// these, the instances placed the partition between workload kinds differently,
+// and a third of the engines received streams from some instances and long
+// prompts from others.
 //
-// Nothing is agreed on: one that can't be reached leaves a gap, which the
-// number of instances in each sum shows. Two that differ about who runs count a
-// few instances twice or not at all.
+// There is no consensus. An unreachable instance leaves a gap, which the
+// instance count of each sum shows. Instances that disagree about the
+// membership count a few others twice or not at all.
 #ifndef THORNHOLLOW_FLEET_DEMAND_AGGREGATION_H_
 #define THORNHOLLOW_FLEET_DEMAND_AGGREGATION_H_
 
@@ -38,7 +37,7 @@
 
 namespace thornhollow {
 
-// Sums of what so many instances said.
+// Sums over the views of `mInstances` instances.
 struct aggregated_views
 {
   std::size_t mInstances = 0;
@@ -48,13 +47,14 @@
                          const aggregated_views&) = default;
 };
 
-// What an instance tells the one that stands 2^`mLevel` places after it.
+// Message to the instance 2^`mLevel` positions further on the ring.
 struct aggregation_message
 {
   std::size_t mLevel = 0;
-  // Over 2^`mLevel` instances, up to the one that tells.
+  // Over 2^`mLevel` instances, up to and including the sender.
   aggregated_views mBlock;
-  // Over as many as all instances are more than a multiple of that.
+  // Over N mod 2^`mLevel` instances, where N is the number of all instances, up
+  // to and including the sender.
   aggregated_views mRemainder;
 
   friend bool operator==(const aggregation_message&,
@@ -70,7 +70,7 @@
                          const outgoing_aggregation&) = default;
 };
 
-// All instances in the ring's order, and where this one stands.
+// All instances in ring order, and the position of this one.
 struct instance_ring
 {
   std::vector<std::string> mAddresses;
@@ -82,9 +82,9 @@
 struct demand_aggregation_settings
 {
   duration mInterval = Milliseconds(500);
-  // What was told longer ago counts for nothing: three rounds.
+  // Older messages are ignored; three rounds.
   duration mMaxAge = Milliseconds(1'600);
-  // Of 2^10 instances at the most.
+  // Enough for rings of up to 2^10 instances.
   std::size_t mMaxLevels = 10;
 
   friend bool operator==(const demand_aggregation_settings&,
@@ -96,17 +96,18 @@
 public:
   explicit demand_aggregation(const demand_aggregation_settings& aSettings);
 
-  // Whether a round is due: the ring is needed only then.
+  // Whether a round is due; the ring need only be built then.
   bool IsRoundDue(time_point aNow) const { return aNow >= mNextRound; }
-  // What to tell now, nothing between two rounds. `aOwn`: this instance's part.
+  // Returns the messages to send now; empty between rounds. `aOwn` is this
+  // instance's own demand.
   std::vector<outgoing_aggregation> NextMessages(
     const std::map<pool_name, pool_view>& aOwn,
     const instance_ring& aRing,
     time_point aNow);
   void OnMessage(const aggregation_message& aSums, time_point aNow);
 
-  // Over all of so many instances in the ring, this one included, as far as
-  // they were told of.
+  // Sum over a ring of `aInstances` instances including this one, as far as
+  // messages covered them; see `mInstances` of the result.
   aggregated_views Total(const std::map<pool_name, pool_view>& aOwn,
                          std::size_t aInstances,
                          time_point aNow) const;
@@ -117,8 +118,8 @@
     aggregation_message mMessage;
     time_point mAt{};
   };
-  // What this instance would tell at each level, the last one past the ring's
-  // end.
+  // Messages of this instance by level, followed by one past the last level,
+  // whose remainder is the total.
   std::vector<aggregation_message> ComputeLevels(
     const std::map<pool_name, pool_view>& aOwn,
     std::size_t aInstances,
@@ -127,7 +128,6 @@
                                           time_point aNow) const;
 
   demand_aggregation_settings mSettings;
-  // By level.
   std::vector<std::optional<received_message>> mReceived;
   time_point mNextRound{};
 };
--- a/thornhollow/fleet/demand_aggregation_test.cc
+++ b/thornhollow/fleet/demand_aggregation_test.cc
@@ -12,8 +12,8 @@
 const pool_name kPool("engines");
 const work_kind kKind{ Seconds(2), Seconds(1) };
 
-// Instances that tell each other sums in virtual time; what each asks for has
-// nothing to do with its place in the ring.
+// Instances that exchange aggregation messages in virtual time. The demand of
+// each is unrelated to its position on the ring.
 struct simulated_ring
 {
   instance_ring mRing;
@@ -100,7 +100,8 @@
   }
 }
 
-// The sums' messages go beside hellos of up to 18 KB a second.
+// Guards against too much control traffic: these messages are sent in addition
+// to up to 18 KB of hellos per second.
 TEST_CASE_FIXTURE(simulated_ring, "shared_sums/420_instances/few_messages")
 {
   AddInstances(420);
@@ -108,7 +109,7 @@
   CHECK(mMessages <= 420 * 10 * 2 * 9);
 }
 
-// Guards against borders that follow a burst seconds late.
+// Guards against partitions that follow a burst only seconds later.
 TEST_CASE_FIXTURE(simulated_ring, "shared_sums/burst/is_known_in_three_seconds")
 {
   AddInstances(195);
@@ -121,8 +122,7 @@
   }
 }
 
-// Guards against sums that are taken for those over all when instances are
-// gone.
+// Guards against taking partial sums for totals when instances are gone.
 TEST_CASE_FIXTURE(simulated_ring, "shared_sums/a_quarter_stops/most_are_heard")
 {
   AddInstances(195);
@@ -135,11 +135,11 @@
   for (std::size_t each = 1; each < 195; each += 4) {
     const aggregated_views result = TotalOf(each);
     CHECK(result.mInstances <= 150);
-    // Where it is of a few only, those heard a moment ago count instead.
+    // With so few instances covered, the recent full hellos are used instead.
     if (result.mInstances < 20) {
       continue;
     }
-    // Scaled up, it is near what the others ask for.
+    // Extrapolated, the sum is close to the actual demand.
     const double mean =
       Requests(result) / static_cast<double>(result.mInstances);
     CHECK(mean > 30);
@@ -147,7 +147,7 @@
   }
 }
 
-// Guards against a peer that tells of a level beyond any ring.
+// Guards against out-of-range access by a message with a level beyond any ring.
 TEST_CASE_FIXTURE(simulated_ring, "shared_sums/forged_level/is_without_effect")
 {
   AddInstances(8);
--- a/thornhollow/fleet/heavy_load_test.cc
+++ b/thornhollow/fleet/heavy_load_test.cc
@@ -9,9 +9,9 @@
 constexpr std::size_t kBriefs = 1;
 constexpr std::size_t kTags = 2;
 
-// 195 instances before 84 engines with twelve slots each: long answers to long
-// prompts that may begin after two seconds, streams that may not pause, and
-// short urgent answers.
+// 195 instances and 84 engines with twelve slots each. The workload kinds are
+// long answers to long prompts with a first-event target of two seconds,
+// streams with a tight bound on pauses, and short urgent answers.
 load_shape
 ManyBeforeSmallEngines()
 {
@@ -63,12 +63,12 @@
     mFleet.Run(aFor);
   }
 
-  // Nobody asks any more; what is open ends, or its callers leave.
+  // Stops all arrivals; open requests end or their callers give up.
   void Drain(duration aMaxDuration) { Load(0, 0, 0, aMaxDuration); }
 };
 
-// Guards against a burst of long prompts, of a third more than the slots of all
-// engines can hold, that takes the urgent kinds down with it.
+// Guards against a burst of long prompts that exceeds the slots of all engines
+// by a third and makes the urgent workload kinds miss their targets.
 TEST_CASE_FIXTURE(many_before_small_engines,
                   "heavy_load/burst_of_long_answers/urgent_kinds_are_served")
 {
@@ -77,7 +77,8 @@
   Drain(Seconds(12));
   CHECK(mFleet.Result(kBriefs).InTimeFraction() >= 0.75);
   CHECK(mFleet.Result(kTags).InTimeFraction() >= 0.5);
-  // What can't be served in time is told so; few wait in vain.
+  // Requests that cannot be served in time are refused; few callers wait in
+  // vain.
   const load_result& plans = mFleet.Result(kPlans);
   CHECK(plans.mTimedOut + plans.mDeclined <= plans.mRequests / 20);
   CHECK(plans.mRefused > 0);
--- a/thornhollow/fleet/knowledge_spread_test.cc
+++ b/thornhollow/fleet/knowledge_spread_test.cc
@@ -8,13 +8,15 @@
 namespace thornhollow {
 namespace {
 
-// Long enough for all to have met.
+// Long enough for all instances to have met.
 constexpr duration kSettled = Seconds(15);
-// In force everywhere, where the source's answer itself takes most of a second.
+// Bound for the change to be in force everywhere if the answer of the source
+// alone takes most of a second.
 constexpr duration kMaxChangeDelayOnNarrowLinks = Seconds(3);
 
-// Guards against a configuration that stays old for long while its answers come
-// slowly: each is given up and asked for again beside the last.
+// Guards against a configuration that stays outdated because its answers arrive
+// slowly: each is abandoned and requested again while the previous one is still
+// being transferred.
 TEST_CASE("knowledge_spread/readers_and_documents_on_narrow_links/"
           "they_are_in_force_in_time")
 {
@@ -40,9 +42,9 @@
   }
 }
 
-// Guards against endpoints that get work for seconds after they left, as an
-// instance that the source doesn't answer makes others take leaving for leases
-// that lapsed in an outage.
+// Guards against sending work to endpoints for seconds after they left, because
+// an instance that the source does not answer makes others take them for
+// endpoints whose leases lapsed in an outage.
 TEST_CASE("knowledge_spread/source_fails_one_reader/leaving_is_known_in_time")
 {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
--- a/thornhollow/fleet/large_copy_limiter.h
+++ b/thornhollow/fleet/large_copy_limiter.h
@@ -1,13 +1,13 @@
-// How many large copies an instance gives to its peers at a time.
+// Limits how many large copies an instance sends to its peers at a time.
 //
-//   large_copy_limiter given(settings);
-//   if (!given.Gives(bytes, now)) { ... tell the peer to ask another ... }
+//   large_copy_limiter limiter(settings);
+//   if (!limiter.TryAdmit(bytes, now)) { ... the peer asks another one ... }
 //
-// Load this answers: a configuration of hundreds of kilobytes of which one or
-// two instances of a failure domain know first, and which all others ask them
-// for at once. Each copy then takes as long as all of them together. So they
-// are given about one after the other, as fast as the instance's link carries
-// them, and those who got one give it on.
+// Guards against overload by a configuration of hundreds of kilobytes that one
+// or two instances of a failure domain receive first and all others request
+// from them at once: sent in parallel, each copy takes as long as all of them
+// together. Copies are therefore sent roughly one after the other, at the rate
+// of the instance's link, and the peers that received one serve it in turn.
 #ifndef THORNHOLLOW_FLEET_LARGE_COPY_LIMITER_H_
 #define THORNHOLLOW_FLEET_LARGE_COPY_LIMITER_H_
 
@@ -20,13 +20,14 @@
 
 struct large_copy_limiter_settings
 {
-  // Smaller ones are always given: the news of an endpoint that leaves has a
-  // few hundred.
+  // Smaller copies are always admitted: the notice of a leaving endpoint has a
+  // few hundred bytes.
   std::size_t mMinLargeBytes = 16'384;
   double mLinkBytesPerSecond = 2'500'000;
-  // The rest is for callers' answers.
+  // Fraction of the link for copies; the rest is for responses to callers.
   double mCopyFraction = 0.8;
-  // None is given while those before it take longer than this.
+  // No copy is admitted while those admitted before need longer than this to be
+  // sent.
   duration mMaxQueueDelay = Milliseconds(250);
 };
 
@@ -38,7 +39,8 @@
   {
   }
 
-  // Whether a copy of so many bytes is given now; it counts as given then.
+  // Whether a copy of this size may be sent now. If so, its transfer time is
+  // reserved.
   bool TryAdmit(std::size_t aBytes, time_point aNow)
   {
     if (aBytes < mSettings.mMinLargeBytes) {
@@ -56,7 +58,7 @@
 
 private:
   large_copy_limiter_settings mSettings;
-  // The copies that were given are sent by then.
+  // When the admitted copies will have been sent.
   time_point mBusyUntil{};
 };
 
--- a/thornhollow/fleet/large_copy_limiter_test.cc
+++ b/thornhollow/fleet/large_copy_limiter_test.cc
@@ -13,8 +13,8 @@
   time_point mNow = time_point() + Seconds(100);
 };
 
-// Guards against an instance whose link is full of copies that nobody waits
-// for.
+// Guards against a link that is saturated by copies that their recipients no
+// longer wait for.
 TEST_CASE_FIXTURE(idle_limiter, "large_copies/many_ask/two_get_it_at_once")
 {
   int result = 0;
@@ -26,8 +26,8 @@
   CHECK(mLimiter.TryAdmit(kDocument, mNow));
 }
 
-// Guards against a copy that takes a second where only few can have it, as the
-// instance's link is narrower than most.
+// Guards against a limit that does not fit the link: on one narrower than most,
+// only few copies can be sent in a second.
 TEST_CASE("large_copies/links/are_used_as_far_as_they_carry")
 {
   for (const double bytesPerSecond : { 1'250'000.0, 25'000'000.0 }) {
@@ -46,7 +46,8 @@
   }
 }
 
-// Guards against news of leaving endpoints that wait behind a configuration.
+// Guards against notices of leaving endpoints that are delayed by a
+// configuration.
 TEST_CASE_FIXTURE(idle_limiter, "large_copies/small_ones/are_always_given")
 {
   mLimiter.TryAdmit(kDocument, mNow);
--- a/thornhollow/fleet/relay_peers.h
+++ b/thornhollow/fleet/relay_peers.h
@@ -1,33 +1,33 @@
-// Which other relaying instances run, what they know and what they have sent to
-// engines lately.
+// Tracks the other relaying instances: which are alive, which source revisions
+// they hold, and the load that they have placed on engines.
 //
 //   relay_peers peers(relay_peer_settings{}, "10.0.0.1:7", domain, seeds, 1);
-//   const auto [whole, brief, asked] = peers.Tick(now);  // every 100 ms
-//   Send(peers.OnHello(hello, now));             // for each datagram
-//   if (const auto from = peers.FindNewerCopy(mine, now)) { ... ask it ... }
+//   const auto [full, brief, probed] = peers.Tick(now);  // every 100 ms
+//   const auto replyTo = peers.OnHello(hello, now);      // for each datagram
+//   const auto from = peers.FindNewerCopy(own, 0, now);  // to fetch it
 //
-// Nothing is agreed on: each instance tells others what it holds and does, and
-// uses what it was told for as long as that is fresh. It starts from up to a
-// few seed addresses, any of which may be stale, and learns further ones from
-// whoever answers.
+// There is no consensus. Each instance sends its own state in hellos and uses
+// what it receives for as long as that is fresh. It starts from a few seed
+// addresses, any of which may be stale, and learns further addresses from the
+// peers that answer.
 //
-// The load that this answers: a fleet of any size. Each interval an instance
-// tells a bounded number of others, drawn at random; an unknown one that it
-// hears of is told next.
+// Scales to a fleet of any size: in each interval an instance sends hellos to a
+// bounded number of randomly chosen peers. A newly learned address is probed
+// next.
 //
-// In a large failure domain a few instances read the source for all: those with
-// the widest links, among equal ones by a hash of their addresses. The others
-// hold what readers tell. The list of endpoints changes every second or two on
-// a site of 90 engines, which would else be a call for each change and
-// instance. Readers tell their whole domain often that they are there; whoever
-// misses that of enough readers above its rank reads too, those of a lower rank
-// a little later, so that the first ones' word reaches them before. A reader
-// that the source doesn't answer goes on asking, and one more instance reads
-// beside it.
+// In a large failure domain a few instances, the readers, read the source for
+// all: those with the widest links, ties broken by a hash of the address. The
+// others take the readers' copies. On a site of 90 engines the list of
+// endpoints changes every second or two, and without readers each change would
+// cost one source call per instance. Readers announce themselves often to their
+// whole domain. An instance that does not hear enough readers of a higher rank
+// becomes a reader too; lower ranks wait a little longer, so that the hello of
+// the first one reaches them before they start. A reader that the source does
+// not answer keeps asking, and one more instance reads alongside it.
 //
-// Guards against a source that turns this instance away while it serves others:
-// it shows as a configuration that stays behind for this instance only. Peers
-// tell of newer revisions, and what they hold is fetched from them.
+// Guards against a source that does not serve this instance while it serves
+// others, which leaves the configuration stale on this instance only. Peers
+// report newer revisions, and the copies are fetched from them.
 #ifndef THORNHOLLOW_FLEET_RELAY_PEERS_H_
 #define THORNHOLLOW_FLEET_RELAY_PEERS_H_
 
@@ -48,24 +48,25 @@
 
 namespace thornhollow {
 
-// What an instance tells of an endpoint: prompt tokens that it was sent and has
-// not read yet, and how fast it reads.
+// What an instance reports of one endpoint: the prompt tokens that it sent and
+// that are not prefilled yet, and the prefill time per token.
 struct reported_load
 {
   // See `EndpointHash`.
   std::uint32_t mEndpoint = 0;
   std::uint64_t mPrefillTokens = 0;
-  // Nanoseconds for which it was seen to read a prompt token, at its best; 0:
-  // not seen.
+  // Lowest observed prefill time per prompt token, in nanoseconds; 0 if not
+  // observed.
   double mPrefillNanoseconds = 0;
-  // Requests that it was sent and that haven't ended.
+  // Requests that it sent to the endpoint and that have not ended.
   std::uint32_t mInFlight = 0;
 
   friend bool operator==(const reported_load&, const reported_load&) = default;
 };
 
-// The name's short form in messages: two of a thousand endpoints collide with a
-// chance of one in ten thousand, and then share an estimate.
+// Hash that identifies an endpoint in messages. Among a thousand endpoints the
+// probability of a collision is about one in ten thousand; colliding endpoints
+// share an estimate.
 std::uint32_t
 EndpointHash(const endpoint_name& aEndpoint);
 
@@ -77,8 +78,8 @@
   friend bool operator==(const pool_demand&, const pool_demand&) = default;
 };
 
-// Source revisions: up to which an instance's copies are complete, or, in what
-// it tells, of the last changes that they took.
+// Source revisions: those up to which the copies of an instance are complete
+// or, in hellos of domains with readers, those of the last changes applied.
 struct known_revisions
 {
   std::uint64_t mConfiguration = 0;
@@ -88,38 +89,38 @@
                          const known_revisions&) = default;
 };
 
-// What an instance tells of itself.
+// State that an instance sends to its peers.
 struct relay_hello
 {
-  // Without work, demand and peers, of which the last ones told hold on: tells
-  // many at once that it is there, and what it knows.
+  // Has no loads, demand or peers; the receiver keeps those of the last full
+  // hello. Announces the instance and its revisions to many peers at once.
   bool mBrief = false;
-  // Where it listens, "ip:port".
+  // Listening address, "ip:port".
   std::string mAddress;
   domain_name mDomain;
   known_revisions mRevisions;
-  // Some of the instances that it knows.
+  // Addresses of some of the known instances.
   std::vector<std::string> mPeers;
   std::vector<reported_load> mLoads;
   std::vector<pool_demand> mDemand;
-  // Sums over many instances, in place of the rest.
+  // Demand aggregated over several instances; sent without the other parts.
   std::optional<aggregation_message> mAggregation = std::nullopt;
   bool mWantsAnswer = false;
-  // The source doesn't answer this instance.
+  // Whether the source does not answer this instance.
   bool mSourceFails = false;
-  // How long ago it last did; nothing: that is long ago.
+  // Time since the last answer of the source; unset if that is long ago.
   std::optional<duration> mSourceAnswerAge = std::nullopt;
-  // What its link carries, in Mbit/s; 0: not told.
+  // Link capacity in Mbit/s; 0 if not reported.
   std::uint32_t mLinkMegabits = 0;
 
   friend bool operator==(const relay_hello&, const relay_hello&) = default;
 };
 
-// An instance that holds a later revision of some copy.
+// A peer that holds a later revision of at least one copy.
 struct newer_copy
 {
   std::string mAddress;
-  // What it told, and which of it is later.
+  // The reported revisions, and which of them are later.
   known_revisions mRevisions;
   bool mConfiguration = false;
   bool mEndpoints = false;
@@ -127,12 +128,14 @@
   friend bool operator==(const newer_copy&, const newer_copy&) = default;
 };
 
-// Whom to tell, each once.
+// Recipients of the hellos that are due. An address is in `mFull` at most once
+// and not also in `mBrief`.
 struct hello_round
 {
   std::vector<std::string> mFull;
   std::vector<std::string> mBrief;
-  // Briefly too, and they are to answer: they were heard of but never heard.
+  // Receive a brief hello that requests an answer: addresses learned from other
+  // peers that have not sent a hello yet.
   std::vector<std::string> mProbed;
 
   friend bool operator==(const hello_round&, const hello_round&) = default;
@@ -140,53 +143,57 @@
 
 struct relay_peer_settings
 {
-  // What this instance's link carries.
+  // Capacity of this instance's link, in Mbit/s.
   std::uint32_t mLinkMegabits = 0;
-  // Work at engines changes with each prompt, which takes tens of milliseconds
-  // to hundreds.
+  // Between two rounds of hellos. Engine load changes with each prompt, whose
+  // prefill takes tens to hundreds of milliseconds.
   duration mInterval = Milliseconds(250);
-  // Others told in an interval.
+  // Recipients of full hellos in each interval.
   std::size_t mFanout = 8;
-  // From so many others on rounds come half as often: by then a hello is near a
-  // datagram's 1,100 bytes, and 16 of them a second are the 18 KB/s that
-  // control may take in a fleet of 420 instances.
+  // From this number of peers on the interval is doubled. A hello is then close
+  // to the limit of 1,100 bytes per datagram, and 16 of them a second make up
+  // the 18 KB/s of control traffic allowed in a fleet of 420 instances.
   std::size_t mHalfRateFrom = 128;
-  // Without a word for this long an instance counts as gone; longer the more
-  // there are, as each is then heard less often: by this much for each
-  // `mFanout` of them.
+  // A peer is removed after this time without a hello. Hellos from each peer
+  // become rarer as the fleet grows, so the time-out grows by
+  // `mPeerTimeoutStep` for every `mFanout` peers.
   duration mPeerTimeout = Seconds(4);
   duration mPeerTimeoutStep = Milliseconds(1'600);
-  // Work and demand that were told longer ago count for nothing.
+  // Reported loads and demand that are older than this are ignored.
   duration mMaxAge = Milliseconds(1'200);
-  // A seed that doesn't answer is tried this often.
+  // Interval at which seeds that have not answered and newly learned addresses
+  // are tried.
   duration mSeedInterval = Milliseconds(500);
-  // Addresses in one hello.
+  // Peer addresses in one hello.
   std::size_t mAddressesPerHello = 6;
-  // Instances of a failure domain that read the source, once it has more than
-  // `mAllReadUpTo`; 0: all read it. Two or more, so that one can fail unseen
-  // for as long as it takes to notice.
+  // Readers of a failure domain with more than `mAllReadUpTo` instances; 0
+  // makes every instance a reader. At least two, so that the domain stays up to
+  // date until the failure of one is detected.
   std::size_t mReaders = 2;
   std::size_t mAllReadUpTo = 6;
-  // So many of a domain read at the most while the source doesn't answer them:
-  // a source that is away for all need not hear from every instance.
+  // Upper bound on the readers of a domain while the source does not answer
+  // them: in an outage of the source not every instance needs to send it
+  // requests.
   std::size_t mMaxReaders = 6;
-  // A reader tells every instance of its domain this often that it is there.
+  // Interval at which a reader sends brief hellos to its whole domain.
   duration mReaderInterval = Seconds(1);
-  // A reader that wasn't heard for this long counts as gone: two of its words
-  // may be lost.
+  // A reader is considered gone after this time without a hello, which allows
+  // for two lost hellos.
   duration mReaderTimeout = Milliseconds(2'600);
-  // For each instance that ranks higher one waits so much longer before it
-  // begins to read, up to `mMaxStagger`: a word takes less.
+  // Delay before becoming a reader, for each instance of a higher rank, up to
+  // `mMaxStagger`. Longer than a hello takes, so that the first new reader's
+  // announcement arrives in time.
   duration mStagger = Milliseconds(150);
   duration mMaxStagger = Seconds(3);
-  // From so many others on the demand is known by sums that all pass on, as
-  // only a part of the others is heard in a moment.
+  // From this number of peers on, the demand is taken from the aggregation,
+  // because only some of the peers are heard from within `mMaxAge`.
   std::size_t mAggregateFrom = 16;
   demand_aggregation_settings mAggregation;
-  // Instances held; above the 420 of a large fleet.
+  // Upper bound on tracked peers; above the 420 instances of a large fleet.
   std::size_t mMaxPeers = 512;
-  // The count of instances is the largest seen for this long, so that a bound
-  // that is shared out isn't exceeded while some can't be heard.
+  // `Count` returns the largest count of this period, so that a fleet-wide
+  // limit that is divided among the instances is not exceeded while some cannot
+  // be reached.
   duration mCountRetention = Seconds(60);
 
   friend bool operator==(const relay_peer_settings&,
@@ -202,53 +209,55 @@
               std::vector<std::string> aSeeds,
               std::uint64_t aSeed);
 
-  // Addresses that are to be told now.
+  // Returns the recipients of the hellos that are due. To be called every 100
+  // ms.
   hello_round Tick(time_point aNow);
-  // Whether this instance is to read the source. To be called every 100 ms.
+  // Whether this instance should read the source. To be called every 100 ms.
   bool Reads(time_point aNow);
-  // Whether all of this instance's domain read the source, by the last look.
+  // Whether all instances of this domain read the source, as of the last call
+  // of `Reads`.
   bool AllReadInDomain() const { return mReads && !mReadsForDomain; }
-  // This instance's turn among those of its domain that read the source, by
-  // which their watches end one after the other.
+  // Position of this instance among the readers of its domain, which staggers
+  // the ends of their watches.
   watch_turn Turn(time_point aNow) const;
-  // Sums that are to be told now, each to one other. `aOwn`: what is asked for
-  // here.
+  // Returns the aggregation messages that are due, each for one peer. `aOwn` is
+  // the demand at this instance.
   std::vector<outgoing_aggregation> AggregationMessages(
     const std::map<pool_name, pool_view>& aOwn,
     time_point aNow);
-  // Addresses that are to be told briefly and at once: this instance learnt of
-  // a newer revision.
+  // Returns the recipients of an immediate brief hello, to be sent when this
+  // instance has received a newer revision.
   std::vector<std::string> OnNewRevision();
-  // Takes what another one told; returns the address to answer, if any.
+  // Processes a hello; returns the address to answer if one was requested.
   std::optional<std::string> OnHello(const relay_hello& aHello,
                                      time_point aNow);
 
-  // Some addresses, to be told on.
+  // Returns a random sample of peer addresses for a hello.
   std::vector<std::string> SamplePeers();
 
-  // Whether the source doesn't answer some other instance, by what was told a
-  // moment ago.
+  // Whether a peer recently reported that the source does not answer it.
   bool SourceFailsElsewhere(time_point aNow) const;
 
-  // When the source last answered some other instance, by what was told.
+  // When the source last answered another instance, as reported by peers.
   std::optional<time_point> SourceAnswered() const { return mSourceAnswered; }
 
-  // An instance that holds a later revision than `aOwn` of either copy; among
-  // equal ones another for each `aAttempt`.
+  // Returns a peer that holds a later revision than `aOwn` of either copy, if
+  // any. `aAttempt` selects among equally good ones.
   std::optional<newer_copy> FindNewerCopy(const known_revisions& aOwn,
                                           std::uint64_t aAttempt,
                                           time_point aNow) const;
 
-  // Instances that run, this one included; 0 while none was heard.
+  // Number of live instances including this one; 0 before the first hello is
+  // received.
   std::size_t Count(time_point aNow) const;
   std::size_t Alive() const { return mPeers.size(); }
 
-  // Sums over the others, of what is fresh, scaled up to all where not all were
-  // heard a moment ago; of paces the least.
+  // Sum of the fresh loads of the peers by endpoint hash, extrapolated to all
+  // peers if only some have reported recently. The prefill time is the minimum.
   std::map<std::uint32_t, reported_load> RemoteLoad(time_point aNow) const;
-  // Demand over all instances, `aOwn` included, scaled up in the same way: by
-  // the sums that all pass on, or by those heard a moment ago where these are
-  // more.
+  // Demand over all instances including `aOwn`, extrapolated in the same way.
+  // Taken from the aggregation, or from the recent full hellos if those cover
+  // more instances.
   std::map<pool_name, pool_view> FleetViews(
     const std::map<pool_name, pool_view>& aOwn,
     time_point aNow) const;
@@ -258,42 +267,42 @@
   {
     relay_hello mHello;
     time_point mLastMessage{};
-    // Its work and demand were told.
+    // When its loads and demand were last received.
     std::optional<time_point> mLastFullHello = std::nullopt;
   };
 
   static void UpdatePeer(peer& aPeer,
                          const relay_hello& aHello,
                          time_point aNow);
-  // Whether its work and demand count.
+  // Whether its loads and demand are recent enough to be used.
   bool HasFreshLoad(const peer& aPeer, time_point aNow) const;
   std::size_t CountFreshLoads(time_point aNow) const;
-  // All instances, those of one domain beside each other.
+  // All instances in ring order; those of one domain are adjacent.
   instance_ring Ring() const;
-  // As if all had been heard.
+  // Extrapolates the sums to all instances.
   std::map<pool_name, pool_view> ScaleToFleet(
     const aggregated_views& aSums) const;
-  // All others for each of those that were heard a moment ago; 0: none was.
+  // Ratio of all peers to those with fresh loads; 0 if there are none.
   double FreshLoadScale(time_point aNow) const;
   bool IsBetter(const peer& aLeft,
                 const peer& aRight,
                 std::uint64_t aAttempt) const;
   std::vector<std::string> DrawRecipients();
   std::vector<std::string> DomainPeers() const;
-  // Whether all of a domain of so many read the source.
+  // Whether all instances of a domain of this size read the source.
   bool AllRead(std::size_t aDomainSize) const;
-  // Of this instance's domain, those that rank above it.
+  // Counts of the instances of this domain that rank above this one.
   struct higher_ranked
   {
     std::size_t mInDomain = 1;
     std::size_t mCount = 0;
-    // Heard a moment ago, as readers are.
+    // Those heard from within the reader time-out.
     std::size_t mActive = 0;
-    // Of these, the ones that the source answers.
+    // Those among `mActive` that the source answers.
     std::size_t mServed = 0;
   };
   higher_ranked HigherRanked(time_point aNow) const;
-  // The higher one reads first.
+  // Instances with the highest ranks become readers.
   using reader_rank = std::pair<std::uint32_t, std::uint64_t>;
   static reader_rank RankOf(std::uint32_t aLinkMegabits,
                             const std::string& aAddress);
@@ -308,15 +317,16 @@
   std::mt19937_64 mRandom;
   std::map<std::string, peer> mPeers;
   demand_aggregation mAggregation;
-  // Heard of but never heard from, and until when to try.
+  // Addresses that have not sent a hello yet, and when to stop trying them.
   std::map<std::string, time_point> mUnconfirmed;
   time_point mNextRound{};
   time_point mNextSeeds{};
   time_point mNextReaderHello{};
   bool mReads = true;
-  // It does, and others of its domain don't.
+  // Whether this instance is one of the readers of a domain in which not all
+  // read.
   bool mReadsForDomain = false;
-  // Since when too few readers were heard.
+  // Since when too few readers of a higher rank have been heard from.
   std::optional<time_point> mReadersMissingSince;
   std::size_t mMaxCount = 0;
   time_point mMaxCountAt{};
--- a/thornhollow/fleet/relay_peers_test.cc
+++ b/thornhollow/fleet/relay_peers_test.cc
@@ -22,7 +22,7 @@
   std::map<std::string, std::unique_ptr<relay_peers>> mPeers;
   std::map<std::string, known_revisions> mKnown;
   std::map<std::string, bool> mCutOff;
-  // Whom the source turns away.
+  // Instances that the source does not answer.
   std::map<std::string, bool> mFails;
   std::map<std::string, std::uint32_t> mMegabits;
   time_point mNow = time_point() + Seconds(100);
@@ -93,8 +93,8 @@
   }
 }
 
-// Guards against sums over a part of the fleet, as instances know too few
-// others.
+// Guards against sums over only a part of the fleet because instances know too
+// few peers.
 TEST_CASE_FIXTURE(hello_fleet, "relay_peers/many_start_at_once/all_meet_soon")
 {
   for (int each = 0; each < 195; ++each) {
@@ -109,8 +109,8 @@
 TEST_CASE_FIXTURE(hello_fleet,
                   "relay_peers/behind_the_others/knows_whom_to_ask")
 {
-  // One instance goes on serving a revoked token: the source turns it away and
-  // serves the others.
+  // Guards against an instance that keeps accepting a revoked token because the
+  // source does not answer it, while it answers the others.
   Add("a", { "b" });
   Add("b", {});
   Run(Seconds(2));
@@ -124,8 +124,8 @@
 
 TEST_CASE_FIXTURE(hello_fleet, "relay_peers/cut_off/counts_the_fleet_as_it_was")
 {
-  // The fleet's retry bound is exceeded while a link is down: each side shares
-  // it out among the few instances that it still hears.
+  // Guards against exceeding the fleet-wide retry limit while a link is down:
+  // each side would divide it among the few instances that it can still reach.
   Add("a", { "b" });
   Add("b", {});
   Add("c", { "b" });
@@ -141,9 +141,10 @@
   CHECK(mPeers["a"]->RemoteLoad(mNow).at(1).mPrefillTokens == 20);
 }
 
-// A burst of long prompts came to ninety instances. Each heard a third of the
-// others in a second and summed what it knew of all: the burst showed in its
-// sum when it was half over, and the engines were shared out too late.
+// Guards against demand that lags behind a burst. With a burst of long prompts
+// at 90 instances, each heard from a third of the others in a second; summing
+// old reports with new ones showed the burst only when half of it was over, too
+// late to partition the engines.
 TEST_CASE("relay_peers/burst_at_many/shows_by_those_heard_a_moment_ago")
 {
   const pool_name pool("plans");
@@ -173,8 +174,8 @@
   CHECK(subject.FleetViews({}, now).empty());
 }
 
-// At letter 1's 420 instances the hellos alone took 35 KB/s of an instance,
-// twice what control may take.
+// Guards against control traffic above the limit: with 420 instances hellos
+// alone took 35 KB/s per instance, twice what is allowed.
 TEST_CASE("relay_peers/four_hundred_and_twenty/hellos_stay_within_the_bound")
 {
   const time_point start = time_point() + Seconds(100);
@@ -196,7 +197,7 @@
   CHECK(subject.Alive() == 419);
 }
 
-// Those of 30 that read the source, cut off ones left out.
+// The readers of a domain of 30 instances, without those that are cut off.
 struct thirty_in_a_domain : hello_fleet
 {
   thirty_in_a_domain()
@@ -225,7 +226,7 @@
   CHECK(Readers().size() == 2);
 }
 
-// Guards against a domain that waits for a large configuration on the link of
+// Guards against a domain that receives a large configuration over the link of
 // its smallest instance.
 TEST_CASE_FIXTURE(hello_fleet, "relay_peers/links_differ/the_widest_read")
 {
@@ -241,8 +242,8 @@
   }
 }
 
-// Guards against a leaving endpoint that is taken for a lapsed lease, as the
-// source doesn't answer the instance that tells of it.
+// Guards against taking a leaving endpoint for one whose lease lapsed in an
+// outage, because the source does not answer the peer that reports it.
 TEST_CASE("relay_peers/source_answers_some/its_latest_answer_is_known")
 {
   relay_peers subject(relay_peer_settings{}, "me", kHall, {}, 1);
@@ -265,8 +266,8 @@
 TEST_CASE_FIXTURE(thirty_in_a_domain,
                   "relay_peers/readers_die_or_are_turned_away/others_read")
 {
-  // All instances of a domain go on with an old list for good: those that read
-  // it for them were killed, or the source stopped answering them.
+  // Guards against a domain that keeps an outdated list because its readers
+  // were killed or the source stopped answering them.
   for (const std::string& each : Readers()) {
     mCutOff[each] = true;
   }
@@ -282,8 +283,8 @@
   CHECK(last != next);
 }
 
-// Guards against a domain in which nobody asks the source: each left a failing
-// one to others, which had left it too.
+// Guards against a domain in which no instance asks the source, because each
+// reader gives up a failing source in favour of others that have done the same.
 TEST_CASE_FIXTURE(thirty_in_a_domain,
                   "relay_peers/readers_turned_away/they_and_as_many_more_read")
 {
@@ -302,7 +303,8 @@
   CHECK(Readers() == first);
 }
 
-// Guards against a silent source that all instances of a large fleet ask.
+// Guards against requests from all instances of a large fleet to a source that
+// does not answer.
 TEST_CASE_FIXTURE(thirty_in_a_domain,
                   "relay_peers/source_silent_for_all/few_ask_it")
 {
@@ -316,7 +318,8 @@
   }
 }
 
-// Guards against work that vanishes from the sums with a reader's brief word.
+// Guards against losing a peer's loads from the sums when it sends a brief
+// hello.
 TEST_CASE_FIXTURE(hello_fleet,
                   "relay_peers/brief_hello/work_told_before_counts")
 {
@@ -326,7 +329,7 @@
   Deliver("b", "a", false, true);
   CHECK(mPeers["a"]->RemoteLoad(mNow).at(1).mPrefillTokens == 10);
   CHECK(mPeers["a"]->Alive() == 1);
-  // Nor does it make old work count as new.
+  // A brief hello does not refresh the age of the loads either.
   relay_peers& subject = *mPeers["a"];
   mNow += mSettings.mMaxAge;
   Deliver("b", "a", false, true);
@@ -354,7 +357,7 @@
   CHECK_FALSE(Readers().empty());
 }
 
-// Three domains, of three, two and one instances, which all know each other.
+// Three domains of three, two and one instances that all know each other.
 struct three_domains
 {
   std::vector<std::pair<std::string, domain_name>> mAll = {
@@ -391,7 +394,7 @@
   CHECK(places[domain_name("a")].size() == 3);
   CHECK(TurnOf("a1", domain_name("a")).mOf == 3);
   CHECK(TurnOf("c1", domain_name("c")) == watch_turn{ 0, 1, 1 });
-  // The domains share a turn out among themselves.
+  // The domains are spread over one watch period.
   CHECK(phases[domain_name("a")] < phases[domain_name("b")]);
   CHECK(phases[domain_name("b")] < phases[domain_name("c")]);
 }
--- a/thornhollow/fleet/silent_source_test.cc
+++ b/thornhollow/fleet/silent_source_test.cc
@@ -11,18 +11,19 @@
 namespace thornhollow {
 namespace {
 
-// Long enough for all to have met.
+// Long enough for all instances to have met.
 constexpr duration kSettled = Seconds(15);
 
-// Callers were refused, or served by a route that had been changed, for 3.2 s
-// after the change was acknowledged, at every instance. A change that all heard
-// of at once had ended all watches and begun them together; the source fell
-// silent for two seconds and came back; a second change was acknowledged; no
-// watch ended before the third second after the first change, and it was given
-// up two seconds later. Cause: an instance waits for an answer that will never
-// come, and nobody else asks meanwhile. Evidence, logs of late instances: their
-// watch of the configuration open for 6.9 s, the source's last answer to it 6 s
-// old, that to the watch of endpoints 0.9 s; the change taken from a peer.
+// Guards against refused calls, or calls on an outdated route, at every
+// instance for 3.2 s after a change was acknowledged. A change that reached all
+// instances at once had restarted all watches at the same time. The source then
+// stopped answering for two seconds and recovered, and a second change was
+// acknowledged. No watch ended before three seconds after the first change, and
+// each was abandoned two seconds later: every instance waited for an answer
+// that would never come, and none sent a new request. In the logs of late
+// instances the watch of the configuration had been open for 6.9 s and last
+// been answered 6 s ago, that of the endpoints 0.9 s ago, and the change came
+// from a peer.
 TEST_CASE("silent_source/silence_after_a_change_that_all_heard/"
           "next_change_is_in_force_in_time")
 {
@@ -40,10 +41,10 @@
   }
 }
 
-// A fleet of any shape, with silences of 0.3 to 30 s that begin at any moment
-// after a change, changes while they last and up to two seconds after them.
-// With `aStopInstances` one instance is gone shortly before or during each
-// silence.
+// A fleet of a given shape with outages of the source of 0.3 to 30 s, each
+// beginning at a random time after a change, and with changes during the outage
+// and up to two seconds after it. With `aStopInstances`, one instance stops
+// shortly before or during each outage.
 struct random_fleet
 {
   std::mt19937_64 mRandom;
@@ -88,7 +89,8 @@
     const double length = ToSeconds(Between(std::log(0.3), std::log(30)));
     const duration until = from + FromSeconds(std::exp(length));
     mFleet.Silence(from, until);
-    // In a series the first waits for the source's return.
+    // In half of the cases the first change of the series comes at about the
+    // end of the outage, and may have to wait for the recovery.
     mAt = until + (mRandom() % 2 == 0 ? Between(-0.3, 0.1) : Between(0, 2));
     const std::uint64_t changes = 1 + mRandom() % 3;
     for (std::uint64_t each = 0; each < changes; ++each) {
@@ -99,7 +101,7 @@
   }
 };
 
-// More by hand: THORNHOLLOW_SEARCH_SEEDS.
+// The number of seeds can be overridden by THORNHOLLOW_SEARCH_SEEDS.
 void
 CheckSeeds(const fleet_shape& aShape,
            std::uint64_t aSeeds,
@@ -127,7 +129,8 @@
   CheckSeeds({ .mDomains = 4, .mPerDomain = 2 }, 60);
 }
 
-// Whose turn it is may be gone.
+// Guards against relying on an instance whose turn it is to ask the source but
+// which has stopped.
 TEST_CASE("silent_source/instances_stop/every_change_is_in_force_in_time")
 {
   CheckSeeds({ .mDomains = 3, .mPerDomain = 2 }, 60, true);
@@ -157,8 +160,8 @@
         ToSeconds(silent_source_fleet::kMaxChangeDelay));
 }
 
-// Guards against endpoints that get work for seconds after they left, where
-// others read the source and several leave within one copy.
+// Guards against sending work to endpoints for seconds after they left, where
+// readers follow the source and several endpoints leave during one copy.
 TEST_CASE("silent_source/readers_and_leaving_endpoints/all_know_in_time")
 {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
@@ -174,9 +177,9 @@
   }
 }
 
-// Guards against refusing everything after an outage: the leases of all
-// endpoints lapsed meanwhile, and those that don't read the source must hear
-// that from those that do.
+// Guards against refusing all requests after an outage in which the leases of
+// all endpoints lapsed: instances that are not readers must learn of the outage
+// from the readers.
 TEST_CASE("silent_source/readers_and_lapsed_endpoints/all_count_on")
 {
   silent_source_fleet condition(
@@ -197,8 +200,8 @@
   }
 }
 
-// Guards against a domain without news while nobody has taken the place of its
-// readers yet: instances of other domains tell it.
+// Guards against a domain that receives no changes between the failure of its
+// readers and their replacement; instances of other domains must report them.
 TEST_CASE("silent_source/readers_of_a_domain_stop/next_change_is_in_time")
 {
   for (std::uint64_t seed = 1; seed <= 2; ++seed) {
@@ -223,9 +226,9 @@
   }
 }
 
-// Guards against a configuration of hundreds of kilobytes that none of those
-// who don't read the source gets in time: all ask the few that have it, and
-// each copy takes longer than anybody waits for it.
+// Guards against a configuration of hundreds of kilobytes that no instance
+// other than the readers receives in time, because all request it from the few
+// that hold it and each transfer takes longer than its time-out.
 TEST_CASE("silent_source/readers_and_a_large_document/it_is_in_force_in_time")
 {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
--- a/thornhollow/fleet/testing/fleet_shape.h
+++ b/thornhollow/fleet/testing/fleet_shape.h
@@ -1,8 +1,7 @@
-// For tests: what a fleet in virtual time is made of, and what was measured of
-// a change that reached it.
+// For tests: the shape of a fleet in virtual time, and the measured delay of a
+// change.
 //
 //   const fleet_shape shape{ .mDomains = 5, .mPerDomain = 39, .mReaders = 2 };
-//
 #ifndef THORNHOLLOW_FLEET_TESTING_FLEET_SHAPE_H_
 #define THORNHOLLOW_FLEET_TESTING_FLEET_SHAPE_H_
 
@@ -16,28 +15,30 @@
 {
   int mDomains = 3;
   int mPerDomain = 2;
-  // An answer of the source takes so long.
+  // Latency of an answer of the source.
   duration mSourceLatency = Milliseconds(10);
-  // Instances of a domain that read the source for all; 0: all of them.
+  // Readers of each domain; 0 if all instances read the source.
   std::size_t mReaders = 0;
-  // Part of the hellos that are lost.
+  // Fraction of the hellos that are lost.
   double mLossRate = 0;
-  // From a question for a peer's copy to its answer, or to knowing that none
-  // comes.
+  // From a request for a copy until the answer starts to arrive.
   duration mCopyLatency = Milliseconds(40);
-  // Of the configuration, and what an instance's link carries in a second, each
-  // way. All that comes or goes on it at the same time has an even part.
+  // Size of the configuration, and the capacity of an instance's link in bytes
+  // per second and direction. Concurrent transfers in one direction share it
+  // equally.
   double mDocumentBytes = 4'000;
   double mLinkBytesPerSecond = 2'500'000;
-  // Copies of peers have this part of their size on the link.
+  // Ratio of the bytes on the link to the size of the items, for copies from
+  // peers.
   double mCompressionRatio = 0.2;
-  // The source encodes each byte of the configuration as so many.
+  // The same for answers of the source, which encodes the configuration.
   double mSourceEncodingRatio = 4.0 / 3;
 
   friend bool operator==(const fleet_shape&, const fleet_shape&) = default;
 };
 
-// How long a change took until every instance held it or a newer one.
+// Time from the acknowledgement of a change until every instance held it or a
+// newer one.
 struct change_delay
 {
   duration mAcknowledged{};
--- a/thornhollow/fleet/testing/leaving_series.h
+++ b/thornhollow/fleet/testing/leaving_series.h
@@ -1,7 +1,6 @@
 // For tests: endpoints that leave one after the other while a fleet runs.
 //
 //   ScheduleLeaves(fleet, Seconds(15), seed);
-//
 #ifndef THORNHOLLOW_FLEET_TESTING_LEAVING_SERIES_H_
 #define THORNHOLLOW_FLEET_TESTING_LEAVING_SERIES_H_
 
@@ -12,8 +11,8 @@
 
 namespace thornhollow {
 
-// Thirty endpoints join at the start; from `aFrom` on fifteen of them leave,
-// some at the same moment, in five seconds.
+// Thirty endpoints join at the start. Fifteen of them leave within five seconds
+// from `aFrom` on, some of these at the same moment.
 inline void
 ScheduleLeaves(silent_source_fleet& aFleet, duration aFrom, std::uint64_t aSeed)
 {
--- a/thornhollow/fleet/testing/modelled_instance.h
+++ b/thornhollow/fleet/testing/modelled_instance.h
@@ -1,11 +1,10 @@
-// For tests: an instance of a fleet in virtual time, what is on its way to it,
-// and how the links share what they carry.
+// For tests: an instance of a fleet in virtual time, its pending transfers, and
+// how transfers share the links.
 //
-//   AdvanceTransfers(instances, bytesInAStep, [](const auto& aTo, const auto&
-//   aCopy) {
-//     return ... the instance that gives the copy, or null ...;
+//   AdvanceTransfers(instances, bytesPerStep,
+//                    [](const auto& aTo, const auto& aCopy) {
+//     return ... the instance that sends the copy, or null ...;
 //   });
-//
 #ifndef THORNHOLLOW_FLEET_TESTING_MODELLED_INSTANCE_H_
 #define THORNHOLLOW_FLEET_TESTING_MODELLED_INSTANCE_H_
 
@@ -28,7 +27,7 @@
 
 namespace thornhollow {
 
-// A peer's answer on its way: as of when it began to come.
+// A peer's answer to a request for a copy, with the contents as of the request.
 struct pending_copy
 {
   std::string mFrom;
@@ -43,21 +42,21 @@
   double mBytesLeft = 0;
 };
 
-// A call to the source that is on its way.
+// A call to the source that has not been answered.
 struct outstanding_call
 {
   source_call mCall;
   time_point mSent{};
-  // Waited at the source while that was silent.
+  // Was pending while the source was silent, and will never be answered.
   bool mLost = false;
-  // Once the answer has begun to come: what is left of it, and up to which
-  // revision it tells.
+  // Set when the answer starts to arrive: the bytes left, and the revision up
+  // to which it reports changes.
   std::optional<double> mBytesLeft = std::nullopt;
   std::uint64_t mAnswerRevision = 0;
   time_point mLastBytes{};
 };
 
-// How an instance follows one kind of items.
+// How an instance follows one type of items.
 struct modelled_subscription
 {
   source_item_type mWhich{};
@@ -65,12 +64,13 @@
   item_mirror mMirror;
   time_point mSendAt{};
   bool mSendPending = true;
-  // No call is on its way or due, as others read the source.
+  // No call is pending or scheduled, because others read the source.
   bool mIdle = false;
-  // On their way beside each other, the newest last.
+  // Concurrent calls, the newest last.
   std::vector<outstanding_call> mOutstanding = {};
   call_round mRound = call_round{};
-  // Of earlier rounds: nobody waits for them, and they come all the same.
+  // Calls of earlier rounds. Their answers are ignored but still take up the
+  // link.
   std::vector<outstanding_call> mAbandoned = {};
 };
 
@@ -88,17 +88,17 @@
   time_point mBlockedFrom{};
   time_point mBlockedUntil{};
   endpoint_roster mRoster{ roster_settings{} };
-  // For its domain, and for whatever reason.
+  // Whether it is a reader, and whether it asks the source for any reason.
   bool mReads = true;
   bool mFollowsSource = true;
   std::vector<pending_copy> mCopies = {};
   large_copy_limiter mCopyLimiter = large_copy_limiter{};
-  // What its link carries at the moment.
+  // Numbers of concurrent transfers on its link.
   std::size_t mIncoming = 0;
   std::size_t mOutgoing = 0;
 };
 
-// When the source itself last answered the instance.
+// When the source last answered this instance.
 inline std::optional<time_point>
 SourceAnswered(const modelled_instance& aOne)
 {
@@ -106,7 +106,8 @@
                   aOne.mSubscriptions[1].mFollower.Answered());
 }
 
-// Tells its roster when the source last answered it or, by their word, others.
+// Reports to the roster when the source last answered this instance or,
+// according to its peers, another one.
 inline void
 ReportSourceAnswers(modelled_instance& aOne)
 {
@@ -118,10 +119,9 @@
   }
 }
 
-// Calls `aVisit` for each answer and copy that is coming: with the instance
-// that it comes to, the one that gives it, null for the source, and what is
-// left of it. `aFindSender` returns who gives a copy, null while it doesn't
-// come.
+// Calls `aVisit` for each transfer with the receiving instance, the sending one
+// (null for the source) and the bytes left. `aFindSender` returns the sender of
+// a copy, or null while nothing of it arrives.
 template<class find_sender, class visitor>
 void
 ForEachTransfer(std::vector<modelled_instance>& aInstances,
@@ -148,8 +148,9 @@
   }
 }
 
-// Of what a link carries, all that comes on it at the same time has an even
-// part, and so has all that goes.
+// Advances all transfers by one step. The transfers on an instance's link in
+// one direction share its capacity equally; the more loaded end determines the
+// rate.
 template<class find_sender>
 void
 AdvanceTransfers(std::vector<modelled_instance>& aInstances,
--- a/thornhollow/fleet/testing/relay_load_fleet.h
+++ b/thornhollow/fleet/testing/relay_load_fleet.h
@@ -1,12 +1,11 @@
-// For tests: many relaying instances before many engines in virtual time.
-// Placement, admission and what instances tell each other of load are the
-// product's own; callers, engines and the network are modelled.
+// For tests: many relaying instances and engines under load in virtual time.
+// Placement, admission and the exchange of load between instances are
+// production code; callers, engines and the network are modelled.
 //
 //   relay_load_fleet fleet({ .mInstances = 195, .mEngines = 99 }, seed);
-//   fleet.Burst(kPlans, 2.2, Seconds(9));
+//   fleet.SetRateFactor(kPlans, 2.2);
 //   fleet.Run(Seconds(12));
 //   CHECK(fleet.Result(kBriefs).InTimeFraction() >= 0.9);
-//
 #ifndef THORNHOLLOW_FLEET_TESTING_RELAY_LOAD_FLEET_H_
 #define THORNHOLLOW_FLEET_TESTING_RELAY_LOAD_FLEET_H_
 
@@ -30,10 +29,10 @@
 
 namespace thornhollow {
 
-// What callers ask for, by its promises.
+// Arrivals and objectives of one workload kind.
 struct load_profile
 {
-  // Over all instances.
+  // Arrivals over all instances.
   double mPerSecond = 0;
   duration mTarget{};
   duration mPause{};
@@ -43,7 +42,7 @@
   double mSharedTokens = 0;
   std::uint32_t mSessions = 1;
   double mAnswerTokens = 0;
-  // Of sizes: 0 for all alike.
+  // Standard deviation of the logarithm of the sizes; 0 if all are equal.
   double mLengthLogStdDev = 0;
 
   friend bool operator==(const load_profile&, const load_profile&) = default;
@@ -61,16 +60,16 @@
   friend bool operator==(const load_shape&, const load_shape&) = default;
 };
 
-// How requests of a kind ended.
+// Outcomes of the requests of a workload kind.
 struct load_result
 {
   int mRequests = 0;
   int mInTime = 0;
-  // Answered whole, but begun late or with a pause that was too long.
+  // Completed, but started late or with too long a pause.
   int mLate = 0;
   int mRefused = 0;
   int mDeclined = 0;
-  // Without an answer when their callers left.
+  // Abandoned by their callers at the deadline.
   int mTimedOut = 0;
 
   double InTimeFraction() const
@@ -94,7 +93,7 @@
     for (int each = 0; each < aShape.mInstances; ++each) {
       Add(each, aSeed);
     }
-    // All have met.
+    // Lets all instances meet.
     for (int each = 0; each < 140; ++each) {
       mNow += kTickInterval;
       for (instance& one : mInstances) {
@@ -103,7 +102,7 @@
     }
   }
 
-  // From now on `aFactor` times as much of the kind comes.
+  // From now on multiplies the arrival rate of the workload kind by `aFactor`.
   void SetRateFactor(std::size_t aKind, double aFactor)
   {
     mFactors.at(aKind) = aFactor;
@@ -122,7 +121,7 @@
     }
   }
 
-  // Forgets what was counted.
+  // Resets the results.
   void ResetCounts() { mResults.assign(mResults.size(), load_result{}); }
 
   const load_result& Result(std::size_t aKind) const
@@ -130,7 +129,7 @@
     return mResults.at(aKind);
   }
 
-  // By how many engines instances differ about the border, least to most.
+  // Smallest and largest number of bulk engines in the instances' partitions.
   std::pair<std::size_t, std::size_t> BulkEngines() const
   {
     std::pair<std::size_t, std::size_t> found{ mEngines.size(), 0 };
@@ -144,9 +143,9 @@
 private:
   static constexpr duration kStep = Milliseconds(5);
   static constexpr duration kTickInterval = Milliseconds(100);
-  // Of a copy of shared parts between engines, in tokens that are read.
+  // Cost of copying a shared prefix between engines, in prefill tokens.
   static constexpr double kCopyTokens = 2'500;
-  // As many sessions as an engine's memory holds.
+  // Sessions that fit into an engine's prefix cache.
   static constexpr std::size_t kMaxCachedSessions = 40;
 
   struct instance
@@ -223,7 +222,7 @@
 
   double DrawSize(double aMean, double aLogStdDev)
   {
-    // Of the mean asked for, whatever the spread.
+    // Shifted so that the mean is `aMean` for any deviation.
     std::normal_distribution<double> log(-aLogStdDev * aLogStdDev / 2,
                                          aLogStdDev);
     return std::max(1.0, aMean * std::exp(aLogStdDev > 0 ? log(mRandom) : 0.0));
@@ -252,7 +251,7 @@
     Submit(one, own, DrawSize(kind.mAnswerTokens, kind.mLengthLogStdDev / 2));
   }
 
-  // A caller that is refused comes back once, when it was told.
+  // A refused caller retries once, after the delay that the refusal gave.
   void Submit(active_request aOne, double aOwn, double aAnswer)
   {
     const duration left = aOne.mProfile.mDeadline - mNow;
@@ -300,7 +299,8 @@
     mActive.emplace(mLastId, aOne);
   }
 
-  // Of the shared parts, what the engine has to read, or a copy's worth of it.
+  // Tokens of the shared prefix that the engine has to prefill, or the cost of
+  // copying it if that is lower.
   double UncachedTokens(const active_request& aOne)
   {
     std::vector<std::uint64_t>& cached = mCachedSessions[aOne.mEngine];
@@ -460,7 +460,7 @@
   std::mt19937_64 mRandom;
   time_point mNow = time_point() + Seconds(1'000);
   std::vector<slot_engine> mEngines;
-  // Sessions whose parts each engine holds, the latest last.
+  // Sessions whose prefixes are cached, by engine, the most recent last.
   std::vector<std::vector<std::uint64_t>> mCachedSessions;
   std::map<endpoint_name, std::size_t> mEngineIndex;
   std::vector<instance> mInstances;
--- a/thornhollow/fleet/testing/silent_source.h
+++ b/thornhollow/fleet/testing/silent_source.h
@@ -1,12 +1,11 @@
-// For tests: a source of two kinds of items, in virtual time, that falls silent
-// now and then.
+// For tests: a source of two types of items in virtual time, with outages in
+// which it is silent.
 //
 //   silent_source source;
 //   source.Silence(from, until);
-//   source.Plan(at, followed::kEndpoints, "engine-7", true);
+//   source.ScheduleChange(at, source_item_type::kEndpoints, "engine-7", true);
 //   source.Publish(now);
-//   const auto changes = source.After(followed::kEndpoints, 3);
-//
+//   const auto changes = source.ChangesAfter(source_item_type::kEndpoints, 3);
 #ifndef THORNHOLLOW_FLEET_TESTING_SILENT_SOURCE_H_
 #define THORNHOLLOW_FLEET_TESTING_SILENT_SOURCE_H_
 
@@ -31,7 +30,7 @@
   kEndpoints,
 };
 
-// One that was acknowledged.
+// An acknowledged change.
 struct source_change
 {
   source_item_type mWhich{};
@@ -39,7 +38,7 @@
   bool mRemoved = false;
   std::uint64_t mRevision = 0;
   time_point mAt{};
-  // For whoever watches it: when all held it.
+  // Set by the observer once every instance has applied it.
   std::optional<time_point> mAppliedEverywhereAt = std::nullopt;
 };
 
@@ -54,7 +53,8 @@
     mSilences.push_back({ aFrom, aUntil });
   }
 
-  // A change at that moment, or as soon as the source answers again.
+  // The change is published at this time or, if the source is silent then, as
+  // soon as it answers again.
   void ScheduleChange(time_point aAt,
                       source_item_type aWhich,
                       std::string aKey,
@@ -65,7 +65,7 @@
     mScheduled.insert(position, { aAt, aWhich, std::move(aKey), aRemoves });
   }
 
-  // Does what was planned until now.
+  // Publishes the changes that are due.
   void Publish(time_point aNow)
   {
     while (!mScheduled.empty() && mScheduled.front().mAt <= aNow &&
@@ -77,7 +77,7 @@
     }
   }
 
-  // Whether it is silent at some moment of the two and between.
+  // Whether the source is silent at any time between the two.
   bool IsSilent(time_point aFrom, time_point aUntil) const
   {
     return std::ranges::any_of(mSilences, [&](const time_range& aOne) {
@@ -89,7 +89,7 @@
   const std::vector<source_change>& Changes() const { return mChanges; }
   std::vector<source_change>& Changes() { return mChanges; }
 
-  // What a watch after that revision is answered with, by what was known at
+  // Answer to a watch after revision `aAt`, with the changes up to revision
   // `aUntil`.
   std::vector<item_change> ChangesAfter(source_item_type aWhich,
                                         std::uint64_t aAt,
@@ -141,7 +141,6 @@
   };
 
   std::vector<time_range> mSilences;
-  // By time.
   std::vector<scheduled_change> mScheduled;
   std::vector<source_change> mChanges;
   std::uint64_t mRevision = 1;
--- a/thornhollow/fleet/testing/silent_source_fleet.h
+++ b/thornhollow/fleet/testing/silent_source_fleet.h
@@ -1,14 +1,13 @@
-// For tests: relaying instances in virtual time that follow one source, which
-// falls silent now and then. Their followers, mirrors, hellos and requests for
-// each other's copies are the product's own; the source, the time that calls
-// take and the daemon's loop are modelled.
+// For tests: relaying instances in virtual time that follow one source with
+// outages. Followers, mirrors, hellos and requests for copies are production
+// code; the source, the latency of calls and the main loop of the daemon are
+// modelled.
 //
 //   silent_source_fleet fleet({ .mDomains = 3, .mPerDomain = 2 }, seed);
 //   fleet.Silence(Seconds(20), Seconds(22));
-//   fleet.Change(Seconds(22), followed::kConfiguration);
+//   fleet.Change(Seconds(22), source_item_type::kConfiguration);
 //   fleet.Run(Seconds(40));
-//   CHECK(fleet.Worst().mDelay <= silent_source_fleet::kMaxChangeDelay);
-//
+//   CHECK(fleet.WorstDelay().mDelay <= silent_source_fleet::kMaxChangeDelay);
 #ifndef THORNHOLLOW_FLEET_TESTING_SILENT_SOURCE_FLEET_H_
 #define THORNHOLLOW_FLEET_TESTING_SILENT_SOURCE_FLEET_H_
 
@@ -41,7 +40,8 @@
 class silent_source_fleet
 {
 public:
-  // In force everywhere within so long of the acknowledgement.
+  // A change must be in force everywhere within this time after its
+  // acknowledgement.
   static constexpr duration kMaxChangeDelay = Seconds(2);
 
   silent_source_fleet(const fleet_shape& aShape, std::uint64_t aSeed)
@@ -55,21 +55,21 @@
     }
   }
 
-  // Times count from the start of the run. While the source is silent, what it
-  // is asked and what waits there is never answered, not even afterwards.
+  // Times count from the start of the run. Calls that arrive or are pending at
+  // the source while it is silent are never answered, not even afterwards.
   void Silence(duration aFrom, duration aUntil)
   {
     mSource.Silence(mStart + aFrom, mStart + aUntil);
   }
 
-  // A change of one item, acknowledged at that moment, or as soon as the source
-  // answers again.
+  // Changes one item. It is acknowledged at this time or, if the source is
+  // silent then, as soon as it answers again.
   void Change(duration aAt, source_item_type aWhich)
   {
     mSource.ScheduleChange(mStart + aAt, aWhich, "item", false);
   }
 
-  // An endpoint joins, or leaves.
+  // Makes an endpoint join or leave.
   void Join(duration aAt, int aEndpoint)
   {
     mSource.ScheduleChange(
@@ -81,15 +81,16 @@
       mStart + aAt, source_item_type::kEndpoints, NameOf(aEndpoint), true);
   }
 
-  // From then on the domain's instances reach the source and each other only.
+  // From then on the instances of the domain reach only the source and each
+  // other.
   void IsolateDomain(int aDomain, duration aFrom)
   {
     mIsolatedDomain = aDomain;
     mIsolatedFrom = mStart + aFrom;
   }
 
-  // What the instance asks the source meanwhile, and what waits there for it,
-  // is never answered.
+  // The source does not answer the instance's calls that arrive or are pending
+  // in this period.
   void BlockSource(int aInstance, duration aFrom, duration aUntil)
   {
     instance& one = mInstances.at(static_cast<std::size_t>(aInstance));
@@ -97,7 +98,7 @@
     one.mBlockedUntil = mStart + aUntil;
   }
 
-  // The instance is gone from then on, without a word.
+  // Stops the instance at this time without notice to its peers.
   void Stop(int aInstance, duration aAt)
   {
     mInstances.at(static_cast<std::size_t>(aInstance)).mStopsAt = mStart + aAt;
@@ -121,8 +122,9 @@
     }
   }
 
-  // The longest delay of a change of the configuration after which the source
-  // answered for `kMaxChangeDelay`; one that not all hold yet took until now.
+  // The longest delay of a configuration change, among those after which the
+  // source answered for `kMaxChangeDelay`. A change that has not reached every
+  // instance yet counts with its delay so far.
   change_delay WorstDelay() const
   {
     change_delay worst;
@@ -140,8 +142,9 @@
     return worst;
   }
 
-  // The longest time from the acknowledged leaving of an endpoint until no
-  // instance sends it work; one that some still do took until now.
+  // The longest time from the acknowledged removal of an endpoint until no
+  // instance sends it work. A removal that is not in force everywhere yet
+  // counts with its delay so far.
   change_delay WorstLeaveDelay() const
   {
     change_delay worst;
@@ -159,7 +162,7 @@
     return worst;
   }
 
-  // Endpoints that the instance sends work to.
+  // Number of endpoints to which the instance sends work.
   std::size_t EndpointsOf(int aInstance) const
   {
     return mInstances.at(static_cast<std::size_t>(aInstance))
@@ -167,7 +170,7 @@
       .size();
   }
 
-  // Those that read the source now.
+  // Instances that are readers now.
   std::vector<int> Readers() const
   {
     std::vector<int> readers;
@@ -179,18 +182,19 @@
     return readers;
   }
 
-  // Calls to the source until now.
+  // Number of calls to the source so far.
   std::size_t Calls() const { return mCalls; }
 
 private:
   static constexpr duration kStep = Milliseconds(10);
   static constexpr duration kTickInterval = Milliseconds(100);
-  // As the daemon does: nobody waits longer for a part of a copy.
+  // As in the daemon: the longest wait for the next chunk of a copy.
   static constexpr duration kCopyTimeout = Milliseconds(600);
   static constexpr double kEndpointBytes = 300;
-  // A longer answer of a peer is refused.
+  // Longer copies from peers are rejected.
   static constexpr double kMaxCopyBytes = 1'048'576 + 4'096;
-  // As the daemon does: what it tells its peers of the source.
+  // As in the daemon: for how long a failure of the source is reported to
+  // peers.
   static constexpr duration kFailureReportPeriod = Seconds(5);
 
   using instance = modelled_instance;
@@ -289,7 +293,7 @@
     ++mCalls;
   }
 
-  // Whether there was news.
+  // Returns whether there were changes.
   bool ProcessAnswers(instance& aOne, subscription& aSubscription)
   {
     UpdateCalls(aOne, aSubscription, aSubscription.mAbandoned);
@@ -323,7 +327,8 @@
     return false;
   }
 
-  // Answers begin to come, or never will.
+  // Starts the answers that are due and marks the calls that will never be
+  // answered.
   void UpdateCalls(const instance& aOne,
                    const subscription& aSubscription,
                    std::vector<outstanding_call>& aCalls)
@@ -357,7 +362,7 @@
     return mNow >= std::max(Due(aCall), aCall.mLastBytes) + aCall.mCall.mLimit;
   }
 
-  // The newest call is given up.
+  // The newest call has timed out.
   void Fail(const instance& aOne, subscription& aSubscription)
   {
     std::vector<item_change> none;
@@ -385,7 +390,8 @@
     return mNow >= (changes ? aCall.mSent : Due(aCall)) + mShape.mSourceLatency;
   }
 
-  // A listing has the newest configuration, a watch each one since.
+  // A listing has only the newest configuration, a watch has every version
+  // since.
   double AnswerBytes(const subscription& aSubscription,
                      const outstanding_call& aCall) const
   {
@@ -407,7 +413,7 @@
     }
   }
 
-  // The daemon looks at each tick.
+  // As in the daemon, checked on each tick.
   void RetryOverdue(subscription& aSubscription)
   {
     if (aSubscription.mRound.Overdue(mNow)) {
@@ -521,7 +527,7 @@
     }
   }
 
-  // The peer answers as the daemon does.
+  // The peer answers as in the daemon.
   void RequestCopy(instance& aOne, const std::string& aFrom, std::size_t aWhich)
   {
     instance* const from = FindReachable(aOne, aFrom);
--- a/thornhollow/fleet/testing/slot_engine.h
+++ b/thornhollow/fleet/testing/slot_engine.h
@@ -1,10 +1,9 @@
-// For tests: an engine that runs a few requests at a time and reads prompts in
-// chunks between the tokens of its streams, in virtual time.
+// For tests: an engine in virtual time that runs a limited number of requests
+// and prefills prompts in chunks between the tokens of its streams.
 //
 //   slot_engine engine(engine_shape{});
 //   engine.TrySubmit({ .mId = 7, .mPriority = 2, .mPrefillTokens = 6'000 });
 //   for (const engine_event& each : engine.Step(Milliseconds(5), now)) { ... }
-//
 #ifndef THORNHOLLOW_FLEET_TESTING_SLOT_ENGINE_H_
 #define THORNHOLLOW_FLEET_TESTING_SLOT_ENGINE_H_
 
@@ -19,17 +18,17 @@
 
 struct engine_shape
 {
-  // Requests that it runs at a time; the others wait, the urgent ones first.
+  // Requests that run concurrently; others wait in order of priority.
   std::size_t mSlots = 12;
-  // Refused beyond so many that wait.
+  // Further requests are refused while this many wait.
   std::size_t mMaxWaiting = 25;
   double mPrefillTokensPerSecond = 66'200;
-  // A chunk of a prompt is read between two tokens of all streams.
+  // Chunk of a prompt that is prefilled between two tokens of all streams.
   double mChunkTokens = 2'048;
-  // Between two tokens of a stream, and more for each request beside it.
+  // Time between two tokens of a stream, and its increase per running request.
   double mStepSeconds = 0.0045;
   double mStepSecondsPerRequest = 0.00003;
-  // Tokens of one event.
+  // Tokens per streamed event.
   double mTokensPerEvent = 7;
 
   friend bool operator==(const engine_shape&, const engine_shape&) = default;
@@ -38,11 +37,11 @@
 struct engine_request
 {
   std::uint64_t mId = 0;
-  // 0 is admitted first.
+  // Lower values are admitted first.
   std::uint32_t mPriority = 0;
   double mPrefillTokens = 0;
   double mAnswerTokens = 0;
-  // What follows is the engine's own.
+  // The members below are maintained by the engine.
   double mGenerated = 0;
   double mReported = 0;
   time_point mLastEvent{};
@@ -59,7 +58,7 @@
 {
   engine_event_kind mKind{};
   std::uint64_t mId = 0;
-  // Of a stream that ended.
+  // Only for `kEnd`.
   duration mMaxPause{};
 
   friend bool operator==(const engine_event&, const engine_event&) = default;
@@ -73,7 +72,7 @@
   {
   }
 
-  // False: it is full, and the request doesn't run.
+  // Returns false if the queue is full; the request then does not run.
   bool TrySubmit(const engine_request& aRequest)
   {
     if (mWaiting.size() >= mShape.mMaxWaiting) {
@@ -85,7 +84,7 @@
     return true;
   }
 
-  // The caller left.
+  // The caller abandoned the request.
   void Cancel(std::uint64_t aId)
   {
     const auto matches = [aId](const engine_request& aOne) {
@@ -120,7 +119,7 @@
   }
 
 private:
-  // Whether there was something to read. One prompt after the other.
+  // Prefills the first unfinished prompt only. Returns whether there was one.
   bool Prefill(double aTokens)
   {
     const auto first =
@@ -159,7 +158,7 @@
   }
 
   engine_shape mShape;
-  // By rank, then by arrival.
+  // Ordered by priority, then by arrival.
   std::vector<engine_request> mWaiting;
   std::vector<engine_request> mRunning;
 };
