--- a/thornhollow/fleet/heavy_load_test.cc
+++ b/thornhollow/fleet/heavy_load_test.cc
@@ -13,7 +13,7 @@
 // long answers to long prompts with a first-event target of two seconds,
 // streams with a tight bound on pauses, and short urgent answers.
 load_shape
-ManyBeforeSmallEngines()
+ManyInstancesSmallEngines()
 {
   load_shape shape;
   shape.mInstances = 195;
@@ -21,7 +21,7 @@
   shape.mKinds = { { .mPerSecond = 123,
                      .mTarget = Seconds(2),
                      .mPause = Seconds(1),
-                     .mPatience = Seconds(12),
+                     .mCallerTimeout = Seconds(12),
                      .mPriority = 2,
                      .mOwnTokens = 6'610,
                      .mSharedTokens = 5'382,
@@ -31,7 +31,7 @@
                    { .mPerSecond = 101,
                      .mTarget = Milliseconds(300),
                      .mPause = Milliseconds(250),
-                     .mPatience = Seconds(12),
+                     .mCallerTimeout = Seconds(12),
                      .mPriority = 0,
                      .mOwnTokens = 430,
                      .mSharedTokens = 198,
@@ -41,7 +41,7 @@
                    { .mPerSecond = 185,
                      .mTarget = Milliseconds(400),
                      .mPause = Milliseconds(400),
-                     .mPatience = Seconds(3),
+                     .mCallerTimeout = Seconds(3),
                      .mPriority = 1,
                      .mOwnTokens = 1'230,
                      .mSharedTokens = 568,
@@ -51,9 +51,9 @@
   return shape;
 }
 
-struct many_before_small_engines
+struct many_instances_small_engines
 {
-  relay_load_fleet mFleet{ ManyBeforeSmallEngines(), 1 };
+  relay_load_fleet mFleet{ ManyInstancesSmallEngines(), 1 };
 
   void Load(double aPlans, double aBriefs, double aTags, duration aFor)
   {
@@ -69,7 +69,7 @@
 
 // Guards against a burst of long prompts that exceeds the slots of all engines
 // by a third and makes the urgent workload kinds miss their targets.
-TEST_CASE_FIXTURE(many_before_small_engines,
+TEST_CASE_FIXTURE(many_instances_small_engines,
                   "heavy_load/burst_of_long_answers/urgent_kinds_are_served")
 {
   Load(2.4, 1.6, 1.6, Seconds(7));
@@ -84,7 +84,7 @@
   CHECK(plans.mRefused > 0);
 }
 
-TEST_CASE_FIXTURE(many_before_small_engines,
+TEST_CASE_FIXTURE(many_instances_small_engines,
                   "heavy_load/usual_load/nearly_all_in_time_and_none_refused")
 {
   Load(1, 1, 1, Seconds(2));
--- a/thornhollow/fleet/relay_peers_test.cc
+++ b/thornhollow/fleet/relay_peers_test.cc
@@ -23,7 +23,7 @@
   std::map<std::string, known_revisions> mKnown;
   std::map<std::string, bool> mCutOff;
   // Instances that the source does not answer.
-  std::map<std::string, bool> mFails;
+  std::map<std::string, bool> mSourceFails;
   std::map<std::string, std::uint32_t> mMegabits;
   time_point mNow = time_point() + Seconds(100);
 
@@ -45,7 +45,7 @@
     relay_hello hello;
     hello.mAddress = aFrom;
     hello.mDomain = kHall;
-    hello.mSourceFails = mFails[aFrom];
+    hello.mSourceFails = mSourceFails[aFrom];
     hello.mLinkMegabits = mMegabits[aFrom];
     hello.mRevisions = mKnown[aFrom];
     hello.mBrief = aBrief;
@@ -198,9 +198,9 @@
 }
 
 // The readers of a domain of 30 instances, without those that are cut off.
-struct thirty_in_a_domain : hello_fleet
+struct domain_of_thirty : hello_fleet
 {
-  thirty_in_a_domain()
+  domain_of_thirty()
   {
     mSettings.mReaders = 2;
     for (int each = 0; each < 30; ++each) {
@@ -221,7 +221,7 @@
   }
 };
 
-TEST_CASE_FIXTURE(thirty_in_a_domain, "relay_peers/large_domain/two_read")
+TEST_CASE_FIXTURE(domain_of_thirty, "relay_peers/large_domain/two_read")
 {
   CHECK(Readers().size() == 2);
 }
@@ -263,7 +263,7 @@
   CHECK(subject.SourceAnswered() == now - Milliseconds(200));
 }
 
-TEST_CASE_FIXTURE(thirty_in_a_domain,
+TEST_CASE_FIXTURE(domain_of_thirty,
                   "relay_peers/readers_die_or_are_turned_away/others_read")
 {
   // Guards against a domain that keeps an outdated list because its readers
@@ -275,7 +275,7 @@
   const std::vector<std::string> next = Readers();
   CHECK(next.size() == 2);
   for (const std::string& each : next) {
-    mFails[each] = true;
+    mSourceFails[each] = true;
   }
   Run(Seconds(6));
   const std::vector<std::string> last = Readers();
@@ -285,12 +285,12 @@
 
 // Guards against a domain in which no instance asks the source, because each
 // reader gives up a failing source in favour of others that have done the same.
-TEST_CASE_FIXTURE(thirty_in_a_domain,
+TEST_CASE_FIXTURE(domain_of_thirty,
                   "relay_peers/readers_turned_away/they_and_as_many_more_read")
 {
   const std::vector<std::string> first = Readers();
   for (const std::string& each : first) {
-    mFails[each] = true;
+    mSourceFails[each] = true;
   }
   Run(Seconds(3));
   const std::vector<std::string> result = Readers();
@@ -298,18 +298,18 @@
   for (const std::string& each : first) {
     CHECK(std::ranges::count(result, each) == 1);
   }
-  mFails.clear();
+  mSourceFails.clear();
   Run(Seconds(3));
   CHECK(Readers() == first);
 }
 
 // Guards against requests from all instances of a large fleet to a source that
 // does not answer.
-TEST_CASE_FIXTURE(thirty_in_a_domain,
+TEST_CASE_FIXTURE(domain_of_thirty,
                   "relay_peers/source_silent_for_all/few_ask_it")
 {
   for (auto& [address, peers] : mPeers) {
-    mFails[address] = true;
+    mSourceFails[address] = true;
   }
   for (int second = 0; second < 20; ++second) {
     Run(Seconds(1));
@@ -348,10 +348,10 @@
   }
 }
 
-TEST_CASE_FIXTURE(thirty_in_a_domain, "relay_peers/source_down/somebody_asks")
+TEST_CASE_FIXTURE(domain_of_thirty, "relay_peers/source_down/somebody_asks")
 {
   for (auto& [address, peers] : mPeers) {
-    mFails[address] = true;
+    mSourceFails[address] = true;
   }
   Run(Seconds(6));
   CHECK_FALSE(Readers().empty());
--- a/thornhollow/fleet/testing/modelled_instance.h
+++ b/thornhollow/fleet/testing/modelled_instance.h
@@ -31,13 +31,13 @@
 struct pending_copy
 {
   std::string mFrom;
-  std::size_t mWhich = 0;
+  std::size_t mSubscriptionIndex = 0;
   std::uint64_t mAfter = 0;
   std::vector<item_change> mChanges;
   std::optional<std::vector<source_item>> mItems;
   std::uint64_t mAt = 0;
   std::optional<duration> mSourceBackFor;
-  time_point mAskedAt{};
+  time_point mRequestedAt{};
   time_point mLastBytes{};
   double mBytesLeft = 0;
 };
@@ -59,7 +59,7 @@
 // How an instance follows one type of items.
 struct modelled_subscription
 {
-  source_item_type mWhich{};
+  source_item_type mType{};
   source_follower mFollower;
   item_mirror mMirror;
   time_point mSendAt{};
@@ -100,21 +100,21 @@
 
 // When the source last answered this instance.
 inline std::optional<time_point>
-SourceAnswered(const modelled_instance& aOne)
+SourceAnswered(const modelled_instance& aInstance)
 {
-  return std::max(aOne.mSubscriptions[0].mFollower.Answered(),
-                  aOne.mSubscriptions[1].mFollower.Answered());
+  return std::max(aInstance.mSubscriptions[0].mFollower.Answered(),
+                  aInstance.mSubscriptions[1].mFollower.Answered());
 }
 
 // Reports to the roster when the source last answered this instance or,
 // according to its peers, another one.
 inline void
-ReportSourceAnswers(modelled_instance& aOne)
+ReportSourceAnswers(modelled_instance& aInstance)
 {
   for (const auto& each :
-       { SourceAnswered(aOne), aOne.mPeers->SourceAnswered() }) {
+       { SourceAnswered(aInstance), aInstance.mPeers->SourceAnswered() }) {
     if (each) {
-      aOne.mRoster.OnSourceAnswered(*each);
+      aInstance.mRoster.OnSourceAnswered(*each);
     }
   }
 }
--- a/thornhollow/fleet/testing/relay_load_fleet.h
+++ b/thornhollow/fleet/testing/relay_load_fleet.h
@@ -36,7 +36,7 @@
   double mPerSecond = 0;
   duration mTarget{};
   duration mPause{};
-  duration mPatience{};
+  duration mCallerTimeout{};
   std::uint32_t mPriority = 0;
   double mOwnTokens = 0;
   double mSharedTokens = 0;
@@ -246,30 +246,30 @@
     one.mProfile.mSharedPrefix = CombineHash(aKind + 1, session + 1);
     one.mProfile.mTarget = kind.mTarget;
     one.mProfile.mPause = kind.mPause;
-    one.mProfile.mDeadline = mNow + kind.mPatience;
+    one.mProfile.mDeadline = mNow + kind.mCallerTimeout;
     ++mResults[aKind].mRequests;
     Submit(one, own, DrawSize(kind.mAnswerTokens, kind.mLengthLogStdDev / 2));
   }
 
   // A refused caller retries once, after the delay that the refusal gave.
-  void Submit(active_request aOne, double aOwn, double aAnswer)
+  void Submit(active_request aRequest, double aOwn, double aAnswer)
   {
-    const duration left = aOne.mProfile.mDeadline - mNow;
-    relay_pool& pool = *mInstances[aOne.mInstance].mPool;
-    const auto admitted = pool.Admit(aOne.mProfile, left, mNow);
+    const duration left = aRequest.mProfile.mDeadline - mNow;
+    relay_pool& pool = *mInstances[aRequest.mInstance].mPool;
+    const auto admitted = pool.Admit(aRequest.mProfile, left, mNow);
     if (const auto* refused = std::get_if<admission_refusal>(&admitted)) {
-      if (aOne.mProfile.mIsRetry) {
-        ++mResults[aOne.mKind].mRefused;
+      if (aRequest.mProfile.mIsRetry) {
+        ++mResults[aRequest.mKind].mRefused;
         return;
       }
-      aOne.mProfile.mIsRetry = true;
-      aOne.mInstance = mRandom() % mInstances.size();
+      aRequest.mProfile.mIsRetry = true;
+      aRequest.mInstance = mRandom() % mInstances.size();
       mRetries.emplace(mNow + refused->mRetryAfter,
-                       scheduled_retry{ aOne, aOwn, aAnswer });
+                       scheduled_retry{ aRequest, aOwn, aAnswer });
       return;
     }
-    aOne.mPick = *std::get<std::optional<relay_pick>>(admitted);
-    Send(aOne, aOwn, aAnswer);
+    aRequest.mPick = *std::get<std::optional<relay_pick>>(admitted);
+    Send(aRequest, aOwn, aAnswer);
   }
 
   void SubmitRetries()
@@ -281,41 +281,45 @@
     }
   }
 
-  void Send(active_request& aOne, double aOwn, double aAnswer)
+  void Send(active_request& aRequest, double aOwn, double aAnswer)
   {
-    relay_pool& pool = *mInstances[aOne.mInstance].mPool;
-    aOne.mEngine = mEngineIndex.at(aOne.mPick.mEndpoint);
-    pool.OnSent(aOne.mPick, aOne.mProfile, mNow);
-    const double uncached = UncachedTokens(aOne);
+    relay_pool& pool = *mInstances[aRequest.mInstance].mPool;
+    aRequest.mEngine = mEngineIndex.at(aRequest.mPick.mEndpoint);
+    pool.OnSent(aRequest.mPick, aRequest.mProfile, mNow);
+    const double uncached = UncachedTokens(aRequest);
     const engine_request request{
-      ++mLastId, aOne.mProfile.mEnginePriority, aOwn + uncached, aAnswer
+      ++mLastId, aRequest.mProfile.mEnginePriority, aOwn + uncached, aAnswer
     };
-    if (!mEngines[aOne.mEngine].TrySubmit(request)) {
-      pool.OnEnded(
-        aOne.mPick, aOne.mProfile, attempt_end::kDeclined, false, {}, mNow);
-      ++mResults[aOne.mKind].mDeclined;
+    if (!mEngines[aRequest.mEngine].TrySubmit(request)) {
+      pool.OnEnded(aRequest.mPick,
+                   aRequest.mProfile,
+                   attempt_end::kDeclined,
+                   false,
+                   {},
+                   mNow);
+      ++mResults[aRequest.mKind].mDeclined;
       return;
     }
-    mActive.emplace(mLastId, aOne);
+    mActive.emplace(mLastId, aRequest);
   }
 
   // Tokens of the shared prefix that the engine has to prefill, or the cost of
   // copying it if that is lower.
-  double UncachedTokens(const active_request& aOne)
+  double UncachedTokens(const active_request& aRequest)
   {
-    std::vector<std::uint64_t>& cached = mCachedSessions[aOne.mEngine];
-    const std::uint64_t session = aOne.mProfile.mSharedPrefix;
+    std::vector<std::uint64_t>& cached = mCachedSessions[aRequest.mEngine];
+    const std::uint64_t session = aRequest.mProfile.mSharedPrefix;
     const bool isCached = std::erase(cached, session) > 0;
     cached.push_back(session);
     if (cached.size() > kMaxCachedSessions) {
       cached.erase(cached.begin());
     }
-    const double shared = aOne.mProfile.mSharedTokens;
+    const double shared = aRequest.mProfile.mSharedTokens;
     if (isCached) {
       return 0;
     }
-    return aOne.mPick.mCopyFrom.empty() ? shared
-                                        : std::min(shared, kCopyTokens);
+    return aRequest.mPick.mCopyFrom.empty() ? shared
+                                            : std::min(shared, kCopyTokens);
   }
 
   void StepEngines()
@@ -379,46 +383,47 @@
     }
   }
 
-  void SendAggregation(instance& aOne)
+  void SendAggregation(instance& aInstance)
   {
-    for (const outgoing_aggregation& each : aOne.mPeers->AggregationMessages(
-           { { kPool, aOne.mPool->LocalView(mNow) } }, mNow)) {
-      relay_hello hello = BriefHello(aOne);
+    for (const outgoing_aggregation& each :
+         aInstance.mPeers->AggregationMessages(
+           { { kPool, aInstance.mPool->LocalView(mNow) } }, mNow)) {
+      relay_hello hello = BriefHello(aInstance);
       hello.mAggregation = each.mMessage;
       mInstances[mInstanceIndex.at(each.mAddress)].mPeers->OnHello(hello, mNow);
     }
   }
 
-  void Probe(instance& aOne, const std::vector<std::string>& aOthers)
+  void Probe(instance& aInstance, const std::vector<std::string>& aOthers)
   {
     for (const std::string& each : aOthers) {
       instance& other = mInstances[mInstanceIndex.at(each)];
-      other.mPeers->OnHello(BriefHello(aOne), mNow);
-      aOne.mPeers->OnHello(BriefHello(other), mNow);
+      other.mPeers->OnHello(BriefHello(aInstance), mNow);
+      aInstance.mPeers->OnHello(BriefHello(other), mNow);
     }
   }
 
-  static relay_hello BriefHello(const instance& aOne)
+  static relay_hello BriefHello(const instance& aInstance)
   {
     relay_hello hello;
     hello.mBrief = true;
-    hello.mAddress = aOne.mAddress;
-    hello.mDomain = aOne.mDomain;
+    hello.mAddress = aInstance.mAddress;
+    hello.mDomain = aInstance.mDomain;
     return hello;
   }
 
-  void SendHello(instance& aOne)
+  void SendHello(instance& aInstance)
   {
-    SendAggregation(aOne);
-    const hello_round round = aOne.mPeers->Tick(mNow);
-    Probe(aOne, round.mProbed);
+    SendAggregation(aInstance);
+    const hello_round round = aInstance.mPeers->Tick(mNow);
+    Probe(aInstance, round.mProbed);
     if (round.mFull.empty()) {
       return;
     }
-    relay_hello hello = BriefHello(aOne);
+    relay_hello hello = BriefHello(aInstance);
     hello.mBrief = false;
-    hello.mPeers = aOne.mPeers->SamplePeers();
-    for (const relay_load& each : aOne.mPool->Loads(mNow)) {
+    hello.mPeers = aInstance.mPeers->SamplePeers();
+    for (const relay_load& each : aInstance.mPool->Loads(mNow)) {
       if (each.mPrefillTokens > 0 || each.mInFlight > 0) {
         hello.mLoads.push_back({ EndpointHash(each.mName),
                                  each.mPrefillTokens,
@@ -426,8 +431,8 @@
                                  each.mInFlight });
       }
     }
-    hello.mDemand = { { kPool, aOne.mPool->LocalView(mNow) } };
-    hello.mWantsAnswer = aOne.mPeers->Alive() == 0;
+    hello.mDemand = { { kPool, aInstance.mPool->LocalView(mNow) } };
+    hello.mWantsAnswer = aInstance.mPeers->Alive() == 0;
     for (const std::string& each : round.mFull) {
       const auto to = mInstanceIndex.find(each);
       if (to != mInstanceIndex.end()) {
@@ -436,22 +441,22 @@
     }
   }
 
-  void ApplyPeerLoad(instance& aOne)
+  void ApplyPeerLoad(instance& aInstance)
   {
-    const auto work = aOne.mPeers->RemoteLoad(mNow);
-    for (const relay_load& each : aOne.mPool->Loads(mNow)) {
+    const auto work = aInstance.mPeers->RemoteLoad(mNow);
+    for (const relay_load& each : aInstance.mPool->Loads(mNow)) {
       const auto found = work.find(EndpointHash(each.mName));
       const reported_load load =
         found == work.end() ? reported_load{} : found->second;
-      aOne.mPool->SetRemoteLoad({ each.mName,
-                                  load.mInFlight,
-                                  load.mPrefillTokens,
-                                  load.mPrefillNanoseconds },
-                                mNow);
+      aInstance.mPool->SetRemoteLoad({ each.mName,
+                                       load.mInFlight,
+                                       load.mPrefillTokens,
+                                       load.mPrefillNanoseconds },
+                                     mNow);
     }
-    const auto views =
-      aOne.mPeers->FleetViews({ { kPool, aOne.mPool->LocalView(mNow) } }, mNow);
-    aOne.mPool->SetView(views.at(kPool), mNow);
+    const auto views = aInstance.mPeers->FleetViews(
+      { { kPool, aInstance.mPool->LocalView(mNow) } }, mNow);
+    aInstance.mPool->SetView(views.at(kPool), mNow);
   }
 
   inline static const pool_name kPool{ "engines" };
--- a/thornhollow/fleet/testing/silent_source.h
+++ b/thornhollow/fleet/testing/silent_source.h
@@ -33,7 +33,7 @@
 // An acknowledged change.
 struct source_change
 {
-  source_item_type mWhich{};
+  source_item_type mType{};
   std::string mKey;
   bool mRemoved = false;
   std::uint64_t mRevision = 0;
@@ -56,13 +56,13 @@
   // The change is published at this time or, if the source is silent then, as
   // soon as it answers again.
   void ScheduleChange(time_point aAt,
-                      source_item_type aWhich,
+                      source_item_type aType,
                       std::string aKey,
                       bool aRemoves)
   {
     const auto position =
       std::ranges::upper_bound(mScheduled, aAt, {}, &scheduled_change::mAt);
-    mScheduled.insert(position, { aAt, aWhich, std::move(aKey), aRemoves });
+    mScheduled.insert(position, { aAt, aType, std::move(aKey), aRemoves });
   }
 
   // Publishes the changes that are due.
@@ -72,7 +72,7 @@
            !IsSilent(aNow, aNow)) {
       const scheduled_change& next = mScheduled.front();
       mChanges.push_back(
-        { next.mWhich, next.mKey, next.mRemoved, ++mRevision, aNow });
+        { next.mType, next.mKey, next.mRemoved, ++mRevision, aNow });
       mScheduled.erase(mScheduled.begin());
     }
   }
@@ -80,8 +80,8 @@
   // Whether the source is silent at any time between the two.
   bool IsSilent(time_point aFrom, time_point aUntil) const
   {
-    return std::ranges::any_of(mSilences, [&](const time_range& aOne) {
-      return aOne.mFrom <= aUntil && aFrom < aOne.mUntil;
+    return std::ranges::any_of(mSilences, [&](const time_range& aSilence) {
+      return aSilence.mFrom <= aUntil && aFrom < aSilence.mUntil;
     });
   }
 
@@ -91,13 +91,13 @@
 
   // Answer to a watch after revision `aAt`, with the changes up to revision
   // `aUntil`.
-  std::vector<item_change> ChangesAfter(source_item_type aWhich,
+  std::vector<item_change> ChangesAfter(source_item_type aType,
                                         std::uint64_t aAt,
                                         std::uint64_t aUntil = kNewest) const
   {
     std::vector<item_change> result;
     for (const source_change& each : mChanges) {
-      if (each.mWhich == aWhich && each.mRevision > aAt &&
+      if (each.mType == aType && each.mRevision > aAt &&
           each.mRevision <= aUntil) {
         item_change change{ each.mKey, std::nullopt, each.mRevision };
         if (!each.mRemoved) {
@@ -109,11 +109,11 @@
     return result;
   }
 
-  source_listing Listing(source_item_type aWhich,
+  source_listing Listing(source_item_type aType,
                          std::uint64_t aUntil = kNewest) const
   {
     std::map<std::string, source_item> items;
-    for (const item_change& each : ChangesAfter(aWhich, 0, aUntil)) {
+    for (const item_change& each : ChangesAfter(aType, 0, aUntil)) {
       items.erase(each.mKey);
       if (each.mValue) {
         items[each.mKey] = { each.mKey, *each.mValue, each.mRevision };
@@ -135,7 +135,7 @@
   struct scheduled_change
   {
     time_point mAt{};
-    source_item_type mWhich{};
+    source_item_type mType{};
     std::string mKey;
     bool mRemoved = false;
   };
--- a/thornhollow/fleet/testing/silent_source_fleet.h
+++ b/thornhollow/fleet/testing/silent_source_fleet.h
@@ -64,9 +64,9 @@
 
   // Changes one item. It is acknowledged at this time or, if the source is
   // silent then, as soon as it answers again.
-  void Change(duration aAt, source_item_type aWhich)
+  void Change(duration aAt, source_item_type aType)
   {
-    mSource.ScheduleChange(mStart + aAt, aWhich, "item", false);
+    mSource.ScheduleChange(mStart + aAt, aType, "item", false);
   }
 
   // Makes an endpoint join or leave.
@@ -129,7 +129,7 @@
   {
     change_delay worst;
     for (const source_change& each : mSource.Changes()) {
-      if (each.mWhich != source_item_type::kConfiguration ||
+      if (each.mType != source_item_type::kConfiguration ||
           mSource.IsSilent(each.mAt, each.mAt + kMaxChangeDelay)) {
         continue;
       }
@@ -237,34 +237,37 @@
     mInstances.push_back(std::move(one));
   }
 
-  bool Stopped(const instance& aOne) const { return mNow >= aOne.mStopsAt; }
+  bool Stopped(const instance& aInstance) const
+  {
+    return mNow >= aInstance.mStopsAt;
+  }
 
   static std::string NameOf(int aEndpoint)
   {
     return "engine-" + std::to_string(aEndpoint);
   }
 
-  void Step(instance& aOne)
+  void Step(instance& aInstance)
   {
-    if (Stopped(aOne)) {
+    if (Stopped(aInstance)) {
       return;
     }
-    ProcessCopies(aOne);
-    for (subscription& each : aOne.mSubscriptions) {
-      if (ProcessAnswers(aOne, each)) {
-        SendBriefHello(aOne, aOne.mPeers->OnNewRevision());
+    ProcessCopies(aInstance);
+    for (subscription& each : aInstance.mSubscriptions) {
+      if (ProcessAnswers(aInstance, each)) {
+        SendBriefHello(aInstance, aInstance.mPeers->OnNewRevision());
       }
       if (each.mSendPending && mNow >= each.mSendAt) {
         Send(each, each.mFollower.Start(each.mMirror));
       }
     }
-    if (mNow >= aOne.mNextTick) {
-      aOne.mNextTick = mNow + kTickInterval;
-      Tick(aOne);
+    if (mNow >= aInstance.mNextTick) {
+      aInstance.mNextTick = mNow + kTickInterval;
+      Tick(aInstance);
     }
   }
 
-  void StartCall(const instance& aOne,
+  void StartCall(const instance& aInstance,
                  subscription& aSubscription,
                  const source_call& aCall)
   {
@@ -272,7 +275,7 @@
                       std::back_inserter(aSubscription.mAbandoned));
     aSubscription.mOutstanding.clear();
     aSubscription.mRound.End();
-    aSubscription.mIdle = !aOne.mFollowsSource;
+    aSubscription.mIdle = !aInstance.mFollowsSource;
     if (aSubscription.mIdle) {
       aSubscription.mSendPending = false;
       aSubscription.mFollower.StopAsking();
@@ -294,10 +297,10 @@
   }
 
   // Returns whether there were changes.
-  bool ProcessAnswers(instance& aOne, subscription& aSubscription)
+  bool ProcessAnswers(instance& aInstance, subscription& aSubscription)
   {
-    UpdateCalls(aOne, aSubscription, aSubscription.mAbandoned);
-    UpdateCalls(aOne, aSubscription, aSubscription.mOutstanding);
+    UpdateCalls(aInstance, aSubscription, aSubscription.mAbandoned);
+    UpdateCalls(aInstance, aSubscription, aSubscription.mOutstanding);
     if (std::ranges::any_of(aSubscription.mOutstanding,
                             [this](const outstanding_call& aCall) {
                               return aCall.mLastBytes == mNow;
@@ -314,11 +317,11 @@
       const outstanding_call answered = *complete;
       aSubscription.mOutstanding.erase(complete);
       NoteDelay(aSubscription, answered);
-      return HandleAnswer(aOne, aSubscription, answered);
+      return HandleAnswer(aInstance, aSubscription, answered);
     }
     if (!aSubscription.mOutstanding.empty() &&
         Expired(aSubscription.mOutstanding.back())) {
-      Fail(aOne, aSubscription);
+      Fail(aInstance, aSubscription);
       return false;
     }
     std::erase_if(
@@ -329,11 +332,12 @@
 
   // Starts the answers that are due and marks the calls that will never be
   // answered.
-  void UpdateCalls(const instance& aOne,
+  void UpdateCalls(const instance& aInstance,
                    const subscription& aSubscription,
                    std::vector<outstanding_call>& aCalls)
   {
-    const bool blocked = mNow >= aOne.mBlockedFrom && mNow < aOne.mBlockedUntil;
+    const bool blocked =
+      mNow >= aInstance.mBlockedFrom && mNow < aInstance.mBlockedUntil;
     for (outstanding_call& each : aCalls) {
       each.mLost = each.mLost || blocked || mSource.IsSilent(mNow, mNow);
       if (!each.mLost && !each.mBytesLeft &&
@@ -354,7 +358,7 @@
 
   bool HasStarted(const pending_copy& aCopy) const
   {
-    return mNow >= aCopy.mAskedAt + mShape.mCopyLatency;
+    return mNow >= aCopy.mRequestedAt + mShape.mCopyLatency;
   }
 
   bool Expired(const outstanding_call& aCall) const
@@ -363,11 +367,11 @@
   }
 
   // The newest call has timed out.
-  void Fail(const instance& aOne, subscription& aSubscription)
+  void Fail(const instance& aInstance, subscription& aSubscription)
   {
     std::vector<item_change> none;
     const source_failure failure{ "no answer" };
-    StartCall(aOne,
+    StartCall(aInstance,
               aSubscription,
               aSubscription.mOutstanding.back().mCall.mList
                 ? aSubscription.mFollower.OnListed(
@@ -386,7 +390,7 @@
   {
     const bool changes =
       !aCall.mCall.mList &&
-      !mSource.ChangesAfter(aSubscription.mWhich, aCall.mCall.mAfter).empty();
+      !mSource.ChangesAfter(aSubscription.mType, aCall.mCall.mAfter).empty();
     return mNow >= (changes ? aCall.mSent : Due(aCall)) + mShape.mSourceLatency;
   }
 
@@ -395,13 +399,13 @@
   double AnswerBytes(const subscription& aSubscription,
                      const outstanding_call& aCall) const
   {
-    if (aSubscription.mWhich != source_item_type::kConfiguration) {
+    if (aSubscription.mType != source_item_type::kConfiguration) {
       return 0;
     }
     const std::size_t documents =
       aCall.mCall.mList
-        ? mSource.Listing(aSubscription.mWhich).mItems.size()
-        : mSource.ChangesAfter(aSubscription.mWhich, aCall.mCall.mAfter).size();
+        ? mSource.Listing(aSubscription.mType).mItems.size()
+        : mSource.ChangesAfter(aSubscription.mType, aCall.mCall.mAfter).size();
     return static_cast<double>(documents) * mShape.mDocumentBytes *
            mShape.mSourceEncodingRatio;
   }
@@ -433,7 +437,7 @@
     }
   }
 
-  bool HandleAnswer(instance& aOne,
+  bool HandleAnswer(instance& aInstance,
                     subscription& aSubscription,
                     const outstanding_call& aCall)
   {
@@ -442,105 +446,109 @@
     std::vector<item_change> changes;
     const source_call next =
       call.mList ? aSubscription.mFollower.OnListed(
-                     mSource.Listing(aSubscription.mWhich, upTo),
+                     mSource.Listing(aSubscription.mType, upTo),
                      aSubscription.mMirror,
                      changes,
                      mNow)
                  : aSubscription.mFollower.OnWatched(
                      source_changes{ mSource.ChangesAfter(
-                                       aSubscription.mWhich, call.mAfter, upTo),
+                                       aSubscription.mType, call.mAfter, upTo),
                                      upTo },
                      aSubscription.mMirror,
                      changes,
                      mNow);
-    Apply(aOne, aSubscription.mWhich, changes);
-    StartCall(aOne, aSubscription, next);
+    Apply(aInstance, aSubscription.mType, changes);
+    StartCall(aInstance, aSubscription, next);
     return !changes.empty();
   }
 
-  void Apply(instance& aOne,
-             source_item_type aWhich,
+  void Apply(instance& aInstance,
+             source_item_type aType,
              const std::vector<item_change>& aChanges)
   {
-    if (aWhich != source_item_type::kEndpoints) {
+    if (aType != source_item_type::kEndpoints) {
       return;
     }
-    ReportSourceAnswers(aOne);
+    ReportSourceAnswers(aInstance);
     for (const item_change& each : aChanges) {
       if (each.mValue) {
         listed_endpoint entry;
         entry.mName = endpoint_name(each.mKey);
-        aOne.mRoster.OnListed(entry, mNow);
+        aInstance.mRoster.OnListed(entry, mNow);
       } else {
-        aOne.mRoster.OnRemoved(endpoint_name(each.mKey), mNow);
+        aInstance.mRoster.OnRemoved(endpoint_name(each.mKey), mNow);
       }
     }
   }
 
-  void Tick(instance& aOne)
+  void Tick(instance& aInstance)
   {
     const auto fails = [](const subscription& aSubscription) {
       return aSubscription.mFollower.Failing();
     };
-    if (std::ranges::any_of(aOne.mSubscriptions, fails)) {
-      aOne.mSourceFailsUntil = mNow + kFailureReportPeriod;
-    }
-    const bool peerFails = aOne.mPeers->SourceFailsElsewhere(mNow);
-    ReportSourceAnswers(aOne);
-    if (mNow < aOne.mSourceFailsUntil || peerFails) {
-      aOne.mRoster.OnSourceFails(mNow);
-    }
-    aOne.mReads = aOne.mPeers->Reads(mNow);
-    aOne.mFollowsSource = aOne.mReads || aOne.mRequests.NeedsSource(mNow);
-    aOne.mRoster.Tick(mNow);
-    const watch_turn turn = aOne.mPeers->Turn(mNow);
-    for (subscription& each : aOne.mSubscriptions) {
+    if (std::ranges::any_of(aInstance.mSubscriptions, fails)) {
+      aInstance.mSourceFailsUntil = mNow + kFailureReportPeriod;
+    }
+    const bool peerFails = aInstance.mPeers->SourceFailsElsewhere(mNow);
+    ReportSourceAnswers(aInstance);
+    if (mNow < aInstance.mSourceFailsUntil || peerFails) {
+      aInstance.mRoster.OnSourceFails(mNow);
+    }
+    aInstance.mReads = aInstance.mPeers->Reads(mNow);
+    aInstance.mFollowsSource =
+      aInstance.mReads || aInstance.mRequests.NeedsSource(mNow);
+    aInstance.mRoster.Tick(mNow);
+    const watch_turn turn = aInstance.mPeers->Turn(mNow);
+    for (subscription& each : aInstance.mSubscriptions) {
       each.mFollower.SetTurn(turn);
-      if (!aOne.mFollowsSource) {
+      if (!aInstance.mFollowsSource) {
         each.mFollower.StopAsking();
         continue;
       }
       if (each.mIdle) {
-        StartCall(aOne, each, each.mFollower.Start(each.mMirror));
+        StartCall(aInstance, each, each.mFollower.Start(each.mMirror));
       }
       RetryOverdue(each);
-      if (std::ranges::any_of(aOne.mSubscriptions, fails)) {
+      if (std::ranges::any_of(aInstance.mSubscriptions, fails)) {
         Suspect(each, watch_doubt::kOtherCallFails);
       }
       if (peerFails) {
         Suspect(each, watch_doubt::kPeerFails);
       }
     }
-    const hello_round round = aOne.mPeers->Tick(mNow);
-    SendHello(aOne, round.mFull, aOne.mPeers->Alive() == 0);
-    SendBriefHello(aOne, round.mBrief);
-    relay_hello probe = BriefHello(aOne);
+    const hello_round round = aInstance.mPeers->Tick(mNow);
+    SendHello(aInstance, round.mFull, aInstance.mPeers->Alive() == 0);
+    SendBriefHello(aInstance, round.mBrief);
+    relay_hello probe = BriefHello(aInstance);
     probe.mWantsAnswer = true;
-    Send(aOne, probe, round.mProbed);
-    const auto from = aOne.mRequests.Tick(
-      *aOne.mPeers, KnownRevisions(aOne), aOne.mReads, mNow);
+    Send(aInstance, probe, round.mProbed);
+    const auto from = aInstance.mRequests.Tick(
+      *aInstance.mPeers, KnownRevisions(aInstance), aInstance.mReads, mNow);
     if (from && from->mConfiguration) {
-      RequestCopy(aOne, from->mAddress, 0);
+      RequestCopy(aInstance, from->mAddress, 0);
     }
     if (from && from->mEndpoints) {
-      RequestCopy(aOne, from->mAddress, 1);
+      RequestCopy(aInstance, from->mAddress, 1);
     }
   }
 
   // The peer answers as in the daemon.
-  void RequestCopy(instance& aOne, const std::string& aFrom, std::size_t aWhich)
+  void RequestCopy(instance& aInstance,
+                   const std::string& aFrom,
+                   std::size_t aSubscriptionIndex)
   {
-    instance* const from = FindReachable(aOne, aFrom);
+    instance* const from = FindReachable(aInstance, aFrom);
     if (from == nullptr) {
       return;
     }
-    const item_mirror& mirror = from->mSubscriptions[aWhich].mMirror;
+    const item_mirror& mirror =
+      from->mSubscriptions[aSubscriptionIndex].mMirror;
     pending_copy copy;
     copy.mFrom = aFrom;
-    copy.mWhich = aWhich;
-    copy.mAfter = aOne.mSubscriptions[aWhich].mMirror.At();
+    copy.mSubscriptionIndex = aSubscriptionIndex;
+    copy.mAfter = aInstance.mSubscriptions[aSubscriptionIndex].mMirror.At();
     copy.mAt = mirror.At();
-    copy.mAskedAt = mNow;
+    copy.mRequestedAt = mNow;
     if (copy.mAt <= copy.mAfter) {
       return;
     }
@@ -552,24 +560,25 @@
       copy.mItems = mirror.Items();
       items = copy.mItems->size();
     }
-    const double each = aWhich == 0 ? mShape.mDocumentBytes : kEndpointBytes;
+    const double each =
+      aSubscriptionIndex == 0 ? mShape.mDocumentBytes : kEndpointBytes;
     copy.mBytesLeft =
       each * static_cast<double>(items) * mShape.mCompressionRatio;
-    if (aWhich == 1) {
+    if (aSubscriptionIndex == 1) {
       copy.mSourceBackFor = from->mRoster.RegainedFor(mNow);
     }
     if (!from->mCopyLimiter.TryAdmit(static_cast<std::size_t>(copy.mBytesLeft),
                                      mNow)) {
-      aOne.mRequests.OnDeclined();
+      aInstance.mRequests.OnDeclined();
     } else if (copy.mBytesLeft <= kMaxCopyBytes) {
-      aOne.mCopies.push_back(std::move(copy));
+      aInstance.mCopies.push_back(std::move(copy));
     }
   }
 
-  static known_revisions KnownRevisions(const instance& aOne)
+  static known_revisions KnownRevisions(const instance& aInstance)
   {
-    return { aOne.mSubscriptions[0].mMirror.At(),
-             aOne.mSubscriptions[1].mMirror.At() };
+    return { aInstance.mSubscriptions[0].mMirror.At(),
+             aInstance.mSubscriptions[1].mMirror.At() };
   }
 
   instance* FindReachable(const instance& aFrom, const std::string& aAddress)
@@ -585,46 +594,46 @@
     return isolated || Stopped(*found) ? nullptr : &*found;
   }
 
-  void SendHello(instance& aOne,
+  void SendHello(instance& aInstance,
                  const std::vector<std::string>& aTo,
                  bool aWantsAnswer)
   {
-    relay_hello hello = BriefHello(aOne);
+    relay_hello hello = BriefHello(aInstance);
     hello.mBrief = false;
-    hello.mPeers = aOne.mPeers->SamplePeers();
+    hello.mPeers = aInstance.mPeers->SamplePeers();
     hello.mWantsAnswer = aWantsAnswer;
-    Send(aOne, hello, aTo);
+    Send(aInstance, hello, aTo);
   }
 
-  void SendBriefHello(instance& aOne, const std::vector<std::string>& aTo)
+  void SendBriefHello(instance& aInstance, const std::vector<std::string>& aTo)
   {
-    Send(aOne, BriefHello(aOne), aTo);
+    Send(aInstance, BriefHello(aInstance), aTo);
   }
 
-  relay_hello BriefHello(const instance& aOne) const
+  relay_hello BriefHello(const instance& aInstance) const
   {
     relay_hello hello;
     hello.mBrief = true;
-    hello.mAddress = aOne.mAddress;
-    hello.mDomain = aOne.mDomain;
+    hello.mAddress = aInstance.mAddress;
+    hello.mDomain = aInstance.mDomain;
     hello.mRevisions =
-      aOne.mPeers->AllReadInDomain()
-        ? KnownRevisions(aOne)
-        : known_revisions{ aOne.mSubscriptions[0].mMirror.ChangedAt(),
-                           aOne.mSubscriptions[1].mMirror.ChangedAt() };
-    hello.mSourceFails = mNow < aOne.mSourceFailsUntil;
-    if (const auto answered = SourceAnswered(aOne)) {
+      aInstance.mPeers->AllReadInDomain()
+        ? KnownRevisions(aInstance)
+        : known_revisions{ aInstance.mSubscriptions[0].mMirror.ChangedAt(),
+                           aInstance.mSubscriptions[1].mMirror.ChangedAt() };
+    hello.mSourceFails = mNow < aInstance.mSourceFailsUntil;
+    if (const auto answered = SourceAnswered(aInstance)) {
       hello.mSourceAnswerAge = mNow - *answered;
     }
     return hello;
   }
 
-  void Send(instance& aOne,
+  void Send(instance& aInstance,
             const relay_hello& aHello,
             const std::vector<std::string>& aTo)
   {
     for (const std::string& each : aTo) {
-      instance* const to = FindReachable(aOne, each);
+      instance* const to = FindReachable(aInstance, each);
       if (to == nullptr || IsDropped()) {
         continue;
       }
@@ -640,19 +649,20 @@
            mShape.mLossRate;
   }
 
-  void ProcessCopies(instance& aOne)
+  void ProcessCopies(instance& aInstance)
   {
     std::vector<pending_copy> complete;
-    std::erase_if(aOne.mCopies, [&](pending_copy& aCopy) {
-      if (HasStarted(aCopy) && FindReachable(aOne, aCopy.mFrom) != nullptr) {
+    std::erase_if(aInstance.mCopies, [&](pending_copy& aCopy) {
+      if (HasStarted(aCopy) &&
+          FindReachable(aInstance, aCopy.mFrom) != nullptr) {
         aCopy.mLastBytes = mNow;
-        aOne.mRequests.OnBytes(WhichOf(aCopy), mNow);
+        aInstance.mRequests.OnBytes(CopiedItemsOf(aCopy), mNow);
       }
       const bool isComplete = aCopy.mLastBytes == mNow && aCopy.mBytesLeft <= 0;
       const bool timedOut =
-        mNow - std::max(aCopy.mAskedAt, aCopy.mLastBytes) >= kCopyTimeout;
+        mNow - std::max(aCopy.mRequestedAt, aCopy.mLastBytes) >= kCopyTimeout;
       if (isComplete || timedOut) {
-        aOne.mRequests.OnEnded(WhichOf(aCopy));
+        aInstance.mRequests.OnEnded(CopiedItemsOf(aCopy));
       }
       if (isComplete) {
         complete.push_back(std::move(aCopy));
@@ -660,19 +670,19 @@
       return isComplete || timedOut;
     });
     for (const pending_copy& each : complete) {
-      ApplyCopy(aOne, each);
+      ApplyCopy(aInstance, each);
     }
   }
 
-  static copied_items WhichOf(const pending_copy& aCopy)
+  static copied_items CopiedItemsOf(const pending_copy& aCopy)
   {
-    return aCopy.mWhich == 0 ? copied_items::kConfiguration
-                             : copied_items::kEndpoints;
+    return aCopy.mSubscriptionIndex == 0 ? copied_items::kConfiguration
+                                         : copied_items::kEndpoints;
   }
 
   void ApplyCopy(instance& aTo, const pending_copy& aCopy)
   {
-    subscription& subscription = aTo.mSubscriptions[aCopy.mWhich];
+    subscription& subscription = aTo.mSubscriptions[aCopy.mSubscriptionIndex];
     if (aCopy.mSourceBackFor && !aTo.mFollowsSource) {
       aTo.mRoster.OnToldRegained(mNow - *aCopy.mSourceBackFor);
     }
@@ -683,16 +693,16 @@
       aCopy.mItems ? subscription.mMirror.OnListing(*aCopy.mItems, aCopy.mAt)
                    : subscription.mMirror.OnPeerChanges(
                        aCopy.mChanges, aCopy.mAfter, aCopy.mAt);
-    Apply(aTo, subscription.mWhich, applied);
+    Apply(aTo, subscription.mType, applied);
     if (!applied.empty()) {
       Suspect(subscription, watch_doubt::kPeerKnewFirst);
       SendBriefHello(aTo, aTo.mPeers->OnNewRevision());
     }
   }
 
-  static std::uint64_t ConfigurationRevision(const instance& aOne)
+  static std::uint64_t ConfigurationRevision(const instance& aInstance)
   {
-    const auto items = aOne.mSubscriptions[0].mMirror.Items();
+    const auto items = aInstance.mSubscriptions[0].mMirror.Items();
     return items.empty() ? 0 : items.front().mRevision;
   }
 
@@ -707,17 +717,18 @@
 
   bool IsAppliedEverywhere(const source_change& aChange) const
   {
-    return std::ranges::all_of(mInstances, [&](const instance& aOne) {
-      return Stopped(aOne) || HasApplied(aOne, aChange);
+    return std::ranges::all_of(mInstances, [&](const instance& aInstance) {
+      return Stopped(aInstance) || HasApplied(aInstance, aChange);
     });
   }
 
-  static bool HasApplied(const instance& aOne, const source_change& aChange)
+  static bool HasApplied(const instance& aInstance,
+                         const source_change& aChange)
   {
     if (aChange.mRemoved) {
-      return !aOne.mRoster.Counts(endpoint_name(aChange.mKey));
+      return !aInstance.mRoster.Counts(endpoint_name(aChange.mKey));
     }
-    return ConfigurationRevision(aOne) >= aChange.mRevision;
+    return ConfigurationRevision(aInstance) >= aChange.mRevision;
   }
 
   fleet_shape mShape;
--- a/thornhollow/fleet/testing/slot_engine.h
+++ b/thornhollow/fleet/testing/slot_engine.h
@@ -87,8 +87,8 @@
   // The caller abandoned the request.
   void Cancel(std::uint64_t aId)
   {
-    const auto matches = [aId](const engine_request& aOne) {
-      return aOne.mId == aId;
+    const auto matches = [aId](const engine_request& aRequest) {
+      return aRequest.mId == aId;
     };
     std::erase_if(mWaiting, matches);
     std::erase_if(mRunning, matches);
@@ -112,8 +112,8 @@
         Stream(each, seconds / step, aNow, events);
       }
     }
-    std::erase_if(mRunning, [](const engine_request& aOne) {
-      return aOne.mGenerated >= aOne.mAnswerTokens;
+    std::erase_if(mRunning, [](const engine_request& aRequest) {
+      return aRequest.mGenerated >= aRequest.mAnswerTokens;
     });
     return events;
   }
@@ -123,8 +123,8 @@
   bool Prefill(double aTokens)
   {
     const auto first =
-      std::ranges::find_if(mRunning, [](const engine_request& aOne) {
-        return aOne.mPrefillTokens > 0;
+      std::ranges::find_if(mRunning, [](const engine_request& aRequest) {
+        return aRequest.mPrefillTokens > 0;
       });
     if (first == mRunning.end()) {
       return false;
@@ -133,27 +133,28 @@
     return true;
   }
 
-  void Stream(engine_request& aOne,
+  void Stream(engine_request& aRequest,
               double aTokens,
               time_point aNow,
               std::vector<engine_event>& aEvents) const
   {
-    const bool started = aOne.mGenerated > 0;
-    aOne.mGenerated += aTokens;
-    const bool ends = aOne.mGenerated >= aOne.mAnswerTokens;
+    const bool started = aRequest.mGenerated > 0;
+    aRequest.mGenerated += aTokens;
+    const bool ends = aRequest.mGenerated >= aRequest.mAnswerTokens;
     if (!started) {
-      aEvents.push_back({ engine_event_kind::kFirstEvent, aOne.mId, {} });
-      aOne.mLastEvent = aNow;
-      aOne.mReported = aOne.mGenerated;
-    } else if (ends ||
-               aOne.mGenerated - aOne.mReported >= mShape.mTokensPerEvent) {
-      aOne.mMaxPause =
-        std::max<duration>(aOne.mMaxPause, aNow - aOne.mLastEvent);
-      aOne.mLastEvent = aNow;
-      aOne.mReported = aOne.mGenerated;
+      aEvents.push_back({ engine_event_kind::kFirstEvent, aRequest.mId, {} });
+      aRequest.mLastEvent = aNow;
+      aRequest.mReported = aRequest.mGenerated;
+    } else if (ends || aRequest.mGenerated - aRequest.mReported >=
+                         mShape.mTokensPerEvent) {
+      aRequest.mMaxPause =
+        std::max<duration>(aRequest.mMaxPause, aNow - aRequest.mLastEvent);
+      aRequest.mLastEvent = aNow;
+      aRequest.mReported = aRequest.mGenerated;
     }
     if (ends) {
-      aEvents.push_back({ engine_event_kind::kEnd, aOne.mId, aOne.mMaxPause });
+      aEvents.push_back(
+        { engine_event_kind::kEnd, aRequest.mId, aRequest.mMaxPause });
     }
   }
 
