--- a/thornhollow/fleet/heavy_load_test.cc
+++ b/thornhollow/fleet/heavy_load_test.cc
@@ -9,11 +9,11 @@
 constexpr std::size_t kBriefs = 1;
 constexpr std::size_t kTags = 2;
 
-// 195 instances before 84 engines with twelve slots each: long answers to long
-// prompts that may begin after two seconds, streams that may not pause, and
-// short urgent answers.
+// 195 instances and 84 engines with twelve slots each. The workload kinds are
+// long answers to long prompts with a first-event target of two seconds,
+// streams with a tight bound on pauses, and short urgent answers.
 load_shape
-ManyBeforeSmallEngines()
+ManyInstancesSmallEngines()
 {
   load_shape shape;
   shape.mInstances = 195;
@@ -21,7 +21,7 @@
   shape.mKinds = { { .mPerSecond = 123,
                      .mTarget = Seconds(2),
                      .mPause = Seconds(1),
-                     .mPatience = Seconds(12),
+                     .mCallerTimeout = Seconds(12),
                      .mPriority = 2,
                      .mOwnTokens = 6'610,
                      .mSharedTokens = 5'382,
@@ -31,7 +31,7 @@
                    { .mPerSecond = 101,
                      .mTarget = Milliseconds(300),
                      .mPause = Milliseconds(250),
-                     .mPatience = Seconds(12),
+                     .mCallerTimeout = Seconds(12),
                      .mPriority = 0,
                      .mOwnTokens = 430,
                      .mSharedTokens = 198,
@@ -41,7 +41,7 @@
                    { .mPerSecond = 185,
                      .mTarget = Milliseconds(400),
                      .mPause = Milliseconds(400),
-                     .mPatience = Seconds(3),
+                     .mCallerTimeout = Seconds(3),
                      .mPriority = 1,
                      .mOwnTokens = 1'230,
                      .mSharedTokens = 568,
@@ -51,9 +51,9 @@
   return shape;
 }
 
-struct many_before_small_engines
+struct many_instances_small_engines
 {
-  relay_load_fleet mFleet{ ManyBeforeSmallEngines(), 1 };
+  relay_load_fleet mFleet{ ManyInstancesSmallEngines(), 1 };
 
   void Load(double aPlans, double aBriefs, double aTags, duration aFor)
   {
@@ -63,13 +63,13 @@
     mFleet.Run(aFor);
   }
 
-  // Nobody asks any more; what is open ends, or its callers leave.
+  // Stops all arrivals; open requests end or their callers give up.
   void Drain(duration aMaxDuration) { Load(0, 0, 0, aMaxDuration); }
 };
 
-// Guards against a burst of long prompts, of a third more than the slots of all
-// engines can hold, that takes the urgent kinds down with it.
-TEST_CASE_FIXTURE(many_before_small_engines,
+// Guards against a burst of long prompts that exceeds the slots of all engines
+// by a third and makes the urgent workload kinds miss their targets.
+TEST_CASE_FIXTURE(many_instances_small_engines,
                   "heavy_load/burst_of_long_answers/urgent_kinds_are_served")
 {
   Load(2.4, 1.6, 1.6, Seconds(7));
@@ -77,13 +77,14 @@
   Drain(Seconds(12));
   CHECK(mFleet.Result(kBriefs).InTimeFraction() >= 0.75);
   CHECK(mFleet.Result(kTags).InTimeFraction() >= 0.5);
-  // What can't be served in time is told so; few wait in vain.
+  // Requests that cannot be served in time are refused; few callers wait in
+  // vain.
   const load_result& plans = mFleet.Result(kPlans);
   CHECK(plans.mTimedOut + plans.mDeclined <= plans.mRequests / 20);
   CHECK(plans.mRefused > 0);
 }
 
-TEST_CASE_FIXTURE(many_before_small_engines,
+TEST_CASE_FIXTURE(many_instances_small_engines,
                   "heavy_load/usual_load/nearly_all_in_time_and_none_refused")
 {
   Load(1, 1, 1, Seconds(2));
--- a/thornhollow/fleet/testing/relay_load_fleet.h
+++ b/thornhollow/fleet/testing/relay_load_fleet.h
@@ -1,12 +1,11 @@
-// For tests: many relaying instances before many engines in virtual time.
-// Placement, admission and what instances tell each other of load are the
-// product's own; callers, engines and the network are modelled.
+// For tests: many relaying instances and engines under load in virtual time.
+// Placement, admission and the exchange of load between instances are
+// production code; callers, engines and the network are modelled.
 //
 //   relay_load_fleet fleet({ .mInstances = 195, .mEngines = 99 }, seed);
-//   fleet.Burst(kPlans, 2.2, Seconds(9));
+//   fleet.SetRateFactor(kPlans, 2.2);
 //   fleet.Run(Seconds(12));
 //   CHECK(fleet.Result(kBriefs).InTimeFraction() >= 0.9);
-//
 #ifndef THORNHOLLOW_FLEET_TESTING_RELAY_LOAD_FLEET_H_
 #define THORNHOLLOW_FLEET_TESTING_RELAY_LOAD_FLEET_H_
 
@@ -30,20 +29,20 @@
 
 namespace thornhollow {
 
-// What callers ask for, by its promises.
+// Arrivals and objectives of one workload kind.
 struct load_profile
 {
-  // Over all instances.
+  // Arrivals over all instances.
   double mPerSecond = 0;
   duration mTarget{};
   duration mPause{};
-  duration mPatience{};
+  duration mCallerTimeout{};
   std::uint32_t mPriority = 0;
   double mOwnTokens = 0;
   double mSharedTokens = 0;
   std::uint32_t mSessions = 1;
   double mAnswerTokens = 0;
-  // Of sizes: 0 for all alike.
+  // Standard deviation of the logarithm of the sizes; 0 if all are equal.
   double mLengthLogStdDev = 0;
 
   friend bool operator==(const load_profile&, const load_profile&) = default;
@@ -61,16 +60,16 @@
   friend bool operator==(const load_shape&, const load_shape&) = default;
 };
 
-// How requests of a kind ended.
+// Outcomes of the requests of a workload kind.
 struct load_result
 {
   int mRequests = 0;
   int mInTime = 0;
-  // Answered whole, but begun late or with a pause that was too long.
+  // Completed, but started late or with too long a pause.
   int mLate = 0;
   int mRefused = 0;
   int mDeclined = 0;
-  // Without an answer when their callers left.
+  // Abandoned by their callers at the deadline.
   int mTimedOut = 0;
 
   double InTimeFraction() const
@@ -94,7 +93,7 @@
     for (int each = 0; each < aShape.mInstances; ++each) {
       Add(each, aSeed);
     }
-    // All have met.
+    // Lets all instances meet.
     for (int each = 0; each < 140; ++each) {
       mNow += kTickInterval;
       for (instance& one : mInstances) {
@@ -103,7 +102,7 @@
     }
   }
 
-  // From now on `aFactor` times as much of the kind comes.
+  // From now on multiplies the arrival rate of the workload kind by `aFactor`.
   void SetRateFactor(std::size_t aKind, double aFactor)
   {
     mFactors.at(aKind) = aFactor;
@@ -122,7 +121,7 @@
     }
   }
 
-  // Forgets what was counted.
+  // Resets the results.
   void ResetCounts() { mResults.assign(mResults.size(), load_result{}); }
 
   const load_result& Result(std::size_t aKind) const
@@ -130,7 +129,7 @@
     return mResults.at(aKind);
   }
 
-  // By how many engines instances differ about the border, least to most.
+  // Smallest and largest number of bulk engines in the instances' partitions.
   std::pair<std::size_t, std::size_t> BulkEngines() const
   {
     std::pair<std::size_t, std::size_t> found{ mEngines.size(), 0 };
@@ -144,9 +143,9 @@
 private:
   static constexpr duration kStep = Milliseconds(5);
   static constexpr duration kTickInterval = Milliseconds(100);
-  // Of a copy of shared parts between engines, in tokens that are read.
+  // Cost of copying a shared prefix between engines, in prefill tokens.
   static constexpr double kCopyTokens = 2'500;
-  // As many sessions as an engine's memory holds.
+  // Sessions that fit into an engine's prefix cache.
   static constexpr std::size_t kMaxCachedSessions = 40;
 
   struct instance
@@ -223,7 +222,7 @@
 
   double DrawSize(double aMean, double aLogStdDev)
   {
-    // Of the mean asked for, whatever the spread.
+    // Shifted so that the mean is `aMean` for any deviation.
     std::normal_distribution<double> log(-aLogStdDev * aLogStdDev / 2,
                                          aLogStdDev);
     return std::max(1.0, aMean * std::exp(aLogStdDev > 0 ? log(mRandom) : 0.0));
@@ -247,30 +246,30 @@
     one.mProfile.mSharedPrefix = CombineHash(aKind + 1, session + 1);
     one.mProfile.mTarget = kind.mTarget;
     one.mProfile.mPause = kind.mPause;
-    one.mProfile.mDeadline = mNow + kind.mPatience;
+    one.mProfile.mDeadline = mNow + kind.mCallerTimeout;
     ++mResults[aKind].mRequests;
     Submit(one, own, DrawSize(kind.mAnswerTokens, kind.mLengthLogStdDev / 2));
   }
 
-  // A caller that is refused comes back once, when it was told.
-  void Submit(active_request aOne, double aOwn, double aAnswer)
+  // A refused caller retries once, after the delay that the refusal gave.
+  void Submit(active_request aRequest, double aOwn, double aAnswer)
   {
-    const duration left = aOne.mProfile.mDeadline - mNow;
-    relay_pool& pool = *mInstances[aOne.mInstance].mPool;
-    const auto admitted = pool.Admit(aOne.mProfile, left, mNow);
+    const duration left = aRequest.mProfile.mDeadline - mNow;
+    relay_pool& pool = *mInstances[aRequest.mInstance].mPool;
+    const auto admitted = pool.Admit(aRequest.mProfile, left, mNow);
     if (const auto* refused = std::get_if<admission_refusal>(&admitted)) {
-      if (aOne.mProfile.mIsRetry) {
-        ++mResults[aOne.mKind].mRefused;
+      if (aRequest.mProfile.mIsRetry) {
+        ++mResults[aRequest.mKind].mRefused;
         return;
       }
-      aOne.mProfile.mIsRetry = true;
-      aOne.mInstance = mRandom() % mInstances.size();
+      aRequest.mProfile.mIsRetry = true;
+      aRequest.mInstance = mRandom() % mInstances.size();
       mRetries.emplace(mNow + refused->mRetryAfter,
-                       scheduled_retry{ aOne, aOwn, aAnswer });
+                       scheduled_retry{ aRequest, aOwn, aAnswer });
       return;
     }
-    aOne.mPick = *std::get<std::optional<relay_pick>>(admitted);
-    Send(aOne, aOwn, aAnswer);
+    aRequest.mPick = *std::get<std::optional<relay_pick>>(admitted);
+    Send(aRequest, aOwn, aAnswer);
   }
 
   void SubmitRetries()
@@ -282,40 +281,45 @@
     }
   }
 
-  void Send(active_request& aOne, double aOwn, double aAnswer)
+  void Send(active_request& aRequest, double aOwn, double aAnswer)
   {
-    relay_pool& pool = *mInstances[aOne.mInstance].mPool;
-    aOne.mEngine = mEngineIndex.at(aOne.mPick.mEndpoint);
-    pool.OnSent(aOne.mPick, aOne.mProfile, mNow);
-    const double uncached = UncachedTokens(aOne);
+    relay_pool& pool = *mInstances[aRequest.mInstance].mPool;
+    aRequest.mEngine = mEngineIndex.at(aRequest.mPick.mEndpoint);
+    pool.OnSent(aRequest.mPick, aRequest.mProfile, mNow);
+    const double uncached = UncachedTokens(aRequest);
     const engine_request request{
-      ++mLastId, aOne.mProfile.mEnginePriority, aOwn + uncached, aAnswer
+      ++mLastId, aRequest.mProfile.mEnginePriority, aOwn + uncached, aAnswer
     };
-    if (!mEngines[aOne.mEngine].TrySubmit(request)) {
-      pool.OnEnded(
-        aOne.mPick, aOne.mProfile, attempt_end::kDeclined, false, {}, mNow);
-      ++mResults[aOne.mKind].mDeclined;
+    if (!mEngines[aRequest.mEngine].TrySubmit(request)) {
+      pool.OnEnded(aRequest.mPick,
+                   aRequest.mProfile,
+                   attempt_end::kDeclined,
+                   false,
+                   {},
+                   mNow);
+      ++mResults[aRequest.mKind].mDeclined;
       return;
     }
-    mActive.emplace(mLastId, aOne);
+    mActive.emplace(mLastId, aRequest);
   }
 
-  // Of the shared parts, what the engine has to read, or a copy's worth of it.
-  double UncachedTokens(const active_request& aOne)
+  // Tokens of the shared prefix that the engine has to prefill, or the cost of
+  // copying it if that is lower.
+  double UncachedTokens(const active_request& aRequest)
   {
-    std::vector<std::uint64_t>& cached = mCachedSessions[aOne.mEngine];
-    const std::uint64_t session = aOne.mProfile.mSharedPrefix;
+    std::vector<std::uint64_t>& cached = mCachedSessions[aRequest.mEngine];
+    const std::uint64_t session = aRequest.mProfile.mSharedPrefix;
     const bool isCached = std::erase(cached, session) > 0;
     cached.push_back(session);
     if (cached.size() > kMaxCachedSessions) {
       cached.erase(cached.begin());
     }
-    const double shared = aOne.mProfile.mSharedTokens;
+    const double shared = aRequest.mProfile.mSharedTokens;
     if (isCached) {
       return 0;
     }
-    return aOne.mPick.mCopyFrom.empty() ? shared
-                                        : std::min(shared, kCopyTokens);
+    return aRequest.mPick.mCopyFrom.empty() ? shared
+                                            : std::min(shared, kCopyTokens);
   }
 
   void StepEngines()
@@ -379,46 +383,47 @@
     }
   }
 
-  void SendAggregation(instance& aOne)
+  void SendAggregation(instance& aInstance)
   {
-    for (const outgoing_aggregation& each : aOne.mPeers->AggregationMessages(
-           { { kPool, aOne.mPool->LocalView(mNow) } }, mNow)) {
-      relay_hello hello = BriefHello(aOne);
+    for (const outgoing_aggregation& each :
+         aInstance.mPeers->AggregationMessages(
+           { { kPool, aInstance.mPool->LocalView(mNow) } }, mNow)) {
+      relay_hello hello = BriefHello(aInstance);
       hello.mAggregation = each.mMessage;
       mInstances[mInstanceIndex.at(each.mAddress)].mPeers->OnHello(hello, mNow);
     }
   }
 
-  void Probe(instance& aOne, const std::vector<std::string>& aOthers)
+  void Probe(instance& aInstance, const std::vector<std::string>& aOthers)
   {
     for (const std::string& each : aOthers) {
       instance& other = mInstances[mInstanceIndex.at(each)];
-      other.mPeers->OnHello(BriefHello(aOne), mNow);
-      aOne.mPeers->OnHello(BriefHello(other), mNow);
+      other.mPeers->OnHello(BriefHello(aInstance), mNow);
+      aInstance.mPeers->OnHello(BriefHello(other), mNow);
     }
   }
 
-  static relay_hello BriefHello(const instance& aOne)
+  static relay_hello BriefHello(const instance& aInstance)
   {
     relay_hello hello;
     hello.mBrief = true;
-    hello.mAddress = aOne.mAddress;
-    hello.mDomain = aOne.mDomain;
+    hello.mAddress = aInstance.mAddress;
+    hello.mDomain = aInstance.mDomain;
     return hello;
   }
 
-  void SendHello(instance& aOne)
+  void SendHello(instance& aInstance)
   {
-    SendAggregation(aOne);
-    const hello_round round = aOne.mPeers->Tick(mNow);
-    Probe(aOne, round.mProbed);
+    SendAggregation(aInstance);
+    const hello_round round = aInstance.mPeers->Tick(mNow);
+    Probe(aInstance, round.mProbed);
     if (round.mFull.empty()) {
       return;
     }
-    relay_hello hello = BriefHello(aOne);
+    relay_hello hello = BriefHello(aInstance);
     hello.mBrief = false;
-    hello.mPeers = aOne.mPeers->SamplePeers();
-    for (const relay_load& each : aOne.mPool->Loads(mNow)) {
+    hello.mPeers = aInstance.mPeers->SamplePeers();
+    for (const relay_load& each : aInstance.mPool->Loads(mNow)) {
       if (each.mPrefillTokens > 0 || each.mInFlight > 0) {
         hello.mLoads.push_back({ EndpointHash(each.mName),
                                  each.mPrefillTokens,
@@ -426,8 +431,8 @@
                                  each.mInFlight });
       }
     }
-    hello.mDemand = { { kPool, aOne.mPool->LocalView(mNow) } };
-    hello.mWantsAnswer = aOne.mPeers->Alive() == 0;
+    hello.mDemand = { { kPool, aInstance.mPool->LocalView(mNow) } };
+    hello.mWantsAnswer = aInstance.mPeers->Alive() == 0;
     for (const std::string& each : round.mFull) {
       const auto to = mInstanceIndex.find(each);
       if (to != mInstanceIndex.end()) {
@@ -436,22 +441,22 @@
     }
   }
 
-  void ApplyPeerLoad(instance& aOne)
+  void ApplyPeerLoad(instance& aInstance)
   {
-    const auto work = aOne.mPeers->RemoteLoad(mNow);
-    for (const relay_load& each : aOne.mPool->Loads(mNow)) {
+    const auto work = aInstance.mPeers->RemoteLoad(mNow);
+    for (const relay_load& each : aInstance.mPool->Loads(mNow)) {
       const auto found = work.find(EndpointHash(each.mName));
       const reported_load load =
         found == work.end() ? reported_load{} : found->second;
-      aOne.mPool->SetRemoteLoad({ each.mName,
-                                  load.mInFlight,
-                                  load.mPrefillTokens,
-                                  load.mPrefillNanoseconds },
-                                mNow);
+      aInstance.mPool->SetRemoteLoad({ each.mName,
+                                       load.mInFlight,
+                                       load.mPrefillTokens,
+                                       load.mPrefillNanoseconds },
+                                     mNow);
     }
-    const auto views =
-      aOne.mPeers->FleetViews({ { kPool, aOne.mPool->LocalView(mNow) } }, mNow);
-    aOne.mPool->SetView(views.at(kPool), mNow);
+    const auto views = aInstance.mPeers->FleetViews(
+      { { kPool, aInstance.mPool->LocalView(mNow) } }, mNow);
+    aInstance.mPool->SetView(views.at(kPool), mNow);
   }
 
   inline static const pool_name kPool{ "engines" };
@@ -460,7 +465,7 @@
   std::mt19937_64 mRandom;
   time_point mNow = time_point() + Seconds(1'000);
   std::vector<slot_engine> mEngines;
-  // Sessions whose parts each engine holds, the latest last.
+  // Sessions whose prefixes are cached, by engine, the most recent last.
   std::vector<std::vector<std::uint64_t>> mCachedSessions;
   std::map<endpoint_name, std::size_t> mEngineIndex;
   std::vector<instance> mInstances;
--- a/thornhollow/fleet/testing/silent_source.h
+++ b/thornhollow/fleet/testing/silent_source.h
@@ -1,12 +1,11 @@
-// For tests: a source of two kinds of items, in virtual time, that falls silent
-// now and then.
+// For tests: a source of two types of items in virtual time, with outages in
+// which it is silent.
 //
 //   silent_source source;
 //   source.Silence(from, until);
-//   source.Plan(at, followed::kEndpoints, "engine-7", true);
+//   source.ScheduleChange(at, source_item_type::kEndpoints, "engine-7", true);
 //   source.Publish(now);
-//   const auto changes = source.After(followed::kEndpoints, 3);
-//
+//   const auto changes = source.ChangesAfter(source_item_type::kEndpoints, 3);
 #ifndef THORNHOLLOW_FLEET_TESTING_SILENT_SOURCE_H_
 #define THORNHOLLOW_FLEET_TESTING_SILENT_SOURCE_H_
 
@@ -31,15 +30,15 @@
   kEndpoints,
 };
 
-// One that was acknowledged.
+// An acknowledged change.
 struct source_change
 {
-  source_item_type mWhich{};
+  source_item_type mType{};
   std::string mKey;
   bool mRemoved = false;
   std::uint64_t mRevision = 0;
   time_point mAt{};
-  // For whoever watches it: when all held it.
+  // Set by the observer once every instance has applied it.
   std::optional<time_point> mAppliedEverywhereAt = std::nullopt;
 };
 
@@ -54,34 +53,35 @@
     mSilences.push_back({ aFrom, aUntil });
   }
 
-  // A change at that moment, or as soon as the source answers again.
+  // The change is published at this time or, if the source is silent then, as
+  // soon as it answers again.
   void ScheduleChange(time_point aAt,
-                      source_item_type aWhich,
+                      source_item_type aType,
                       std::string aKey,
                       bool aRemoves)
   {
     const auto position =
       std::ranges::upper_bound(mScheduled, aAt, {}, &scheduled_change::mAt);
-    mScheduled.insert(position, { aAt, aWhich, std::move(aKey), aRemoves });
+    mScheduled.insert(position, { aAt, aType, std::move(aKey), aRemoves });
   }
 
-  // Does what was planned until now.
+  // Publishes the changes that are due.
   void Publish(time_point aNow)
   {
     while (!mScheduled.empty() && mScheduled.front().mAt <= aNow &&
            !IsSilent(aNow, aNow)) {
       const scheduled_change& next = mScheduled.front();
       mChanges.push_back(
-        { next.mWhich, next.mKey, next.mRemoved, ++mRevision, aNow });
+        { next.mType, next.mKey, next.mRemoved, ++mRevision, aNow });
       mScheduled.erase(mScheduled.begin());
     }
   }
 
-  // Whether it is silent at some moment of the two and between.
+  // Whether the source is silent at any time between the two.
   bool IsSilent(time_point aFrom, time_point aUntil) const
   {
-    return std::ranges::any_of(mSilences, [&](const time_range& aOne) {
-      return aOne.mFrom <= aUntil && aFrom < aOne.mUntil;
+    return std::ranges::any_of(mSilences, [&](const time_range& aSilence) {
+      return aSilence.mFrom <= aUntil && aFrom < aSilence.mUntil;
     });
   }
 
@@ -89,15 +89,15 @@
   const std::vector<source_change>& Changes() const { return mChanges; }
   std::vector<source_change>& Changes() { return mChanges; }
 
-  // What a watch after that revision is answered with, by what was known at
+  // Answer to a watch after revision `aAt`, with the changes up to revision
   // `aUntil`.
-  std::vector<item_change> ChangesAfter(source_item_type aWhich,
+  std::vector<item_change> ChangesAfter(source_item_type aType,
                                         std::uint64_t aAt,
                                         std::uint64_t aUntil = kNewest) const
   {
     std::vector<item_change> result;
     for (const source_change& each : mChanges) {
-      if (each.mWhich == aWhich && each.mRevision > aAt &&
+      if (each.mType == aType && each.mRevision > aAt &&
           each.mRevision <= aUntil) {
         item_change change{ each.mKey, std::nullopt, each.mRevision };
         if (!each.mRemoved) {
@@ -109,11 +109,11 @@
     return result;
   }
 
-  source_listing Listing(source_item_type aWhich,
+  source_listing Listing(source_item_type aType,
                          std::uint64_t aUntil = kNewest) const
   {
     std::map<std::string, source_item> items;
-    for (const item_change& each : ChangesAfter(aWhich, 0, aUntil)) {
+    for (const item_change& each : ChangesAfter(aType, 0, aUntil)) {
       items.erase(each.mKey);
       if (each.mValue) {
         items[each.mKey] = { each.mKey, *each.mValue, each.mRevision };
@@ -135,13 +135,12 @@
   struct scheduled_change
   {
     time_point mAt{};
-    source_item_type mWhich{};
+    source_item_type mType{};
     std::string mKey;
     bool mRemoved = false;
   };
 
   std::vector<time_range> mSilences;
-  // By time.
   std::vector<scheduled_change> mScheduled;
   std::vector<source_change> mChanges;
   std::uint64_t mRevision = 1;
--- a/thornhollow/fleet/testing/slot_engine.h
+++ b/thornhollow/fleet/testing/slot_engine.h
@@ -1,10 +1,9 @@
-// For tests: an engine that runs a few requests at a time and reads prompts in
-// chunks between the tokens of its streams, in virtual time.
+// For tests: an engine in virtual time that runs a limited number of requests
+// and prefills prompts in chunks between the tokens of its streams.
 //
 //   slot_engine engine(engine_shape{});
 //   engine.TrySubmit({ .mId = 7, .mPriority = 2, .mPrefillTokens = 6'000 });
 //   for (const engine_event& each : engine.Step(Milliseconds(5), now)) { ... }
-//
 #ifndef THORNHOLLOW_FLEET_TESTING_SLOT_ENGINE_H_
 #define THORNHOLLOW_FLEET_TESTING_SLOT_ENGINE_H_
 
@@ -19,17 +18,17 @@
 
 struct engine_shape
 {
-  // Requests that it runs at a time; the others wait, the urgent ones first.
+  // Requests that run concurrently; others wait in order of priority.
   std::size_t mSlots = 12;
-  // Refused beyond so many that wait.
+  // Further requests are refused while this many wait.
   std::size_t mMaxWaiting = 25;
   double mPrefillTokensPerSecond = 66'200;
-  // A chunk of a prompt is read between two tokens of all streams.
+  // Chunk of a prompt that is prefilled between two tokens of all streams.
   double mChunkTokens = 2'048;
-  // Between two tokens of a stream, and more for each request beside it.
+  // Time between two tokens of a stream, and its increase per running request.
   double mStepSeconds = 0.0045;
   double mStepSecondsPerRequest = 0.00003;
-  // Tokens of one event.
+  // Tokens per streamed event.
   double mTokensPerEvent = 7;
 
   friend bool operator==(const engine_shape&, const engine_shape&) = default;
@@ -38,11 +37,11 @@
 struct engine_request
 {
   std::uint64_t mId = 0;
-  // 0 is admitted first.
+  // Lower values are admitted first.
   std::uint32_t mPriority = 0;
   double mPrefillTokens = 0;
   double mAnswerTokens = 0;
-  // What follows is the engine's own.
+  // The members below are maintained by the engine.
   double mGenerated = 0;
   double mReported = 0;
   time_point mLastEvent{};
@@ -59,7 +58,7 @@
 {
   engine_event_kind mKind{};
   std::uint64_t mId = 0;
-  // Of a stream that ended.
+  // Only for `kEnd`.
   duration mMaxPause{};
 
   friend bool operator==(const engine_event&, const engine_event&) = default;
@@ -73,7 +72,7 @@
   {
   }
 
-  // False: it is full, and the request doesn't run.
+  // Returns false if the queue is full; the request then does not run.
   bool TrySubmit(const engine_request& aRequest)
   {
     if (mWaiting.size() >= mShape.mMaxWaiting) {
@@ -85,11 +84,11 @@
     return true;
   }
 
-  // The caller left.
+  // The caller abandoned the request.
   void Cancel(std::uint64_t aId)
   {
-    const auto matches = [aId](const engine_request& aOne) {
-      return aOne.mId == aId;
+    const auto matches = [aId](const engine_request& aRequest) {
+      return aRequest.mId == aId;
     };
     std::erase_if(mWaiting, matches);
     std::erase_if(mRunning, matches);
@@ -113,19 +112,19 @@
         Stream(each, seconds / step, aNow, events);
       }
     }
-    std::erase_if(mRunning, [](const engine_request& aOne) {
-      return aOne.mGenerated >= aOne.mAnswerTokens;
+    std::erase_if(mRunning, [](const engine_request& aRequest) {
+      return aRequest.mGenerated >= aRequest.mAnswerTokens;
     });
     return events;
   }
 
 private:
-  // Whether there was something to read. One prompt after the other.
+  // Prefills the first unfinished prompt only. Returns whether there was one.
   bool Prefill(double aTokens)
   {
     const auto first =
-      std::ranges::find_if(mRunning, [](const engine_request& aOne) {
-        return aOne.mPrefillTokens > 0;
+      std::ranges::find_if(mRunning, [](const engine_request& aRequest) {
+        return aRequest.mPrefillTokens > 0;
       });
     if (first == mRunning.end()) {
       return false;
@@ -134,32 +133,33 @@
     return true;
   }
 
-  void Stream(engine_request& aOne,
+  void Stream(engine_request& aRequest,
               double aTokens,
               time_point aNow,
               std::vector<engine_event>& aEvents) const
   {
-    const bool started = aOne.mGenerated > 0;
-    aOne.mGenerated += aTokens;
-    const bool ends = aOne.mGenerated >= aOne.mAnswerTokens;
+    const bool started = aRequest.mGenerated > 0;
+    aRequest.mGenerated += aTokens;
+    const bool ends = aRequest.mGenerated >= aRequest.mAnswerTokens;
     if (!started) {
-      aEvents.push_back({ engine_event_kind::kFirstEvent, aOne.mId, {} });
-      aOne.mLastEvent = aNow;
-      aOne.mReported = aOne.mGenerated;
-    } else if (ends ||
-               aOne.mGenerated - aOne.mReported >= mShape.mTokensPerEvent) {
-      aOne.mMaxPause =
-        std::max<duration>(aOne.mMaxPause, aNow - aOne.mLastEvent);
-      aOne.mLastEvent = aNow;
-      aOne.mReported = aOne.mGenerated;
+      aEvents.push_back({ engine_event_kind::kFirstEvent, aRequest.mId, {} });
+      aRequest.mLastEvent = aNow;
+      aRequest.mReported = aRequest.mGenerated;
+    } else if (ends || aRequest.mGenerated - aRequest.mReported >=
+                         mShape.mTokensPerEvent) {
+      aRequest.mMaxPause =
+        std::max<duration>(aRequest.mMaxPause, aNow - aRequest.mLastEvent);
+      aRequest.mLastEvent = aNow;
+      aRequest.mReported = aRequest.mGenerated;
     }
     if (ends) {
-      aEvents.push_back({ engine_event_kind::kEnd, aOne.mId, aOne.mMaxPause });
+      aEvents.push_back(
+        { engine_event_kind::kEnd, aRequest.mId, aRequest.mMaxPause });
     }
   }
 
   engine_shape mShape;
-  // By rank, then by arrival.
+  // Ordered by priority, then by arrival.
   std::vector<engine_request> mWaiting;
   std::vector<engine_request> mRunning;
 };
