--- a/thornhollow/daemon/control_plane.cc
+++ b/thornhollow/daemon/control_plane.cc
@@ -307,7 +307,7 @@
       return;
     }
     std::set<endpoint_name> leaving;
-    for (const listed_endpoint& each : list->mEndpoints) {
+    for (const platform_endpoint& each : list->mEndpoints) {
       if (each.mLeaving) {
         leaving.insert(each.mName);
       }
--- a/thornhollow/daemon/relay_gateway.cc
+++ b/thornhollow/daemon/relay_gateway.cc
@@ -41,7 +41,8 @@
 constexpr duration kBodyTime = Seconds(10);
 
 server_limits
-CallerLimits(const relay_settings& aSettings, const caller_bounds& aBounds)
+CallerLimits(const relay_settings& aSettings,
+             const caller_connection_limits& aBounds)
 {
   server_limits limits;
   limits.mMaxHeaderBytes = aBounds.mMaxHeaderBytes;
@@ -82,7 +83,7 @@
     , mDispatcher(aIo, aSettings, mAdapter.mNames, aLog, mMetrics)
     , mCallers(
         aIo,
-        CallerLimits(aSettings, caller_bounds{}),
+        CallerLimits(aSettings, caller_connection_limits{}),
         [this](caller_exchange_ptr aOne) {
           mDispatcher.Serve(std::move(aOne));
         },
@@ -162,12 +163,12 @@
   {
     relay_peer_listener listener;
     listener.mKnown = [this] {
-      return known_revisions{ mDocument.Mirror().At(),
-                              mEndpoints.Mirror().At() };
+      return known_revisions{ mDocument.Mirror().Revision(),
+                              mEndpoints.Mirror().Revision() };
     };
     listener.mChanged = [this] {
-      return known_revisions{ mDocument.Mirror().ChangedAt(),
-                              mEndpoints.Mirror().ChangedAt() };
+      return known_revisions{ mDocument.Mirror().LastChangeRevision(),
+                              mEndpoints.Mirror().LastChangeRevision() };
     };
     listener.mSourceFails = [this] { return Now() < mSourceFailsUntil; };
     listener.mSourceAnswered = [this] { return SourceAnswered(); };
@@ -197,14 +198,14 @@
   {
     const item_mirror& mirror = LinkOf(aAsked.mWhich).Mirror();
     items_answer answer{ aAsked.mWhich, 0, false, {} };
-    if (mirror.At() <= aAsked.mAfter) {
+    if (mirror.Revision() <= aAsked.mAfter) {
       return answer;
     }
-    answer.mAt = mirror.At();
+    answer.mAt = mirror.Revision();
     if (aAsked.mWhich == copied_items::kEndpoints) {
-      answer.mSourceBackFor = mRoster.RegainedFor(Now());
+      answer.mSourceBackFor = mRoster.TimeSinceRecovery(Now());
     }
-    if (auto changes = mirror.Since(aAsked.mAfter)) {
+    if (auto changes = mirror.ChangesSince(aAsked.mAfter)) {
       answer.mChangesOnly = true;
       answer.mItems = std::move(*changes);
       return answer;
@@ -220,7 +221,7 @@
     source_link& link = LinkOf(aCopy.mWhich);
     // Who reads the source has seen for itself whether it was away.
     if (aCopy.mSourceBackFor && !mReads) {
-      mRoster.OnToldRegained(Now() - *aCopy.mSourceBackFor);
+      mRoster.OnRecoveryReported(Now() - *aCopy.mSourceBackFor);
     }
     if (aCopy.mChangesOnly) {
       link.OnPeerChanges(aCopy.mItems, aAsked.mAfter, aCopy.mAt);
@@ -257,13 +258,13 @@
     }
     NoteSource();
     if (Now() < mSourceFailsUntil || mPeers.SourceFailsElsewhere(aNow)) {
-      mRoster.OnSourceFails(aNow);
+      mRoster.OnSourceFailed(aNow);
     }
     mReads = mPeers.Reads(aNow);
-    const watch_turn turn = mPeers.Turn(aNow);
+    const watch_stagger turn = mPeers.Turn(aNow);
     for (source_link* each : { &mDocument, &mEndpoints }) {
       each->SetReading(mReads);
-      each->SetTurn(turn);
+      each->SetStagger(turn);
     }
     DoubtWatches(aNow);
   }
@@ -271,7 +272,7 @@
   // When the source itself last answered this instance.
   std::optional<time_point> SourceAnswered() const
   {
-    return std::max(mDocument.Answered(), mEndpoints.Answered());
+    return std::max(mDocument.LastAnswer(), mEndpoints.LastAnswer());
   }
 
   void NoteSource()
@@ -289,10 +290,10 @@
     for (const auto& [link, other] : { std::pair(&mDocument, &mEndpoints),
                                        std::pair(&mEndpoints, &mDocument) }) {
       if (other->Failing()) {
-        link->OnDoubt(watch_doubt::kOtherCallFails, aNow);
+        link->OnSuspected(suspicion_reason::kOtherCallFails, aNow);
       }
       if (peerFails) {
-        link->OnDoubt(watch_doubt::kPeerFails, aNow);
+        link->OnSuspected(suspicion_reason::kPeerFails, aNow);
       }
     }
   }
@@ -309,7 +310,7 @@
   bool Ready() const
   {
     return !mDrain.Begun() && mDispatcher.Table() &&
-           mEndpoints.Mirror().At() > 0;
+           mEndpoints.Mirror().Revision() > 0;
   }
 
   void AnswerReadiness(const caller_exchange_ptr& aOne)
@@ -332,7 +333,7 @@
   static held_items HeldBy(const source_link& aLink, std::string aWhat)
   {
     return { std::move(aWhat),
-             aLink.Mirror().At(),
+             aLink.Mirror().Revision(),
              aLink.Mirror().size(),
              aLink.AnswerAge(Now()),
              aLink.Failing() };
@@ -444,8 +445,8 @@
   {
     const time_point now = Now();
     mDispatcher.Apply(mRoster.OnRemoved(aName, now));
-    if (mRoster.Counts(aName)) {
-      const auto returned = mRoster.RegainedFor(now);
+    if (mRoster.Contains(aName)) {
+      const auto returned = mRoster.TimeSinceRecovery(now);
       mLog.Write(log_level::kInfo,
                  "endpoint_removal_put_off",
                  { { "endpoint", aName.Text() },
--- a/thornhollow/daemon/relay_peer_link.cc
+++ b/thornhollow/daemon/relay_peer_link.cc
@@ -396,7 +396,7 @@
   return mCore->Peers().Alive();
 }
 
-watch_turn
+watch_stagger
 relay_peer_link::Turn(time_point aNow) const
 {
   return mCore->Peers().Turn(aNow);
--- a/thornhollow/daemon/relay_peer_link.h
+++ b/thornhollow/daemon/relay_peer_link.h
@@ -72,7 +72,7 @@
   std::size_t Count(time_point aNow) const;
   std::size_t Alive() const;
   // This instance's turn among those of its domain that ask the source.
-  watch_turn Turn(time_point aNow) const;
+  watch_stagger Turn(time_point aNow) const;
   bool SourceFailsElsewhere(time_point aNow) const;
   std::optional<time_point> SourceAnswered() const;
   std::map<std::uint32_t, endpoint_work> OthersWork(time_point aNow) const;
--- a/thornhollow/daemon/relay_session.cc
+++ b/thornhollow/daemon/relay_session.cc
@@ -97,9 +97,9 @@
   request_profile work;
   work.mTier = aTier;
   work.mPromptTokens = aRequest.mPromptTokens;
-  work.mEnginePriority = EngineRank(aRoute, aTier);
+  work.mEnginePriority = EnginePriority(aRoute, aTier);
   work.mTarget = aRoute.mTarget;
-  work.mPause = aRoute.mPauseTarget;
+  work.mPause = aRoute.mEventGapTarget;
   // The last part is the request's own.
   for (std::size_t at = 0; at + 1 < aRequest.mParts.size(); ++at) {
     const prompt_part& part = aRequest.mParts[at];
@@ -188,12 +188,12 @@
     if (mRoute == nullptr) {
       return error_kind::kUnknownPath;
     }
-    mTeam = mTable->TeamOf(mRead.mToken);
-    const bool open = mRoute->mAnonymous || !mTable->Document().mTokensNeeded;
+    mTeam = mTable->TeamForToken(mRead.mToken);
+    const bool open = mRoute->mAnonymous || !mTable->Document().mTokensRequired;
     if (mTeam == nullptr && !open) {
       return error_kind::kUnauthenticated;
     }
-    mPool = routing_table::PoolFor(*mRoute, Hash64(mRead.mId.Text()));
+    mPool = routing_table::SelectPool(*mRoute, Hash64(mRead.mId.Text()));
     return mPool == nullptr ? std::optional(error_kind::kNoEndpoint)
                             : std::nullopt;
   }
--- a/thornhollow/daemon/source_link.cc
+++ b/thornhollow/daemon/source_link.cc
@@ -7,7 +7,7 @@
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
 
-#include "thornhollow/discovery/call_round.h"
+#include "thornhollow/discovery/pending_calls.h"
 #include "thornhollow/net/clock.h"
 
 namespace thornhollow {
@@ -40,7 +40,7 @@
       Restart();
     }
     if (!aReads) {
-      mFollower.StopAsking();
+      mFollower.StopReading();
       NoteLeft();
     }
   }
@@ -48,17 +48,17 @@
   void Ask(const source_call& aCall)
   {
     const std::uint64_t round = ++mRound;
-    mOpen.End();
+    mOpen.Clear();
     mIdle = !mReads;
     if (mIdle) {
-      mFollower.StopAsking();
+      mFollower.StopReading();
       return;
     }
-    if (aCall.mPause <= duration::zero()) {
+    if (aCall.mSendDelay <= duration::zero()) {
       Send(aCall, round);
       return;
     }
-    mTimer.expires_after(aCall.mPause);
+    mTimer.expires_after(aCall.mSendDelay);
     mTimer.async_wait([weak = weak_from_this(),
                        round](const boost::system::error_code& aWrong) {
       const auto self = weak.lock();
@@ -71,22 +71,25 @@
 
   void Restart() { Ask(mFollower.Start(mMirror)); }
 
-  void OnDoubt(watch_doubt aWhy, time_point aNow)
+  void OnSuspected(suspicion_reason aWhy, time_point aNow)
   {
-    if (!mReads || !mOpen.MayBeDoubted(aWhy, aNow)) {
+    if (!mReads || !mOpen.AllowsProbe(aWhy, aNow)) {
       return;
     }
-    if (const auto call = mFollower.OnDoubt(aWhy, mMirror, aNow)) {
+    if (const auto call = mFollower.OnSuspected(aWhy, mMirror, aNow)) {
       LogBeside(Name(aWhy), aNow);
       Send(*call, mRound);
     }
   }
 
-  void SetTurn(const watch_turn& aTurn) { mFollower.SetTurn(aTurn); }
+  void SetStagger(const watch_stagger& aStagger)
+  {
+    mFollower.SetStagger(aStagger);
+  }
 
   void Tick(time_point aNow)
   {
-    if (mReads && mOpen.Overdue(aNow)) {
+    if (mReads && mOpen.IsOverdue(aNow)) {
       AskBesideOverdue(aNow);
     }
     if (mFollower.InOutage(aNow)) {
@@ -96,7 +99,7 @@
 
   void OnPeerListing(const std::vector<source_item>& aItems, std::uint64_t aAt)
   {
-    if (const std::uint64_t before = mMirror.At(); aAt > before) {
+    if (const std::uint64_t before = mMirror.Revision(); aAt > before) {
       TakePeersNews(mMirror.OnListing(aItems, aAt), before, Now());
     }
   }
@@ -105,7 +108,7 @@
                      std::uint64_t aAsked,
                      std::uint64_t aAt)
   {
-    if (const std::uint64_t before = mMirror.At();
+    if (const std::uint64_t before = mMirror.Revision();
         aAt > before && aAsked == before && mMirror.Listed()) {
       TakePeersNews(
         mMirror.OnPeerChanges(aChanges, aAsked, aAt), before, Now());
@@ -115,13 +118,16 @@
   void Stop()
   {
     ++mRound;
-    mOpen.End();
+    mOpen.Clear();
     mTimer.cancel();
   }
 
   const item_mirror& Mirror() const { return mMirror; }
   bool Failing() const { return mFollower.Failing(); }
-  std::optional<time_point> Answered() const { return mFollower.Answered(); }
+  std::optional<time_point> LastAnswer() const
+  {
+    return mFollower.LastAnswer();
+  }
 
 private:
   // A call on its way. Those of one round are beside each other: the first
@@ -140,8 +146,8 @@
     const time_point now = Now();
     const sent_call sent{ aRound, ++mNumber, now, now + aCall.mWait };
     mOpen.OnSent(aCall, now);
-    answer_progress onBytes = [weak = weak_from_this(),
-                               aRound](std::size_t aBytes) {
+    response_progress onBytes = [weak = weak_from_this(),
+                                 aRound](std::size_t aBytes) {
       if (const auto self = weak.lock()) {
         self->OnBytes(aRound, aBytes);
       }
@@ -149,7 +155,7 @@
     if (aCall.mList) {
       mSource.List(
         mPrefix,
-        aCall.mLimit,
+        aCall.mIdleTimeout,
         std::move(onBytes),
         [weak = weak_from_this(), sent](const list_outcome& aOutcome) {
           if (const auto self = weak.lock()) {
@@ -162,7 +168,7 @@
       mPrefix,
       aCall.mAfter,
       aCall.mWait,
-      aCall.mLimit,
+      aCall.mIdleTimeout,
       std::move(onBytes),
       [weak = weak_from_this(), sent](const watch_outcome& aOutcome) {
         if (const auto self = weak.lock()) {
@@ -183,7 +189,7 @@
   {
     const source_call next = mFollower.OnOverdue(mMirror, aNow);
     if (mFollower.Failing()) {
-      LogFailure({ "overdue" }, mOpen.OpenFor(aNow));
+      LogFailure({ "overdue" }, mOpen.NewestCallAge(aNow));
     } else {
       LogBeside("overdue", aNow);
     }
@@ -203,7 +209,7 @@
   void NoteTime(const sent_call& aSent, time_point aNow)
   {
     if (aNow > aSent.mDueAt) {
-      mFollower.NoteDelay(aNow - aSent.mDueAt);
+      mFollower.RecordDelay(aNow - aSent.mDueAt);
     }
   }
 
@@ -260,11 +266,11 @@
                "taken_from_peer",
                { { "what", mWhat },
                  { "from", static_cast<std::int64_t>(aBefore) },
-                 { "at", static_cast<std::int64_t>(mMirror.At()) },
+                 { "at", static_cast<std::int64_t>(mMirror.Revision()) },
                  { "changes", static_cast<std::int64_t>(aNews.size()) },
                  { "answer_age_ms", AnswerAgeMs() } });
     if (!aNews.empty()) {
-      OnDoubt(watch_doubt::kPeerKnewFirst, aNow);
+      OnSuspected(suspicion_reason::kPeerKnewFirst, aNow);
       mOnNews(aNews);
     }
   }
@@ -277,7 +283,7 @@
     mLog.Write(log_level::kWarning,
                "source_lost",
                { { "what", mWhat },
-                 { "at", static_cast<std::int64_t>(mMirror.At()) },
+                 { "at", static_cast<std::int64_t>(mMirror.Revision()) },
                  { "answer_age_ms", AnswerAgeMs() } });
   }
 
@@ -299,10 +305,10 @@
 
   void LogState(std::string_view aEvent)
   {
-    mLog.Write(
-      log_level::kInfo,
-      aEvent,
-      { { "what", mWhat }, { "at", static_cast<std::int64_t>(mMirror.At()) } });
+    mLog.Write(log_level::kInfo,
+               aEvent,
+               { { "what", mWhat },
+                 { "at", static_cast<std::int64_t>(mMirror.Revision()) } });
   }
 
   // One line for each reason in a series of failures: a line for each call of
@@ -330,7 +336,7 @@
                "source_asked_again",
                { { "what", mWhat },
                  { "why", std::string(aWhy) },
-                 { "open_ms", ToMilliseconds(mOpen.OpenFor(aNow)) },
+                 { "open_ms", ToMilliseconds(mOpen.NewestCallAge(aNow)) },
                  { "bytes", static_cast<std::int64_t>(mBytesCame) },
                  { "answer_age_ms", AnswerAgeMs() } });
   }
@@ -343,14 +349,14 @@
     mLog.Write(log_level::kInfo,
                "source_answers_again",
                { { "what", mWhat },
-                 { "at", static_cast<std::int64_t>(mMirror.At()) },
+                 { "at", static_cast<std::int64_t>(mMirror.Revision()) },
                  { "failed_calls", std::exchange(mFailedCalls, 0) } });
   }
 
   // -1: it never answered.
   std::int64_t AnswerAgeMs() const
   {
-    const auto answered = mFollower.Answered();
+    const auto answered = mFollower.LastAnswer();
     return answered ? ToMilliseconds(Now() - *answered) : -1;
   }
 
@@ -371,7 +377,7 @@
   // Of the newest call.
   std::uint64_t mNumber = 0;
   // Those on their way; none while a pause lasts.
-  call_round mOpen;
+  pending_calls mOpen;
   // Of the answer that came last, whole or not.
   std::size_t mBytesCame = 0;
   // Calls that failed since the last answer, and why the last one did.
@@ -412,15 +418,15 @@
 }
 
 void
-source_link::OnDoubt(watch_doubt aWhy, time_point aNow)
+source_link::OnSuspected(suspicion_reason aWhy, time_point aNow)
 {
-  mCore->OnDoubt(aWhy, aNow);
+  mCore->OnSuspected(aWhy, aNow);
 }
 
 void
-source_link::SetTurn(const watch_turn& aTurn)
+source_link::SetStagger(const watch_stagger& aStagger)
 {
-  mCore->SetTurn(aTurn);
+  mCore->SetStagger(aStagger);
 }
 
 void
@@ -463,15 +469,15 @@
 }
 
 std::optional<time_point>
-source_link::Answered() const
+source_link::LastAnswer() const
 {
-  return mCore->Answered();
+  return mCore->LastAnswer();
 }
 
 std::optional<duration>
 source_link::AnswerAge(time_point aNow) const
 {
-  const auto answered = mCore->Answered();
+  const auto answered = mCore->LastAnswer();
   return answered ? std::optional<duration>(aNow - *answered) : std::nullopt;
 }
 
--- a/thornhollow/daemon/source_link.h
+++ b/thornhollow/daemon/source_link.h
@@ -49,9 +49,9 @@
   // Peers tell of news meanwhile.
   void SetReading(bool aReads);
   // Asks beside the watch on its way, which may never be answered.
-  void OnDoubt(watch_doubt aWhy, time_point aNow);
+  void OnSuspected(suspicion_reason aWhy, time_point aNow);
   // This instance's turn among those that ask the source.
-  void SetTurn(const watch_turn& aTurn);
+  void SetStagger(const watch_stagger& aStagger);
   // Notices overdue answers and an outage. To be called every 100 ms.
   void Tick(time_point aNow);
 
@@ -68,7 +68,7 @@
   bool Failing() const;
   // When the source itself last answered, and how long ago; nothing before it
   // did.
-  std::optional<time_point> Answered() const;
+  std::optional<time_point> LastAnswer() const;
   std::optional<duration> AnswerAge(time_point aNow) const;
 
 private:
--- a/thornhollow/discovery/endpoint_roster.cc
+++ b/thornhollow/discovery/endpoint_roster.cc
@@ -10,15 +10,15 @@
   if (isNew) {
     return { endpoint_joined{ aEntry } };
   }
-  record& held = found->second;
-  held.mGoneAt.reset();
-  if (held.mEntry == aEntry) {
+  record& known = found->second;
+  known.mExpiresAt.reset();
+  if (known.mEntry == aEntry) {
     return {};
   }
-  const bool sameProcess = held.mEntry.mStartedMs == aEntry.mStartedMs &&
-                           held.mEntry.mAddress == aEntry.mAddress &&
-                           held.mEntry.mPool == aEntry.mPool;
-  held.mEntry = aEntry;
+  const bool sameProcess = known.mEntry.mStartedMs == aEntry.mStartedMs &&
+                           known.mEntry.mAddress == aEntry.mAddress &&
+                           known.mEntry.mPool == aEntry.mPool;
+  known.mEntry = aEntry;
   if (sameProcess) {
     return { endpoint_updated{ aEntry } };
   }
@@ -33,73 +33,74 @@
     return {};
   }
   // An endpoint that had said that it leaves does not come back.
-  if (!JustReturned(aNow) || found->second.mEntry.mDraining) {
+  if (!RecentlyRecovered(aNow) || found->second.mEntry.mDraining) {
     mRecords.erase(found);
     return { endpoint_gone{ aName } };
   }
-  if (!found->second.mGoneAt) {
-    found->second.mGoneAt = *mRegained + mSettings.mReturnWindow;
+  if (!found->second.mExpiresAt) {
+    found->second.mExpiresAt = *mRecoveredAt + mSettings.mRecoveryGracePeriod;
   }
   return {};
 }
 
 void
-endpoint_roster::OnSourceFails(time_point aNow)
+endpoint_roster::OnSourceFailed(time_point aNow)
 {
-  mFails = mFails || !mAnswered || aNow > *mAnswered;
+  mCallFailed = mCallFailed || !mLastAnswer || aNow > *mLastAnswer;
 }
 
 void
-endpoint_roster::OnSourceAnswered(time_point aThen)
+endpoint_roster::OnSourceAnswered(time_point aAt)
 {
-  if (mAnswered && aThen <= *mAnswered) {
+  if (mLastAnswer && aAt <= *mLastAnswer) {
     return;
   }
-  if (SourceAway(aThen)) {
-    OnReturned(aThen);
+  if (IsSourceInOutage(aAt)) {
+    OnRecovered(aAt);
   }
-  mAnswered = aThen;
-  mFails = false;
+  mLastAnswer = aAt;
+  mCallFailed = false;
 }
 
 bool
-endpoint_roster::SourceAway(time_point aNow) const
+endpoint_roster::IsSourceInOutage(time_point aNow) const
 {
-  return mFails && mAnswered && aNow - *mAnswered >= mSettings.mLeastAbsence;
+  return mCallFailed && mLastAnswer &&
+         aNow - *mLastAnswer >= mSettings.mMinOutage;
 }
 
 void
-endpoint_roster::OnReturned(time_point aThen)
+endpoint_roster::OnRecovered(time_point aAt)
 {
-  mRegained = aThen;
+  mRecoveredAt = aAt;
   for (auto& [name, each] : mRecords) {
-    if (each.mGoneAt) {
-      each.mGoneAt = aThen + mSettings.mReturnWindow;
+    if (each.mExpiresAt) {
+      each.mExpiresAt = aAt + mSettings.mRecoveryGracePeriod;
     }
   }
 }
 
 void
-endpoint_roster::OnToldRegained(time_point aThen)
+endpoint_roster::OnRecoveryReported(time_point aAt)
 {
-  if (!mRegained || aThen - *mRegained >= mSettings.mSameReturn) {
-    OnReturned(aThen);
+  if (!mRecoveredAt || aAt - *mRecoveredAt >= mSettings.mSameRecoveryWindow) {
+    OnRecovered(aAt);
   }
 }
 
 std::optional<duration>
-endpoint_roster::RegainedFor(time_point aNow) const
+endpoint_roster::TimeSinceRecovery(time_point aNow) const
 {
-  if (SourceAway(aNow) || !JustReturned(aNow)) {
+  if (IsSourceInOutage(aNow) || !RecentlyRecovered(aNow)) {
     return std::nullopt;
   }
-  return aNow - *mRegained;
+  return aNow - *mRecoveredAt;
 }
 
 bool
-endpoint_roster::JustReturned(time_point aNow) const
+endpoint_roster::RecentlyRecovered(time_point aNow) const
 {
-  return mRegained && aNow - *mRegained < mSettings.mReturnWindow;
+  return mRecoveredAt && aNow - *mRecoveredAt < mSettings.mRecoveryGracePeriod;
 }
 
 roster_changes
@@ -107,22 +108,22 @@
 {
   roster_changes changes;
   // While the source is away nobody can register again.
-  if (SourceAway(aNow)) {
+  if (IsSourceInOutage(aNow)) {
     return changes;
   }
-  for (auto at = mRecords.begin(); at != mRecords.end();) {
-    if (at->second.mGoneAt && aNow >= *at->second.mGoneAt) {
-      changes.emplace_back(endpoint_gone{ at->first });
-      at = mRecords.erase(at);
+  for (auto iterator = mRecords.begin(); iterator != mRecords.end();) {
+    if (iterator->second.mExpiresAt && aNow >= *iterator->second.mExpiresAt) {
+      changes.emplace_back(endpoint_gone{ iterator->first });
+      iterator = mRecords.erase(iterator);
     } else {
-      ++at;
+      ++iterator;
     }
   }
   return changes;
 }
 
 bool
-endpoint_roster::Counts(const endpoint_name& aName) const
+endpoint_roster::Contains(const endpoint_name& aName) const
 {
   return mRecords.contains(aName);
 }
--- a/thornhollow/discovery/endpoint_roster.h
+++ b/thornhollow/discovery/endpoint_roster.h
@@ -95,15 +95,15 @@
   // Entries that lapsed during an outage are back within two seconds of its
   // end; a tenth less, so that a removal that was real is acted on within two
   // seconds of the source's return as well.
-  duration mReturnWindow = Milliseconds(1800);
+  duration mRecoveryGracePeriod = Milliseconds(1800);
   // Two peers' words of one return differ by the time that they took to come;
   // a return that is told of as later by less than this is the same one, or
   // the window would grow with each word.
-  duration mSameReturn = Seconds(1);
+  duration mSameRecoveryWindow = Seconds(1);
   // Without an answer to anybody for so long leases may lapse: each is renewed
   // several times in the time for which it holds. Where nothing changes peers
   // tell of an answer every second, and a word of theirs may be lost.
-  duration mLeastAbsence = Seconds(2);
+  duration mMinOutage = Seconds(2);
 
   friend bool operator==(const roster_settings&,
                          const roster_settings&) = default;
@@ -122,17 +122,17 @@
   roster_changes OnRemoved(const endpoint_name& aName, time_point aNow);
 
   // A call to the source fails, here or, by its word, at some peer.
-  void OnSourceFails(time_point aNow);
+  void OnSourceFailed(time_point aNow);
   // The source answered this instance or some other at that moment; to be told
   // before what it answered with.
-  void OnSourceAnswered(time_point aThen);
+  void OnSourceAnswered(time_point aAt);
   // A peer told that the source came back from an outage at `aThen`.
-  void OnToldRegained(time_point aThen);
+  void OnRecoveryReported(time_point aAt);
   // Whether the source is away for all, as far as is known.
-  bool SourceAway(time_point aNow) const;
+  bool IsSourceInOutage(time_point aNow) const;
   // How long ago the source came back from an outage, for peers that don't ask
   // it themselves; nothing once no lapsed entry can be missing for that reason.
-  std::optional<duration> RegainedFor(time_point aNow) const;
+  std::optional<duration> TimeSinceRecovery(time_point aNow) const;
 
   // Removes what is missing for too long. To be called every 100 ms.
   roster_changes Tick(time_point aNow);
@@ -140,26 +140,26 @@
   // By name, those that still count though they are missing included.
   std::vector<listed_endpoint> Endpoints() const;
   // Whether it is one of them.
-  bool Counts(const endpoint_name& aName) const;
+  bool Contains(const endpoint_name& aName) const;
 
 private:
   struct record
   {
     listed_endpoint mEntry;
     // Set while the source lists it no more but it still counts.
-    std::optional<time_point> mGoneAt;
+    std::optional<time_point> mExpiresAt;
   };
 
   roster_settings mSettings;
   // The source came back from an outage at that moment.
-  void OnReturned(time_point aThen);
-  bool JustReturned(time_point aNow) const;
+  void OnRecovered(time_point aAt);
+  bool RecentlyRecovered(time_point aNow) const;
 
   std::map<endpoint_name, record> mRecords;
   // A call has failed since the last answer to anybody.
-  bool mFails = false;
-  std::optional<time_point> mAnswered;
-  std::optional<time_point> mRegained;
+  bool mCallFailed = false;
+  std::optional<time_point> mLastAnswer;
+  std::optional<time_point> mRecoveredAt;
 };
 
 } // namespace thornhollow
--- a/thornhollow/discovery/endpoint_roster_test.cc
+++ b/thornhollow/discovery/endpoint_roster_test.cc
@@ -6,7 +6,7 @@
 namespace {
 
 listed_endpoint
-Entry(const char* aName, std::int64_t aStartedMs = 1)
+MakeEntry(const char* aName, std::int64_t aStartedMs = 1)
 {
   listed_endpoint entry;
   entry.mName = endpoint_name(aName);
@@ -16,22 +16,22 @@
   return entry;
 }
 
-struct roster_with_two
+struct roster_with_two_endpoints
 {
   endpoint_roster mRoster{ roster_settings{} };
   time_point mNow = time_point() + Seconds(100);
 
-  roster_with_two()
+  roster_with_two_endpoints()
   {
     mRoster.OnSourceAnswered(mNow);
-    mRoster.OnListed(Entry("a"), mNow);
-    mRoster.OnListed(Entry("b"), mNow);
+    mRoster.OnListed(MakeEntry("a"), mNow);
+    mRoster.OnListed(MakeEntry("b"), mNow);
   }
 };
 
 // Guards against leaving endpoints that get work on, where others read the
 // source and several leave within one copy.
-TEST_CASE_FIXTURE(roster_with_two,
+TEST_CASE_FIXTURE(roster_with_two_endpoints,
                   "endpoint_roster/two_removed_at_once/both_are_gone_at_once")
 {
   CHECK(mRoster.OnRemoved(endpoint_name("a"), mNow).size() == 1);
@@ -40,82 +40,83 @@
 
 // Guards against dropping live endpoints where others read the source, whose
 // outage isn't seen here.
-TEST_CASE_FIXTURE(roster_with_two,
+TEST_CASE_FIXTURE(roster_with_two_endpoints,
                   "endpoint_roster/told_of_an_outage/lapsed_ones_count_on")
 {
-  mRoster.OnToldRegained(mNow - Milliseconds(300));
+  mRoster.OnRecoveryReported(mNow - Milliseconds(300));
   CHECK(mRoster.OnRemoved(endpoint_name("a"), mNow).empty());
-  CHECK(mRoster.Counts(endpoint_name("a")));
+  CHECK(mRoster.Contains(endpoint_name("a")));
   mNow += Milliseconds(1'600);
   CHECK(mRoster.Tick(mNow).size() == 1);
 }
 
 // Guards against a window that grows with each peer's word of one return.
-TEST_CASE_FIXTURE(roster_with_two,
+TEST_CASE_FIXTURE(roster_with_two_endpoints,
                   "endpoint_roster/told_twice_of_one_outage/window_stays")
 {
-  const time_point begun = mNow;
-  mRoster.OnToldRegained(begun);
+  const time_point recovered = mNow;
+  mRoster.OnRecoveryReported(recovered);
   CHECK(mRoster.OnRemoved(endpoint_name("a"), mNow).empty());
   for (int hop = 1; hop <= 5; ++hop) {
-    mRoster.OnToldRegained(begun + hop * Milliseconds(150));
+    mRoster.OnRecoveryReported(recovered + hop * Milliseconds(150));
   }
-  CHECK(mRoster.RegainedFor(begun + Seconds(1)) == Seconds(1));
-  CHECK(mRoster.Tick(begun + Milliseconds(1'800)).size() == 1);
-  CHECK_FALSE(mRoster.RegainedFor(begun + Milliseconds(1'800)));
+  CHECK(mRoster.TimeSinceRecovery(recovered + Seconds(1)) == Seconds(1));
+  CHECK(mRoster.Tick(recovered + Milliseconds(1'800)).size() == 1);
+  CHECK_FALSE(mRoster.TimeSinceRecovery(recovered + Milliseconds(1'800)));
 }
 
 // Guards against a return that nobody saw: an instance whose own calls fail
 // doesn't know when the source answers again.
-TEST_CASE_FIXTURE(roster_with_two,
+TEST_CASE_FIXTURE(roster_with_two_endpoints,
                   "endpoint_roster/source_fails/no_return_is_told")
 {
-  mRoster.OnSourceFails(mNow + Seconds(1));
-  CHECK_FALSE(mRoster.RegainedFor(mNow + Seconds(1)));
-  CHECK_FALSE(mRoster.RegainedFor(mNow + Seconds(9)));
+  mRoster.OnSourceFailed(mNow + Seconds(1));
+  CHECK_FALSE(mRoster.TimeSinceRecovery(mNow + Seconds(1)));
+  CHECK_FALSE(mRoster.TimeSinceRecovery(mNow + Seconds(9)));
   CHECK(mRoster.OnRemoved(endpoint_name("a"), mNow + Seconds(9)).size() == 1);
 }
 
 // Guards against endpoints that get work for seconds after they left, as the
 // source didn't answer this instance while it answered others.
-TEST_CASE_FIXTURE(roster_with_two,
+TEST_CASE_FIXTURE(roster_with_two_endpoints,
                   "endpoint_roster/source_fails_here_only/removed_is_gone")
 {
   for (int each = 0; each < 20; ++each) {
     mNow += Milliseconds(500);
-    mRoster.OnSourceFails(mNow);
+    mRoster.OnSourceFailed(mNow);
     mRoster.OnSourceAnswered(mNow - Milliseconds(300));
-    CHECK_FALSE(mRoster.SourceAway(mNow));
+    CHECK_FALSE(mRoster.IsSourceInOutage(mNow));
   }
   mRoster.OnSourceAnswered(mNow);
-  CHECK_FALSE(mRoster.RegainedFor(mNow));
+  CHECK_FALSE(mRoster.TimeSinceRecovery(mNow));
   CHECK(mRoster.OnRemoved(endpoint_name("a"), mNow).size() == 1);
 }
 
 // Guards against taking a quiet source for one that was away.
-TEST_CASE_FIXTURE(roster_with_two,
+TEST_CASE_FIXTURE(roster_with_two_endpoints,
                   "endpoint_roster/no_answer_for_long_and_no_failure/no_outage")
 {
   mNow += Seconds(30);
-  CHECK_FALSE(mRoster.SourceAway(mNow));
+  CHECK_FALSE(mRoster.IsSourceInOutage(mNow));
   mRoster.OnSourceAnswered(mNow);
   CHECK(mRoster.OnRemoved(endpoint_name("a"), mNow).size() == 1);
 }
 
 // Guards against a window that begins anew with each short failure after it.
-TEST_CASE_FIXTURE(roster_with_two,
+TEST_CASE_FIXTURE(roster_with_two_endpoints,
                   "endpoint_roster/fails_again_after_an_outage/window_stays")
 {
-  mRoster.OnSourceFails(mNow + Seconds(1));
+  mRoster.OnSourceFailed(mNow + Seconds(1));
   mNow += Seconds(5);
   mRoster.OnSourceAnswered(mNow);
   CHECK(mRoster.OnRemoved(endpoint_name("a"), mNow).empty());
-  mRoster.OnSourceFails(mNow + Milliseconds(700));
+  mRoster.OnSourceFailed(mNow + Milliseconds(700));
   mRoster.OnSourceAnswered(mNow + Milliseconds(1'300));
   CHECK(mRoster.Tick(mNow + Milliseconds(1'800)).size() == 1);
 }
 
-TEST_CASE_FIXTURE(roster_with_two, "endpoint_roster/removed/is_gone_at_once")
+TEST_CASE_FIXTURE(roster_with_two_endpoints,
+                  "endpoint_roster/removed/is_gone_at_once")
 {
   const auto changes = mRoster.OnRemoved(endpoint_name("a"), mNow);
   REQUIRE(changes.size() == 1);
@@ -123,58 +124,58 @@
   CHECK(mRoster.Endpoints().size() == 1);
 }
 
-TEST_CASE_FIXTURE(roster_with_two,
+TEST_CASE_FIXTURE(roster_with_two_endpoints,
                   "endpoint_roster/lapsed_in_an_outage/counts_till_it_returns")
 {
   // Callers get 503 for a second after each outage of the source: the leases
   // lapsed meanwhile, the first listing afterwards is empty, and the endpoints,
   // which never stopped serving, register again a moment later.
-  mRoster.OnSourceFails(mNow + Seconds(1));
+  mRoster.OnSourceFailed(mNow + Seconds(1));
   mNow += Seconds(5);
-  CHECK(mRoster.SourceAway(mNow));
+  CHECK(mRoster.IsSourceInOutage(mNow));
   mRoster.OnSourceAnswered(mNow);
   CHECK(mRoster.OnRemoved(endpoint_name("a"), mNow).empty());
   CHECK(mRoster.OnRemoved(endpoint_name("b"), mNow).empty());
   mNow += Seconds(1);
   CHECK(mRoster.Tick(mNow).empty());
-  CHECK(mRoster.OnListed(Entry("a"), mNow).empty());
+  CHECK(mRoster.OnListed(MakeEntry("a"), mNow).empty());
   mNow += Seconds(1);
   const auto changes = mRoster.Tick(mNow);
   REQUIRE(changes.size() == 1);
   CHECK(std::get<endpoint_gone>(changes[0]).mName == endpoint_name("b"));
-  CHECK(mRoster.Endpoints() == std::vector{ Entry("a") });
+  CHECK(mRoster.Endpoints() == std::vector{ MakeEntry("a") });
 }
 
-TEST_CASE_FIXTURE(roster_with_two,
+TEST_CASE_FIXTURE(roster_with_two_endpoints,
                   "endpoint_roster/draining_one_removed_in_an_outage/is_gone")
 {
-  listed_endpoint leaving = Entry("a");
-  leaving.mDraining = true;
-  mRoster.OnListed(leaving, mNow);
-  mRoster.OnSourceFails(mNow + Seconds(1));
+  listed_endpoint draining = MakeEntry("a");
+  draining.mDraining = true;
+  mRoster.OnListed(draining, mNow);
+  mRoster.OnSourceFailed(mNow + Seconds(1));
   mNow += Seconds(5);
   mRoster.OnSourceAnswered(mNow);
   CHECK(mRoster.OnRemoved(endpoint_name("a"), mNow).size() == 1);
 }
 
-TEST_CASE_FIXTURE(roster_with_two,
+TEST_CASE_FIXTURE(roster_with_two_endpoints,
                   "endpoint_roster/started_again_under_its_name/is_a_new_one")
 {
   // Requests are sent for a cached prompt that is not there any more: the
   // engine crashed and started again under its name.
-  const auto changes = mRoster.OnListed(Entry("a", 2), mNow);
+  const auto changes = mRoster.OnListed(MakeEntry("a", 2), mNow);
   REQUIRE(changes.size() == 2);
   CHECK(std::holds_alternative<endpoint_gone>(changes[0]));
   CHECK(std::holds_alternative<endpoint_joined>(changes[1]));
 }
 
-TEST_CASE_FIXTURE(roster_with_two,
+TEST_CASE_FIXTURE(roster_with_two_endpoints,
                   "endpoint_roster/same_entry_again/changes_nothing")
 {
-  CHECK(mRoster.OnListed(Entry("a"), mNow).empty());
-  listed_endpoint leaving = Entry("a");
-  leaving.mDraining = true;
-  const auto changes = mRoster.OnListed(leaving, mNow);
+  CHECK(mRoster.OnListed(MakeEntry("a"), mNow).empty());
+  listed_endpoint draining = MakeEntry("a");
+  draining.mDraining = true;
+  const auto changes = mRoster.OnListed(draining, mNow);
   REQUIRE(changes.size() == 1);
   CHECK(std::holds_alternative<endpoint_updated>(changes[0]));
 }
--- a/thornhollow/discovery/item_mirror.cc
+++ b/thornhollow/discovery/item_mirror.cc
@@ -8,23 +8,23 @@
 
 std::vector<item_change>
 item_mirror::OnListing(const std::vector<source_item>& aItems,
-                       std::uint64_t aAt)
+                       std::uint64_t aRevision)
 {
-  if (mListed && aAt < mAt) {
+  if (mListed && aRevision < mRevision) {
     return {};
   }
   std::vector<item_change> changes;
-  std::set<std::string> present;
+  std::set<std::string> listedKeys;
   for (const source_item& each : aItems) {
-    present.insert(each.mKey);
+    listedKeys.insert(each.mKey);
     const auto found = mItems.find(each.mKey);
     if (found == mItems.end() || found->second.mRevision < each.mRevision) {
       changes.push_back({ each.mKey, each.mValue, each.mRevision });
     }
   }
   for (const auto& [key, item] : mItems) {
-    if (!present.contains(key)) {
-      changes.push_back({ key, std::nullopt, aAt });
+    if (!listedKeys.contains(key)) {
+      changes.push_back({ key, std::nullopt, aRevision });
     }
   }
   for (const item_change& each : changes) {
@@ -34,79 +34,80 @@
       mItems.erase(each.mKey);
     }
   }
-  Remember(changes, mListed ? mAt : aAt, aAt, true);
+  RecordHistory(changes, mListed ? mRevision : aRevision, aRevision, true);
   if (!mListed || !changes.empty()) {
-    mChangedAt = aAt;
+    mLastChangeRevision = aRevision;
   }
   mListed = true;
-  mAt = aAt;
+  mRevision = aRevision;
   return changes;
 }
 
 std::vector<item_change>
 item_mirror::OnChanges(const std::vector<item_change>& aChanges,
-                       std::uint64_t aAt)
+                       std::uint64_t aRevision)
 {
-  return Take(aChanges, aAt, false);
+  return Apply(aChanges, aRevision, false);
 }
 
 std::vector<item_change>
 item_mirror::OnPeerChanges(const std::vector<item_change>& aChanges,
-                           std::uint64_t aAsked,
-                           std::uint64_t aAt)
+                           std::uint64_t aRequestedAfter,
+                           std::uint64_t aRevision)
 {
-  if (aAsked != mAt) {
+  if (aRequestedAfter != mRevision) {
     return {};
   }
-  return Take(aChanges, aAt, true);
+  return Apply(aChanges, aRevision, true);
 }
 
 std::vector<item_change>
-item_mirror::Take(const std::vector<item_change>& aChanges,
-                  std::uint64_t aAt,
-                  bool aEndsOnly)
+item_mirror::Apply(const std::vector<item_change>& aChanges,
+                   std::uint64_t aRevision,
+                   bool aIsUnresolved)
 {
-  std::vector<item_change> news;
+  std::vector<item_change> applied;
   // With removals of what wasn't held here: a peer may hold it.
-  std::vector<item_change> told;
+  std::vector<item_change> recorded;
   for (const item_change& each : aChanges) {
-    if (each.mRevision <= mAt) {
+    if (each.mRevision <= mRevision) {
       continue;
     }
     const auto found = mItems.find(each.mKey);
     if (found != mItems.end() && found->second.mRevision >= each.mRevision) {
       continue;
     }
-    told.push_back(each);
+    recorded.push_back(each);
     if (each.mValue) {
       mItems[each.mKey] = { *each.mValue, each.mRevision };
     } else if (mItems.erase(each.mKey) == 0) {
       continue;
     }
-    news.push_back(each);
+    applied.push_back(each);
   }
-  Remember(told, mAt, aAt, aEndsOnly);
-  mAt = std::max(mAt, aAt);
-  if (!told.empty()) {
-    mChangedAt = mAt;
+  RecordHistory(recorded, mRevision, aRevision, aIsUnresolved);
+  mRevision = std::max(mRevision, aRevision);
+  if (!recorded.empty()) {
+    mLastChangeRevision = mRevision;
   }
-  return news;
+  return applied;
 }
 
 std::optional<std::vector<item_change>>
-item_mirror::Since(std::uint64_t aAfter) const
+item_mirror::ChangesSince(std::uint64_t aAfter) const
 {
-  if (!mListed || aAfter < mLatelyAfter) {
+  if (!mListed || aAfter < mHistoryStart) {
     return std::nullopt;
   }
-  const bool inside = std::ranges::any_of(mJumps, [aAfter](const auto& aJump) {
-    return aJump.first < aAfter && aAfter < aJump.second;
-  });
-  if (inside) {
+  const bool isInsideStep =
+    std::ranges::any_of(mUnresolvedSteps, [aAfter](const auto& aStep) {
+      return aStep.first < aAfter && aAfter < aStep.second;
+    });
+  if (isInsideStep) {
     return std::nullopt;
   }
   std::vector<item_change> changes;
-  for (const item_change& each : mLately) {
+  for (const item_change& each : mHistory) {
     if (each.mRevision > aAfter) {
       changes.push_back(each);
     }
@@ -115,36 +116,37 @@
 }
 
 void
-item_mirror::Remember(const std::vector<item_change>& aChanges,
-                      std::uint64_t aBefore,
-                      std::uint64_t aAfter,
-                      bool aEndsOnly)
+item_mirror::RecordHistory(const std::vector<item_change>& aChanges,
+                           std::uint64_t aBefore,
+                           std::uint64_t aAfter,
+                           bool aIsUnresolved)
 {
-  if (mLately.empty()) {
-    mLatelyAfter = aBefore;
+  if (mHistory.empty()) {
+    mHistoryStart = aBefore;
   }
-  if (aEndsOnly && aBefore + 1 < aAfter) {
-    mJumps.emplace_back(aBefore, aAfter);
+  if (aIsUnresolved && aBefore + 1 < aAfter) {
+    mUnresolvedSteps.emplace_back(aBefore, aAfter);
   }
-  std::set<std::string_view> changed;
-  std::vector<item_change> last;
+  std::set<std::string_view> changedKeys;
+  std::vector<item_change> lastChanges;
   for (auto each = aChanges.rbegin(); each != aChanges.rend(); ++each) {
-    if (changed.insert(each->mKey).second) {
-      last.push_back(*each);
+    if (changedKeys.insert(each->mKey).second) {
+      lastChanges.push_back(*each);
     }
   }
-  std::erase_if(mLately, [&changed](const item_change& aEarlier) {
-    return changed.contains(aEarlier.mKey);
+  std::erase_if(mHistory, [&changedKeys](const item_change& aEarlier) {
+    return changedKeys.contains(aEarlier.mKey);
   });
-  mLately.insert(mLately.end(), last.rbegin(), last.rend());
-  while (mLately.size() > kRemembered) {
-    mLatelyAfter = std::max(mLatelyAfter, mLately.front().mRevision);
-    mLately.pop_front();
-  }
-  while (mJumps.size() > kRemembered ||
-         (!mJumps.empty() && mJumps.front().second <= mLatelyAfter)) {
-    mLatelyAfter = std::max(mLatelyAfter, mJumps.front().second);
-    mJumps.pop_front();
+  mHistory.insert(mHistory.end(), lastChanges.rbegin(), lastChanges.rend());
+  while (mHistory.size() > kMaxHistory) {
+    mHistoryStart = std::max(mHistoryStart, mHistory.front().mRevision);
+    mHistory.pop_front();
+  }
+  while (mUnresolvedSteps.size() > kMaxHistory ||
+         (!mUnresolvedSteps.empty() &&
+          mUnresolvedSteps.front().second <= mHistoryStart)) {
+    mHistoryStart = std::max(mHistoryStart, mUnresolvedSteps.front().second);
+    mUnresolvedSteps.pop_front();
   }
 }
 
--- a/thornhollow/discovery/item_mirror.h
+++ b/thornhollow/discovery/item_mirror.h
@@ -48,12 +48,12 @@
   // All items as of revision `aAt`. Returns what differs from the copy; nothing
   // where the copy is newer. A listing at the copy's own revision repairs it.
   std::vector<item_change> OnListing(const std::vector<source_item>& aItems,
-                                     std::uint64_t aAt);
+                                     std::uint64_t aRevision);
 
   // All that the source changed after the copy's revision, up to `aAt`. Returns
   // what is news here: a change that was seen already is left out.
   std::vector<item_change> OnChanges(const std::vector<item_change>& aChanges,
-                                     std::uint64_t aAt);
+                                     std::uint64_t aRevision);
 
   // The same of what a peer answered with `Since(aAsked)`: it may lack items
   // that came and went meanwhile. So it is taken only where the copy is still
@@ -61,16 +61,16 @@
   // an item, and would keep it.
   std::vector<item_change> OnPeerChanges(
     const std::vector<item_change>& aChanges,
-    std::uint64_t aAsked,
-    std::uint64_t aAt);
+    std::uint64_t aRequestedAfter,
+    std::uint64_t aRevision);
 
   // True once a listing was taken.
   bool Listed() const { return mListed; }
   // The source's revision up to which the copy is complete; 0 before.
-  std::uint64_t At() const { return mAt; }
+  std::uint64_t Revision() const { return mRevision; }
   // The same as of the last change that the copy took: a peer whose copy is
   // complete up to there lacks nothing that is here.
-  std::uint64_t ChangedAt() const { return mChangedAt; }
+  std::uint64_t LastChangeRevision() const { return mLastChangeRevision; }
   std::size_t size() const { return mItems.size(); }
   std::vector<source_item> Items() const;
 
@@ -81,37 +81,38 @@
   // A peer at such a revision may hold an item that had come and was gone again
   // in that step: it kept it for good, and sent requests to an engine that no
   // longer was.
-  std::optional<std::vector<item_change>> Since(std::uint64_t aAfter) const;
+  std::optional<std::vector<item_change>> ChangesSince(
+    std::uint64_t aAfter) const;
 
 private:
-  struct held
+  struct stored_item
   {
     std::string mValue;
     std::uint64_t mRevision = 0;
   };
 
   bool mListed = false;
-  std::uint64_t mAt = 0;
-  std::uint64_t mChangedAt = 0;
-  std::map<std::string, held> mItems;
+  std::uint64_t mRevision = 0;
+  std::uint64_t mLastChangeRevision = 0;
+  std::map<std::string, stored_item> mItems;
 
   // Changes remembered: minutes of those of a large site.
-  static constexpr std::size_t kRemembered = 256;
+  static constexpr std::size_t kMaxHistory = 256;
   // Of a step from `aBefore` of which both ends are known only, or each change.
-  void Remember(const std::vector<item_change>& aChanges,
-                std::uint64_t aBefore,
-                std::uint64_t aAfter,
-                bool aEndsOnly);
-  std::vector<item_change> Take(const std::vector<item_change>& aChanges,
-                                std::uint64_t aAt,
-                                bool aEndsOnly);
+  void RecordHistory(const std::vector<item_change>& aChanges,
+                     std::uint64_t aBefore,
+                     std::uint64_t aAfter,
+                     bool aIsUnresolved);
+  std::vector<item_change> Apply(const std::vector<item_change>& aChanges,
+                                 std::uint64_t aRevision,
+                                 bool aIsUnresolved);
 
   // Of each item the last change, the latest last.
-  std::deque<item_change> mLately;
+  std::deque<item_change> mHistory;
   // All changes after this revision are remembered.
-  std::uint64_t mLatelyAfter = 0;
+  std::uint64_t mHistoryStart = 0;
   // Steps of which both ends are known only: from, to.
-  std::deque<std::pair<std::uint64_t, std::uint64_t>> mJumps;
+  std::deque<std::pair<std::uint64_t, std::uint64_t>> mUnresolvedSteps;
 };
 
 } // namespace thornhollow
--- a/thornhollow/discovery/item_mirror_test.cc
+++ b/thornhollow/discovery/item_mirror_test.cc
@@ -24,7 +24,7 @@
   const auto changes = mMirror.OnListing({ { "a", "1", 5 } }, 12);
   REQUIRE(changes.size() == 1);
   CHECK(changes[0] == item_change{ "b", std::nullopt, 12 });
-  CHECK(mMirror.At() == 12);
+  CHECK(mMirror.Revision() == 12);
 }
 
 TEST_CASE_FIXTURE(mirror_with_two_items,
@@ -35,16 +35,16 @@
   // answer arrives after the source's own.
   CHECK(mMirror.OnListing({ { "a", "old", 4 } }, 9).empty());
   CHECK(mMirror.Items().size() == 2);
-  CHECK(mMirror.At() == 10);
+  CHECK(mMirror.Revision() == 10);
 }
 
 TEST_CASE_FIXTURE(mirror_with_two_items,
                   "item_mirror/changes_seen_before/are_left_out")
 {
   CHECK(mMirror.OnChanges({ { "a", "0", 9 } }, 10).empty());
-  const auto news =
+  const auto changes =
     mMirror.OnChanges({ { "a", "3", 11 }, { "b", std::nullopt, 12 } }, 12);
-  CHECK(news.size() == 2);
+  CHECK(changes.size() == 2);
   CHECK(mMirror.Items() == std::vector<source_item>{ { "a", "3", 11 } });
 }
 
@@ -56,10 +56,10 @@
   item_mirror peer;
   peer.OnListing({ { "a", "1", 5 }, { "b", "2", 7 }, { "c", "4", 11 } }, 11);
   CHECK(mMirror.OnChanges({ { "c", std::nullopt, 12 } }, 12).empty());
-  CHECK(mMirror.ChangedAt() == 12);
-  const auto since = mMirror.Since(peer.At());
+  CHECK(mMirror.LastChangeRevision() == 12);
+  const auto since = mMirror.ChangesSince(peer.Revision());
   REQUIRE(since.has_value());
-  CHECK(peer.OnPeerChanges(*since, 11, mMirror.At()).size() == 1);
+  CHECK(peer.OnPeerChanges(*since, 11, mMirror.Revision()).size() == 1);
   CHECK(peer.Items() == mMirror.Items());
 }
 
@@ -68,13 +68,13 @@
 TEST_CASE_FIXTURE(mirror_with_two_items,
                   "item_mirror/source_moves_on_without_news/last_change_stays")
 {
-  CHECK(mMirror.ChangedAt() == 10);
+  CHECK(mMirror.LastChangeRevision() == 10);
   mMirror.OnChanges({}, 20);
   mMirror.OnListing({ { "a", "1", 5 }, { "b", "2", 7 } }, 25);
-  CHECK(mMirror.At() == 25);
-  CHECK(mMirror.ChangedAt() == 10);
+  CHECK(mMirror.Revision() == 25);
+  CHECK(mMirror.LastChangeRevision() == 10);
   mMirror.OnChanges({ { "a", "3", 30 } }, 31);
-  CHECK(mMirror.ChangedAt() == 31);
+  CHECK(mMirror.LastChangeRevision() == 31);
 }
 
 TEST_CASE_FIXTURE(mirror_with_two_items,
@@ -84,13 +84,13 @@
   other.OnListing({ { "a", "1", 5 }, { "b", "2", 7 } }, 10);
   mMirror.OnChanges({ { "a", "3", 11 } }, 11);
   mMirror.OnListing({ { "a", "3", 11 }, { "c", "4", 13 } }, 14);
-  const auto since = mMirror.Since(10);
+  const auto since = mMirror.ChangesSince(10);
   REQUIRE(since.has_value());
-  other.OnChanges(*since, mMirror.At());
+  other.OnChanges(*since, mMirror.Revision());
   CHECK(other.Items() == mMirror.Items());
-  CHECK(other.At() == 14);
-  CHECK_FALSE(mMirror.Since(9).has_value());
-  CHECK_FALSE(item_mirror().Since(0).has_value());
+  CHECK(other.Revision() == 14);
+  CHECK_FALSE(mMirror.ChangesSince(9).has_value());
+  CHECK_FALSE(item_mirror().ChangesSince(0).has_value());
 }
 
 TEST_CASE_FIXTURE(mirror_with_two_items,
@@ -100,8 +100,8 @@
     mMirror.OnChanges({ { "item-" + std::to_string(revision), "", revision } },
                       revision);
   }
-  CHECK_FALSE(mMirror.Since(20).has_value());
-  CHECK(mMirror.Since(390)->size() == 9);
+  CHECK_FALSE(mMirror.ChangesSince(20).has_value());
+  CHECK(mMirror.ChangesSince(390)->size() == 9);
 }
 
 // Guards against a peer that gets each version of a large document that it
@@ -114,9 +114,9 @@
                       revision);
   }
   const std::vector<item_change> result{ { "a", "399", 399 } };
-  CHECK(mMirror.Since(10) == result);
-  CHECK(mMirror.Since(390) == result);
-  CHECK(mMirror.Since(399)->empty());
+  CHECK(mMirror.ChangesSince(10) == result);
+  CHECK(mMirror.ChangesSince(390) == result);
+  CHECK(mMirror.ChangesSince(399)->empty());
 }
 
 TEST_CASE("item_mirror/random_answers/never_go_back_and_end_equal")
--- a/thornhollow/discovery/item_source.h
+++ b/thornhollow/discovery/item_source.h
@@ -22,7 +22,7 @@
 struct source_listing
 {
   std::vector<source_item> mItems;
-  std::uint64_t mAt = 0;
+  std::uint64_t mRevision = 0;
 
   friend bool operator==(const source_listing&,
                          const source_listing&) = default;
@@ -31,7 +31,7 @@
 struct source_changes
 {
   std::vector<item_change> mChanges;
-  std::uint64_t mAt = 0;
+  std::uint64_t mRevision = 0;
 
   friend bool operator==(const source_changes&,
                          const source_changes&) = default;
@@ -51,7 +51,7 @@
 };
 
 // Called while an answer comes, with the bytes that have come so far.
-using answer_progress = std::function<void(std::size_t aBytes)>;
+using response_progress = std::function<void(std::size_t aBytes)>;
 
 using list_outcome = std::variant<source_listing, source_failure>;
 using watch_outcome =
@@ -68,8 +68,8 @@
   // `aDone` is called once, later; with a failure where nothing of an answer
   // came for `aLimit`.
   virtual void List(const std::string& aPrefix,
-                    duration aLimit,
-                    answer_progress aOnBytes,
+                    duration aIdleTimeout,
+                    response_progress aOnBytes,
                     std::function<void(list_outcome)> aDone) = 0;
 
   // Waits for changes after revision `aAfter`, for `aWait` at the most. `aDone`
@@ -78,8 +78,8 @@
   virtual void Watch(const std::string& aPrefix,
                      std::uint64_t aAfter,
                      duration aWait,
-                     duration aLimit,
-                     answer_progress aOnBytes,
+                     duration aIdleTimeout,
+                     response_progress aOnBytes,
                      std::function<void(watch_outcome)> aDone) = 0;
 };
 
--- a/thornhollow/discovery/knowledge_search_test.cc
+++ b/thornhollow/discovery/knowledge_search_test.cc
@@ -17,11 +17,14 @@
 using state = std::map<std::string, std::pair<std::string, std::uint64_t>>;
 
 // A source with all that it ever held.
-class source
+class versioned_source
 {
 public:
-  std::uint64_t At() const { return mStates.size() - 1; }
-  const state& Then(std::uint64_t aAt) const { return mStates.at(aAt); }
+  std::uint64_t Revision() const { return mStates.size() - 1; }
+  const state& StateAt(std::uint64_t aRevision) const
+  {
+    return mStates.at(aRevision);
+  }
 
   void Change(std::mt19937_64& aRandom)
   {
@@ -39,9 +42,9 @@
     mChanges.push_back(std::move(change));
   }
 
-  std::vector<item_change> After(std::uint64_t aAt) const
+  std::vector<item_change> ChangesAfter(std::uint64_t aRevision) const
   {
-    return { mChanges.begin() + static_cast<std::ptrdiff_t>(aAt),
+    return { mChanges.begin() + static_cast<std::ptrdiff_t>(aRevision),
              mChanges.end() };
   }
 
@@ -50,34 +53,34 @@
   std::vector<item_change> mChanges;
 };
 
-struct whole
+struct full_copy
 {
   std::vector<source_item> mItems;
 };
-struct part
+struct delta
 {
   std::vector<item_change> mChanges;
   // The revision that a peer was asked for; nothing for the source's own.
-  std::optional<std::uint64_t> mAsked = std::nullopt;
+  std::optional<std::uint64_t> mRequestedAfter = std::nullopt;
 };
 
 // An answer of the source or of a peer, on its way to an instance.
 struct message
 {
   std::size_t mTo = 0;
-  std::variant<whole, part> mWhat;
-  std::uint64_t mAt = 0;
+  std::variant<full_copy, delta> mContent;
+  std::uint64_t mRevision = 0;
 };
 
 // Instances that ask a source, of which any may be cut off, and each other;
 // answers overtake each other and come late.
-class condition
+class mirror_network
 {
 public:
-  explicit condition(std::uint64_t aSeed)
+  explicit mirror_network(std::uint64_t aSeed)
     : mRandom(aSeed)
-    , mSubjects(2 + mRandom() % 4)
-    , mCutOff(mSubjects.size(), false)
+    , mMirrors(2 + mRandom() % 4)
+    , mPartitioned(mMirrors.size(), false)
   {
   }
 
@@ -90,121 +93,126 @@
   }
 
   // All cuts end; whoever asks is answered.
-  void Heal()
+  void HealAll()
   {
-    mCutOff.assign(mSubjects.size(), false);
-    for (std::size_t each = 0; each < mSubjects.size(); ++each) {
-      AskSource(each);
+    mPartitioned.assign(mMirrors.size(), false);
+    for (std::size_t each = 0; each < mMirrors.size(); ++each) {
+      RequestFromSource(each);
     }
-    while (!mOnTheWay.empty()) {
+    while (!mInTransit.empty()) {
       Deliver();
       CheckAll();
     }
-    for (const item_mirror& each : mSubjects) {
-      CHECK(each.At() == mSource.At());
+    for (const item_mirror& each : mMirrors) {
+      CHECK(each.Revision() == mSource.Revision());
     }
   }
 
 private:
   void Step()
   {
-    const std::size_t who = mRandom() % mSubjects.size();
+    const std::size_t instance = mRandom() % mMirrors.size();
     switch (mRandom() % 8) {
       case 0:
       case 1:
         mSource.Change(mRandom);
         break;
       case 2:
-        mCutOff[who] = !mCutOff[who];
+        mPartitioned[instance] = !mPartitioned[instance];
         break;
       case 3:
-        AskSource(who);
+        RequestFromSource(instance);
         break;
       case 4:
       case 5:
-        AskPeer(who, mRandom() % mSubjects.size());
+        RequestFromPeer(instance, mRandom() % mMirrors.size());
         break;
       default:
         Deliver();
     }
   }
 
-  void AskSource(std::size_t aWho)
+  void RequestFromSource(std::size_t aInstance)
   {
-    if (mCutOff[aWho]) {
+    if (mPartitioned[aInstance]) {
       return;
     }
-    const item_mirror& its = mSubjects[aWho];
-    if (its.Listed() && mRandom() % 3 != 0) {
-      mOnTheWay.push_back(
-        { aWho, part{ mSource.After(its.At()) }, mSource.At() });
+    const item_mirror& mirror = mMirrors[aInstance];
+    if (mirror.Listed() && mRandom() % 3 != 0) {
+      mInTransit.push_back({ aInstance,
+                             delta{ mSource.ChangesAfter(mirror.Revision()) },
+                             mSource.Revision() });
       return;
     }
-    whole listing;
-    for (const auto& [key, item] : mSource.Then(mSource.At())) {
+    full_copy listing;
+    for (const auto& [key, item] : mSource.StateAt(mSource.Revision())) {
       listing.mItems.push_back({ key, item.first, item.second });
     }
-    mOnTheWay.push_back({ aWho, std::move(listing), mSource.At() });
+    mInTransit.push_back({ aInstance, std::move(listing), mSource.Revision() });
   }
 
-  void AskPeer(std::size_t aWho, std::size_t aPeer)
+  void RequestFromPeer(std::size_t aInstance, std::size_t aPeer)
   {
-    const item_mirror& peer = mSubjects[aPeer];
-    const item_mirror& its = mSubjects[aWho];
-    if (!peer.Listed() || peer.At() <= its.At()) {
+    const item_mirror& peer = mMirrors[aPeer];
+    const item_mirror& mirror = mMirrors[aInstance];
+    if (!peer.Listed() || peer.Revision() <= mirror.Revision()) {
       return;
     }
-    const auto since = its.Listed() ? peer.Since(its.At()) : std::nullopt;
+    const auto since =
+      mirror.Listed() ? peer.ChangesSince(mirror.Revision()) : std::nullopt;
     if (since) {
-      mOnTheWay.push_back({ aWho, part{ *since, its.At() }, peer.At() });
+      mInTransit.push_back(
+        { aInstance, delta{ *since, mirror.Revision() }, peer.Revision() });
     } else {
-      mOnTheWay.push_back({ aWho, whole{ peer.Items() }, peer.At() });
+      mInTransit.push_back(
+        { aInstance, full_copy{ peer.Items() }, peer.Revision() });
     }
   }
 
   void Deliver()
   {
-    if (mOnTheWay.empty()) {
+    if (mInTransit.empty()) {
       return;
     }
-    const std::size_t which = mRandom() % mOnTheWay.size();
-    const message taken = mOnTheWay[which];
-    mOnTheWay.erase(mOnTheWay.begin() + static_cast<std::ptrdiff_t>(which));
-    item_mirror& its = mSubjects[taken.mTo];
-    const std::uint64_t before = its.At();
-    if (const auto* listing = std::get_if<whole>(&taken.mWhat)) {
-      its.OnListing(listing->mItems, taken.mAt);
+    const std::size_t index = mRandom() % mInTransit.size();
+    const message delivered = mInTransit[index];
+    mInTransit.erase(mInTransit.begin() + static_cast<std::ptrdiff_t>(index));
+    item_mirror& mirror = mMirrors[delivered.mTo];
+    const std::uint64_t revisionBefore = mirror.Revision();
+    if (const auto* listing = std::get_if<full_copy>(&delivered.mContent)) {
+      mirror.OnListing(listing->mItems, delivered.mRevision);
     } else {
-      const part& changes = std::get<part>(taken.mWhat);
-      if (changes.mAsked) {
-        its.OnPeerChanges(changes.mChanges, *changes.mAsked, taken.mAt);
+      const delta& changes = std::get<delta>(delivered.mContent);
+      if (changes.mRequestedAfter) {
+        mirror.OnPeerChanges(
+          changes.mChanges, *changes.mRequestedAfter, delivered.mRevision);
       } else {
-        its.OnChanges(changes.mChanges, taken.mAt);
+        mirror.OnChanges(changes.mChanges, delivered.mRevision);
       }
     }
-    CHECK(its.At() >= before);
+    CHECK(mirror.Revision() >= revisionBefore);
   }
 
   // Each copy is what the source held at the copy's revision, all of it.
   void CheckAll() const
   {
-    for (const item_mirror& each : mSubjects) {
+    for (const item_mirror& each : mMirrors) {
       if (!each.Listed()) {
         continue;
       }
-      state held;
+      state content;
       for (const source_item& item : each.Items()) {
-        held[item.mKey] = { item.mValue, item.mRevision };
+        content[item.mKey] = { item.mValue, item.mRevision };
       }
-      CHECK(held == mSource.Then(each.At()));
+      CHECK(content == mSource.StateAt(each.Revision()));
     }
   }
 
   std::mt19937_64 mRandom;
-  source mSource;
-  std::vector<item_mirror> mSubjects;
-  std::vector<bool> mCutOff;
-  std::vector<message> mOnTheWay;
+  versioned_source mSource;
+  std::vector<item_mirror> mMirrors;
+  std::vector<bool> mPartitioned;
+  std::vector<message> mInTransit;
 };
 
 std::uint64_t
@@ -221,9 +229,9 @@
 {
   for (std::uint64_t seed = 1; seed <= Seeds(); ++seed) {
     CAPTURE(seed);
-    condition subject(seed);
-    subject.Run(300);
-    subject.Heal();
+    mirror_network network(seed);
+    network.Run(300);
+    network.HealAll();
   }
 }
 
--- a/thornhollow/discovery/call_round.h
+++ b/thornhollow/discovery/pending_calls.h
@@ -1,7 +1,7 @@
 // The calls to the source that are on their way beside each other: whether
 // another one is to be made, as nothing of an answer comes.
 //
-//   call_round round;
+//   pending_calls calls;
 //   round.OnSent(call, now);
 //   round.OnBytes(now);                  // for each part of an answer
 //   if (round.Overdue(now)) { ... make another call, OnSent again ... }
@@ -12,8 +12,8 @@
 // for. It shows as calls that are made beside each other until none of their
 // answers comes whole, as each has a smaller part of the link. So an answer
 // counts as overdue only while nothing of it comes.
-#ifndef THORNHOLLOW_DISCOVERY_CALL_ROUND_H_
-#define THORNHOLLOW_DISCOVERY_CALL_ROUND_H_
+#ifndef THORNHOLLOW_DISCOVERY_PENDING_CALLS_H_
+#define THORNHOLLOW_DISCOVERY_PENDING_CALLS_H_
 
 #include <optional>
 
@@ -22,21 +22,21 @@
 
 namespace thornhollow {
 
-struct call_round_settings
+struct pending_calls_settings
 {
   // A call isn't doubted before: answers take a few milliseconds.
-  duration mDoubtedAfter = Milliseconds(200);
+  duration mMinProbeAge = Milliseconds(200);
   // Between two parts of an answer: a lost packet comes again within.
-  duration mMostPause = Milliseconds(600);
+  duration mMaxPartGap = Milliseconds(600);
 
-  friend bool operator==(const call_round_settings&,
-                         const call_round_settings&) = default;
+  friend bool operator==(const pending_calls_settings&,
+                         const pending_calls_settings&) = default;
 };
 
-class call_round
+class pending_calls
 {
 public:
-  explicit call_round(const call_round_settings& aSettings = {})
+  explicit pending_calls(const pending_calls_settings& aSettings = {})
     : mSettings(aSettings)
   {
   }
@@ -44,33 +44,33 @@
   // A call was made beside those on their way.
   void OnSent(const source_call& aCall, time_point aNow);
   // A part of an answer to any of them came.
-  void OnBytes(time_point aNow) { mLastBytes = aNow; }
+  void OnBytes(time_point aNow) { mLastBytesAt = aNow; }
   // None of them counts any more.
-  void End();
+  void Clear();
 
   // Whether a call is on its way.
-  bool Open() const { return mNewest.has_value(); }
+  bool IsPending() const { return mNewest.has_value(); }
   // Whether a part of an answer came a moment ago.
-  bool Coming(time_point aNow) const;
+  bool IsReceiving(time_point aNow) const;
   // Whether the newest call's answer is overdue and nothing of any comes.
-  bool Overdue(time_point aNow) const;
+  bool IsOverdue(time_point aNow) const;
   // Whether a reason to doubt the calls on their way is one to make another.
-  bool MayBeDoubted(watch_doubt aWhy, time_point aNow) const;
+  bool AllowsProbe(suspicion_reason aReason, time_point aNow) const;
   // How long ago the newest was made; zero where none is on its way.
-  duration OpenFor(time_point aNow) const;
+  duration NewestCallAge(time_point aNow) const;
 
 private:
   struct newest_call
   {
     time_point mSentAt{};
-    time_point mOverdueAt{};
+    time_point mDueAt{};
   };
 
-  call_round_settings mSettings;
+  pending_calls_settings mSettings;
   std::optional<newest_call> mNewest;
-  std::optional<time_point> mLastBytes;
+  std::optional<time_point> mLastBytesAt;
 };
 
 } // namespace thornhollow
 
-#endif // THORNHOLLOW_DISCOVERY_CALL_ROUND_H_
+#endif // THORNHOLLOW_DISCOVERY_PENDING_CALLS_H_
--- /dev/null
+++ b/thornhollow/discovery/pending_calls_test.cc
@@ -0,0 +1,69 @@
+#include <doctest/doctest.h>
+
+#include "thornhollow/discovery/pending_calls.h"
+
+namespace thornhollow {
+namespace {
+
+struct calls_with_watch
+{
+  time_point mStart = time_point() + Seconds(10);
+  pending_calls mCalls;
+
+  calls_with_watch()
+  {
+    source_call watch;
+    watch.mList = false;
+    watch.mWait = Seconds(2);
+    watch.mResponseTimeout = Milliseconds(350);
+    watch.mIdleTimeout = Seconds(2);
+    mCalls.OnSent(watch, mStart);
+  }
+};
+
+TEST_CASE_FIXTURE(calls_with_watch, "call_round/nothing_comes/is_overdue")
+{
+  CHECK_FALSE(mCalls.IsOverdue(mStart + Milliseconds(2'340)));
+  CHECK(mCalls.IsOverdue(mStart + Milliseconds(2'350)));
+}
+
+// Guards against a document of hundreds of kilobytes that is asked for again
+// while it comes, and then comes twice as slowly.
+TEST_CASE_FIXTURE(calls_with_watch,
+                  "call_round/large_answer/its_transfer_is_waited_for")
+{
+  for (int each = 0; each < 100; ++each) {
+    const time_point now = mStart + Seconds(1) + each * Milliseconds(100);
+    mCalls.OnBytes(now);
+    CHECK_FALSE(mCalls.IsOverdue(now + Milliseconds(99)));
+    CHECK_FALSE(mCalls.AllowsProbe(suspicion_reason::kOtherCallFails,
+                                   now + Milliseconds(1)));
+  }
+}
+
+// Guards against waiting for an answer whose source fell silent in its middle.
+TEST_CASE_FIXTURE(calls_with_watch,
+                  "call_round/answer_that_stops/is_overdue_within_a_second")
+{
+  mCalls.OnBytes(mStart + Milliseconds(2'300));
+  CHECK_FALSE(mCalls.IsOverdue(mStart + Milliseconds(2'800)));
+  CHECK(mCalls.IsOverdue(mStart + Milliseconds(2'900)));
+}
+
+TEST_CASE_FIXTURE(calls_with_watch, "call_round/ended/nothing_is_overdue")
+{
+  mCalls.Clear();
+  CHECK_FALSE(mCalls.IsOverdue(mStart + Seconds(9)));
+  CHECK_FALSE(
+    mCalls.AllowsProbe(suspicion_reason::kPeerKnewFirst, mStart + Seconds(9)));
+}
+
+TEST_CASE_FIXTURE(calls_with_watch, "call_round/just_made/is_not_doubted")
+{
+  const time_point shortlyAfter = mStart + Milliseconds(100);
+  CHECK_FALSE(mCalls.AllowsProbe(suspicion_reason::kPeerFails, shortlyAfter));
+  CHECK(mCalls.AllowsProbe(suspicion_reason::kPeerKnewFirst, shortlyAfter));
+}
+
+} // namespace
+} // namespace thornhollow
--- a/thornhollow/discovery/source_follower.cc
+++ b/thornhollow/discovery/source_follower.cc
@@ -7,22 +7,22 @@
 namespace {
 
 void
-Append(std::vector<item_change> aNews, std::vector<item_change>& aTo)
+Append(std::vector<item_change> aChanges, std::vector<item_change>& aTo)
 {
-  std::ranges::move(aNews, std::back_inserter(aTo));
+  std::ranges::move(aChanges, std::back_inserter(aTo));
 }
 
 } // namespace
 
 std::string_view
-Name(watch_doubt aWhy)
+Name(suspicion_reason aReason)
 {
-  switch (aWhy) {
-    case watch_doubt::kOtherCallFails:
+  switch (aReason) {
+    case suspicion_reason::kOtherCallFails:
       return "other_call_fails";
-    case watch_doubt::kPeerFails:
+    case suspicion_reason::kPeerFails:
       return "peer_fails";
-    case watch_doubt::kPeerKnewFirst:
+    case suspicion_reason::kPeerKnewFirst:
       return "peer_knew_first";
   }
   return "unknown";
@@ -32,8 +32,8 @@
                                  std::uint64_t aSeed)
   : mSettings(aSettings)
   , mRandom(aSeed)
-  , mPause(aSettings.mFirstPause)
-  , mLongestDelay(aSettings.mFirstDelay)
+  , mBackoff(aSettings.mInitialBackoff)
+  , mMaxRecentDelay(aSettings.mInitialDelay)
 {
 }
 
@@ -42,12 +42,12 @@
 {
   source_call call;
   call.mList = mMustList || !aMirror.Listed();
-  call.mAfter = aMirror.At();
+  call.mAfter = aMirror.Revision();
   if (!call.mList) {
-    call.mWait = Failing() || mProbing ? mSettings.mProbeWait : LongWait();
+    call.mWait = Failing() || mProbing ? mSettings.mProbeWait : WatchWait();
   }
-  call.mPatience = Patience();
-  call.mLimit = mSettings.mLimit;
+  call.mResponseTimeout = ResponseTimeout();
+  call.mIdleTimeout = mSettings.mIdleTimeout;
   return call;
 }
 
@@ -57,77 +57,79 @@
   // One answer may be late; the next one, to a call that need not wait, tells
   // whether the source answers at all.
   if (mProbing || Failing()) {
-    NoteFailure(aNow);
+    RecordFailure(aNow);
   }
   mProbing = true;
   return Start(aMirror);
 }
 
 std::optional<source_call>
-source_follower::OnDoubt(watch_doubt aWhy,
-                         const item_mirror& aMirror,
-                         time_point aNow)
+source_follower::OnSuspected(suspicion_reason aReason,
+                             const item_mirror& aMirror,
+                             time_point aNow)
 {
   if (Failing() || mProbing) {
     return std::nullopt;
   }
-  if (aWhy != watch_doubt::kPeerKnewFirst) {
-    const duration every = aWhy == watch_doubt::kPeerFails
-                             ? mSettings.mDoubtPeersEvery
-                             : mSettings.mDoubtOwnEvery;
-    const bool fresh = mAnswered && aNow - *mAnswered < mSettings.mOutageAfter;
-    if (fresh || (mDoubted && aNow - *mDoubted < every)) {
+  if (aReason != suspicion_reason::kPeerKnewFirst) {
+    const duration interval = aReason == suspicion_reason::kPeerFails
+                                ? mSettings.mPeerProbeInterval
+                                : mSettings.mOwnProbeInterval;
+    const bool fresh =
+      mLastAnswer && aNow - *mLastAnswer < mSettings.mOutageThreshold;
+    if (fresh || (mLastProbe && aNow - *mLastProbe < interval)) {
       return std::nullopt;
     }
   }
-  mDoubted = aNow;
+  mLastProbe = aNow;
   mProbing = true;
   return Start(aMirror);
 }
 
 void
-source_follower::SetTurn(const watch_turn& aTurn)
+source_follower::SetStagger(const watch_stagger& aStagger)
 {
-  if (mTurn != aTurn) {
-    mTurn = aTurn;
-    mInTurn = false;
+  if (mStagger != aStagger) {
+    mStagger = aStagger;
+    mIsStaggered = false;
   }
 }
 
 void
-source_follower::NoteDelay(duration aDelay)
+source_follower::RecordDelay(duration aDelay)
 {
   // One answer that was late by far doesn't make the next ones be waited for.
-  mLongestDelay =
-    std::max(std::min(aDelay, mSettings.mMostPatience), mLongestDelay / 2);
+  mMaxRecentDelay = std::max(std::min(aDelay, mSettings.mMaxResponseTimeout),
+                             mMaxRecentDelay / 2);
 }
 
 // What ends all instances' watches at once, such as news, begins them together
 // too: each then waits until its place, and the whole round from there on.
 duration
-source_follower::LongWait() const
+source_follower::WatchWait() const
 {
   const std::size_t turns = std::clamp<std::size_t>(
-    mTurn.mOf, 1, std::max<std::size_t>(mSettings.mMostTurns, 1));
-  const double until =
-    mInTurn ? static_cast<double>(turns)
-            : static_cast<double>(mTurn.mPlace % turns) + mTurn.mPhase;
-  return FromSeconds(ToSeconds(mSettings.mTurnEvery) * until);
+    mStagger.mCount, 1, std::max<std::size_t>(mSettings.mMaxStaggerSlots, 1));
+  const double slots =
+    mIsStaggered
+      ? static_cast<double>(turns)
+      : static_cast<double>(mStagger.mIndex % turns) + mStagger.mPhase;
+  return FromSeconds(ToSeconds(mSettings.mStaggerInterval) * slots);
 }
 
 duration
-source_follower::Patience()
+source_follower::ResponseTimeout()
 {
   if (Failing()) {
-    const duration all =
-      mSettings.mAskEveryForEach * static_cast<std::int64_t>(mTurn.mOf);
-    const duration every =
-      std::clamp(all, mSettings.mLeastAskEvery, mSettings.mMostAskEvery);
-    return FromSeconds(ToSeconds(every) * Jitter());
+    const duration total = mSettings.mRetryIntervalPerInstance *
+                           static_cast<std::int64_t>(mStagger.mCount);
+    const duration interval = std::clamp(
+      total, mSettings.mMinRetryInterval, mSettings.mMaxRetryInterval);
+    return FromSeconds(ToSeconds(interval) * Jitter());
   }
-  return std::clamp(mLongestDelay + mSettings.mPatienceMargin,
-                    mSettings.mLeastPatience,
-                    mSettings.mMostPatience);
+  return std::clamp(mMaxRecentDelay + mSettings.mTimeoutMargin,
+                    mSettings.mMinResponseTimeout,
+                    mSettings.mMaxResponseTimeout);
 }
 
 double
@@ -139,41 +141,41 @@
 source_call
 source_follower::OnListed(const list_outcome& aOutcome,
                           item_mirror& aMirror,
-                          std::vector<item_change>& aNews,
+                          std::vector<item_change>& aChanges,
                           time_point aNow)
 {
   const auto* listing = std::get_if<source_listing>(&aOutcome);
   if (listing == nullptr) {
     return AfterFailure(aMirror, aNow);
   }
-  Append(aMirror.OnListing(listing->mItems, listing->mAt), aNews);
+  Append(aMirror.OnListing(listing->mItems, listing->mRevision), aChanges);
   mMustList = false;
-  mInTurn = false;
-  NoteAnswer(aNow);
+  mIsStaggered = false;
+  RecordAnswer(aNow);
   return Start(aMirror);
 }
 
 source_call
 source_follower::OnWatched(const watch_outcome& aOutcome,
                            item_mirror& aMirror,
-                           std::vector<item_change>& aNews,
+                           std::vector<item_change>& aChanges,
                            time_point aNow)
 {
   if (std::holds_alternative<source_failure>(aOutcome)) {
     return AfterFailure(aMirror, aNow);
   }
-  const std::size_t before = aNews.size();
-  const bool probed = mProbing || Failing();
+  const std::size_t changesBefore = aChanges.size();
+  const bool wasProbing = mProbing || Failing();
   if (const auto* changes = std::get_if<source_changes>(&aOutcome)) {
-    Append(aMirror.OnChanges(changes->mChanges, changes->mAt), aNews);
+    Append(aMirror.OnChanges(changes->mChanges, changes->mRevision), aChanges);
   } else {
     mMustList = true;
   }
-  NoteAnswer(aNow);
-  mInTurn = !probed && !mMustList && aNews.size() == before;
+  RecordAnswer(aNow);
+  mIsStaggered = !wasProbing && !mMustList && aChanges.size() == changesBefore;
   source_call next = Start(aMirror);
-  if (!next.mList && aNews.size() > before) {
-    next.mPause = mSettings.mGather;
+  if (!next.mList && aChanges.size() > changesBefore) {
+    next.mSendDelay = mSettings.mCoalesceDelay;
   }
   return next;
 }
@@ -181,21 +183,21 @@
 bool
 source_follower::InOutage(time_point aNow) const
 {
-  return mFailingSince && aNow - *mFailingSince >= mSettings.mOutageAfter;
+  return mFailingSince && aNow - *mFailingSince >= mSettings.mOutageThreshold;
 }
 
 source_call
 source_follower::AfterFailure(const item_mirror& aMirror, time_point aNow)
 {
-  NoteFailure(aNow);
+  RecordFailure(aNow);
   source_call next = Start(aMirror);
-  next.mPause = FromSeconds(ToSeconds(mPause) * Jitter());
-  mPause = std::min(mPause * 2, mSettings.mLongestPause);
+  next.mSendDelay = FromSeconds(ToSeconds(mBackoff) * Jitter());
+  mBackoff = std::min(mBackoff * 2, mSettings.mMaxBackoff);
   return next;
 }
 
 void
-source_follower::NoteFailure(time_point aNow)
+source_follower::RecordFailure(time_point aNow)
 {
   if (!mFailingSince) {
     mFailingSince = aNow;
@@ -206,18 +208,18 @@
 }
 
 void
-source_follower::NoteAnswer(time_point aNow)
+source_follower::RecordAnswer(time_point aNow)
 {
-  mAnswered = aNow;
-  EndFailing();
+  mLastAnswer = aNow;
+  ClearFailure();
 }
 
 void
-source_follower::EndFailing()
+source_follower::ClearFailure()
 {
   mProbing = false;
   mFailingSince.reset();
-  mPause = mSettings.mFirstPause;
+  mBackoff = mSettings.mInitialBackoff;
 }
 
 } // namespace thornhollow
--- a/thornhollow/discovery/source_follower.h
+++ b/thornhollow/discovery/source_follower.h
@@ -40,20 +40,20 @@
 namespace thornhollow {
 
 // Which of the instances that ask the source in a failure domain this one is.
-struct watch_turn
+struct watch_stagger
 {
   // From 0, each once, and how many they are.
-  std::size_t mPlace = 0;
-  std::size_t mOf = 1;
+  std::size_t mIndex = 0;
+  std::size_t mCount = 1;
   // Above 0, 1 at the most: the domain's part of a turn, so that the domains
   // don't ask at the same moment either.
   double mPhase = 1;
 
-  friend bool operator==(const watch_turn&, const watch_turn&) = default;
+  friend bool operator==(const watch_stagger&, const watch_stagger&) = default;
 };
 
 // Why an open watch may never be answered.
-enum class watch_doubt : std::uint8_t
+enum class suspicion_reason : std::uint8_t
 {
   // A call of the same process for other items is overdue or failed.
   kOtherCallFails,
@@ -66,7 +66,7 @@
 
 // For logs.
 std::string_view
-Name(watch_doubt aWhy);
+Name(suspicion_reason aReason);
 
 struct source_follower_settings
 {
@@ -74,42 +74,42 @@
   // source publishes must be in force two seconds after an outage's end or so,
   // and a call may take a moment: less than half a second leaves room for one
   // refusal more.
-  duration mFirstPause = Milliseconds(100);
-  duration mLongestPause = Milliseconds(400);
+  duration mInitialBackoff = Milliseconds(100);
+  duration mMaxBackoff = Milliseconds(400);
   // Between a watch that told of something and the next, so that what follows
   // comes in one answer: engines that join one after the other would be a call
   // each for every instance. News that stands alone isn't delayed; other news
   // by an eighth at most of the two seconds in which it must be known.
-  duration mGather = Milliseconds(250);
+  duration mCoalesceDelay = Milliseconds(250);
   // Failing for so long counts as an outage; a shorter one is a cut connection
   // or a refusal of one call, in which no lease lapses.
-  duration mOutageAfter = Seconds(1);
+  duration mOutageThreshold = Seconds(1);
   // A watch of each domain ends so often. Half of the time in which a change
   // must be in force: the rest is for a late answer and for telling peers.
-  duration mTurnEvery = Seconds(1);
+  duration mStaggerInterval = Seconds(1);
   // A watch waits no longer than so many turns.
-  std::size_t mMostTurns = 20;
+  std::size_t mMaxStaggerSlots = 20;
   // A watch that is only to show whether the source answers.
   duration mProbeWait = Milliseconds(1);
   // An answer is overdue so much later than the longest delay seen lately,
   // within bounds.
-  duration mPatienceMargin = Milliseconds(100);
-  duration mLeastPatience = Milliseconds(150);
-  duration mMostPatience = Milliseconds(600);
+  duration mTimeoutMargin = Milliseconds(100);
+  duration mMinResponseTimeout = Milliseconds(150);
+  duration mMaxResponseTimeout = Milliseconds(600);
   // While the source fails: between calls, for each instance of the domain,
   // within bounds. A large fleet's calls stay below what the source bears.
-  duration mAskEveryForEach = Milliseconds(50);
-  duration mLeastAskEvery = Milliseconds(400);
-  duration mMostAskEvery = Seconds(1);
+  duration mRetryIntervalPerInstance = Milliseconds(50);
+  duration mMinRetryInterval = Milliseconds(400);
+  duration mMaxRetryInterval = Seconds(1);
   // Taken for the longest delay before any was seen.
-  duration mFirstDelay = Milliseconds(250);
+  duration mInitialDelay = Milliseconds(250);
   // An answer of which nothing came for so long after it was due, or after its
   // last part, isn't waited for.
-  duration mLimit = Seconds(2);
+  duration mIdleTimeout = Seconds(2);
   // Between two calls for which the doubt is the same process' other call, or a
   // peer's failure: many instances hear of that, for seconds.
-  duration mDoubtOwnEvery = Seconds(1);
-  duration mDoubtPeersEvery = Seconds(3);
+  duration mOwnProbeInterval = Seconds(1);
+  duration mPeerProbeInterval = Seconds(3);
 
   friend bool operator==(const source_follower_settings&,
                          const source_follower_settings&) = default;
@@ -121,14 +121,14 @@
   // A listing, or a watch after `mAfter`.
   bool mList = true;
   std::uint64_t mAfter = 0;
-  duration mPause{};
+  duration mSendDelay{};
   // How long a watch waits for changes; zero for a listing.
   duration mWait{};
   // Where nothing of the answer came after that long beyond the wait it is
   // overdue, and `OnOverdue` is to be called; it is still taken up to the
-  // limit. See `call_round`.
-  duration mPatience{};
-  duration mLimit{};
+  // limit. See `pending_calls`.
+  duration mResponseTimeout{};
+  duration mIdleTimeout{};
 
   friend bool operator==(const source_call&, const source_call&) = default;
 };
@@ -147,31 +147,31 @@
   source_call OnOverdue(const item_mirror& aMirror, time_point aNow);
   // The call to make beside a watch on its way that may never be answered;
   // nothing where that would tell no more than what is known.
-  std::optional<source_call> OnDoubt(watch_doubt aWhy,
-                                     const item_mirror& aMirror,
-                                     time_point aNow);
+  std::optional<source_call> OnSuspected(suspicion_reason aReason,
+                                         const item_mirror& aMirror,
+                                         time_point aNow);
   // This instance's turn among those that ask the source.
-  void SetTurn(const watch_turn& aTurn);
+  void SetStagger(const watch_stagger& aStagger);
   // An answer came so long after it was due: what later ones are allowed.
-  void NoteDelay(duration aDelay);
+  void RecordDelay(duration aDelay);
 
   // Takes the answer into `aMirror`, appends what changed to `aNews`, and
   // returns the next call.
   source_call OnListed(const list_outcome& aOutcome,
                        item_mirror& aMirror,
-                       std::vector<item_change>& aNews,
+                       std::vector<item_change>& aChanges,
                        time_point aNow);
   source_call OnWatched(const watch_outcome& aOutcome,
                         item_mirror& aMirror,
-                        std::vector<item_change>& aNews,
+                        std::vector<item_change>& aChanges,
                         time_point aNow);
 
   // The source isn't asked from here any more: what it last did says nothing.
-  void StopAsking() { EndFailing(); }
+  void StopReading() { ClearFailure(); }
 
   // When the source last answered; what a peer told doesn't count. Nothing
   // before the first answer.
-  std::optional<time_point> Answered() const { return mAnswered; }
+  std::optional<time_point> LastAnswer() const { return mLastAnswer; }
 
   // The source has failed for longer than a moment.
   bool InOutage(time_point aNow) const;
@@ -179,28 +179,28 @@
   bool Failing() const { return mFailingSince.has_value(); }
 
 private:
-  duration LongWait() const;
-  duration Patience();
+  duration WatchWait() const;
+  duration ResponseTimeout();
   double Jitter();
   source_call AfterFailure(const item_mirror& aMirror, time_point aNow);
-  void NoteFailure(time_point aNow);
-  void NoteAnswer(time_point aNow);
-  void EndFailing();
+  void RecordFailure(time_point aNow);
+  void RecordAnswer(time_point aNow);
+  void ClearFailure();
 
   source_follower_settings mSettings;
   std::mt19937_64 mRandom;
   std::optional<time_point> mFailingSince;
-  std::optional<time_point> mAnswered;
-  duration mPause;
-  watch_turn mTurn;
+  std::optional<time_point> mLastAnswer;
+  duration mBackoff;
+  watch_stagger mStagger;
   // The last watch waited its whole turn in vain and the turn is the same.
-  bool mInTurn = false;
+  bool mIsStaggered = false;
   // The next watch is a short one.
   bool mProbing = false;
   // The last call that a doubt brought.
-  std::optional<time_point> mDoubted;
+  std::optional<time_point> mLastProbe;
   // Of the answers seen lately, the older the less it counts.
-  duration mLongestDelay;
+  duration mMaxRecentDelay;
   // The source forgot what the mirror is to be continued with, or was away.
   bool mMustList = false;
 };
--- a/thornhollow/discovery/source_follower_test.cc
+++ b/thornhollow/discovery/source_follower_test.cc
@@ -9,107 +9,109 @@
 namespace thornhollow {
 namespace {
 
-struct follower_after_a_listing
+struct follower_after_listing
 {
   source_follower mFollower{ source_follower_settings{}, 1 };
   item_mirror mMirror;
-  std::vector<item_change> mNews;
+  std::vector<item_change> mChanges;
   time_point mNow = time_point() + Seconds(10);
   source_call mNext;
 
-  follower_after_a_listing()
+  follower_after_listing()
   {
     mNext = mFollower.OnListed(
-      source_listing{ { { "a", "1", 5 } }, 10 }, mMirror, mNews, mNow);
-    mNews.clear();
+      source_listing{ { { "a", "1", 5 } }, 10 }, mMirror, mChanges, mNow);
+    mChanges.clear();
   }
 };
 
-TEST_CASE_FIXTURE(follower_after_a_listing,
+TEST_CASE_FIXTURE(follower_after_listing,
                   "source_follower/listed/watches_from_there")
 {
   CHECK_FALSE(mNext.mList);
   CHECK(mNext.mAfter == 10);
-  CHECK(mNext.mPause == duration::zero());
+  CHECK(mNext.mSendDelay == duration::zero());
   mNext = mFollower.OnWatched(
-    source_changes{ { { "a", "2", 12 } }, 12 }, mMirror, mNews, mNow);
+    source_changes{ { { "a", "2", 12 } }, 12 }, mMirror, mChanges, mNow);
   CHECK(mNext.mAfter == 12);
-  CHECK(mNews.size() == 1);
+  CHECK(mChanges.size() == 1);
 }
 
 // Ninety engines came up one after the other, and each of ninety instances made
 // a call for each of them.
-TEST_CASE_FIXTURE(follower_after_a_listing,
+TEST_CASE_FIXTURE(follower_after_listing,
                   "source_follower/news/what_follows_is_gathered")
 {
   mNext = mFollower.OnWatched(
-    source_changes{ { { "a", "2", 12 } }, 12 }, mMirror, mNews, mNow);
-  CHECK(mNext.mPause == Milliseconds(250));
+    source_changes{ { { "a", "2", 12 } }, 12 }, mMirror, mChanges, mNow);
+  CHECK(mNext.mSendDelay == Milliseconds(250));
   // A watch that waited in vain is made again at once.
-  mNext = mFollower.OnWatched(source_changes{ {}, 15 }, mMirror, mNews, mNow);
-  CHECK(mNext.mPause == duration::zero());
+  mNext =
+    mFollower.OnWatched(source_changes{ {}, 15 }, mMirror, mChanges, mNow);
+  CHECK(mNext.mSendDelay == duration::zero());
   // What was missed is never waited for.
-  mNext = mFollower.OnWatched(history_gone{}, mMirror, mNews, mNow);
+  mNext = mFollower.OnWatched(history_gone{}, mMirror, mChanges, mNow);
   CHECK(mNext.mList);
   CHECK(mNext.mAfter == 15);
-  CHECK(mNext.mPause == duration::zero());
+  CHECK(mNext.mSendDelay == duration::zero());
 }
 
-TEST_CASE_FIXTURE(follower_after_a_listing,
+TEST_CASE_FIXTURE(follower_after_listing,
                   "source_follower/history_gone/lists_anew_until_it_succeeds")
 {
   // An endpoint that left while the source dropped its history gets requests
   // for ever: the watch goes on after the gap and never tells of it.
-  mNext = mFollower.OnWatched(history_gone{}, mMirror, mNews, mNow);
+  mNext = mFollower.OnWatched(history_gone{}, mMirror, mChanges, mNow);
   CHECK(mNext.mList);
-  mNext = mFollower.OnListed(source_failure{ "503" }, mMirror, mNews, mNow);
+  mNext = mFollower.OnListed(source_failure{ "503" }, mMirror, mChanges, mNow);
   CHECK(mNext.mList);
-  mNext = mFollower.OnListed(source_listing{ {}, 20 }, mMirror, mNews, mNow);
+  mNext = mFollower.OnListed(source_listing{ {}, 20 }, mMirror, mChanges, mNow);
   CHECK_FALSE(mNext.mList);
-  REQUIRE(mNews.size() == 1);
-  CHECK_FALSE(mNews[0].mValue.has_value());
+  REQUIRE(mChanges.size() == 1);
+  CHECK_FALSE(mChanges[0].mValue.has_value());
 }
 
-TEST_CASE_FIXTURE(follower_after_a_listing,
+TEST_CASE_FIXTURE(follower_after_listing,
                   "source_follower/failures/come_further_apart_up_to_a_bound")
 {
-  duration sum{};
+  duration totalDelay{};
   for (int call = 0; call < 10; ++call) {
-    mNext = mFollower.OnWatched(source_failure{}, mMirror, mNews, mNow);
-    CHECK(mNext.mPause <= Milliseconds(625));
-    sum += mNext.mPause;
+    mNext = mFollower.OnWatched(source_failure{}, mMirror, mChanges, mNow);
+    CHECK(mNext.mSendDelay <= Milliseconds(625));
+    totalDelay += mNext.mSendDelay;
   }
-  CHECK(sum > Seconds(3));
-  mNext = mFollower.OnWatched(source_changes{ {}, 10 }, mMirror, mNews, mNow);
-  CHECK(mNext.mPause == duration::zero());
+  CHECK(totalDelay > Seconds(3));
+  mNext =
+    mFollower.OnWatched(source_changes{ {}, 10 }, mMirror, mChanges, mNow);
+  CHECK(mNext.mSendDelay == duration::zero());
 }
 
-TEST_CASE_FIXTURE(follower_after_a_listing,
+TEST_CASE_FIXTURE(follower_after_listing,
                   "source_follower/outage_over/is_seen_by_a_listing_at_once")
 {
   // An endpoint that left after an outage got work for two seconds more: the
   // source had been back for ten, but the watch had not answered yet, so that
   // the entry was taken for one that had lapsed.
-  mFollower.OnWatched(source_failure{}, mMirror, mNews, mNow);
+  mFollower.OnWatched(source_failure{}, mMirror, mChanges, mNow);
   CHECK_FALSE(
     mFollower
-      .OnWatched(source_failure{}, mMirror, mNews, mNow + Milliseconds(500))
+      .OnWatched(source_failure{}, mMirror, mChanges, mNow + Milliseconds(500))
       .mList);
   mNext = mFollower.OnWatched(
-    source_failure{}, mMirror, mNews, mNow + Milliseconds(1500));
+    source_failure{}, mMirror, mChanges, mNow + Milliseconds(1500));
   CHECK(mNext.mList);
   mFollower.OnListed(source_listing{ { { "a", "1", 5 } }, 10 },
                      mMirror,
-                     mNews,
+                     mChanges,
                      mNow + Seconds(2));
   CHECK_FALSE(mFollower.Failing());
-  CHECK(mNews.empty());
+  CHECK(mChanges.empty());
 }
 
-TEST_CASE_FIXTURE(follower_after_a_listing,
+TEST_CASE_FIXTURE(follower_after_listing,
                   "source_follower/one_failure/is_no_outage_a_second_of_it_is")
 {
-  mFollower.OnWatched(source_failure{}, mMirror, mNews, mNow);
+  mFollower.OnWatched(source_failure{}, mMirror, mChanges, mNow);
   CHECK(mFollower.Failing());
   CHECK_FALSE(mFollower.InOutage(mNow + Milliseconds(900)));
   CHECK(mFollower.InOutage(mNow + Milliseconds(1000)));
@@ -118,67 +120,71 @@
 // The source fell silent for six seconds. All watches hung, were given up
 // within the silence and asked again into it, each for 22 s; the source had
 // been back for 12 s when a configuration came into force, everywhere at once.
-struct eight_followers_of_a_silent_source
+struct eight_followers_of_unresponsive_source
 {
-  static constexpr int kFollowers = 8;
+  static constexpr int kFollowerCount = 8;
 
-  struct one
+  struct followed_source
   {
     source_follower mFollower;
     item_mirror mMirror;
     source_call mCall;
-    time_point mEnds{};
+    time_point mEndsAt{};
     // The source will answer when the call ends, else it is overdue then.
-    bool mAnswered = true;
+    bool mWillAnswer = true;
   };
 
-  std::vector<one> mAll;
+  std::vector<followed_source> mFollowers;
   time_point mStart = time_point() + Seconds(100);
 
-  explicit eight_followers_of_a_silent_source(std::uint64_t aSeed)
+  explicit eight_followers_of_unresponsive_source(std::uint64_t aSeed)
   {
-    for (int each = 0; each < kFollowers; ++each) {
-      mAll.push_back(
+    for (int each = 0; each < kFollowerCount; ++each) {
+      mFollowers.push_back(
         { source_follower(source_follower_settings{}, aSeed * 100 + each),
           {},
           {},
           {} });
-      one& its = mAll.back();
-      std::vector<item_change> news;
-      its.mFollower.SetTurn({ static_cast<std::size_t>(each), kFollowers, 1 });
-      its.mCall = its.mFollower.OnListed(
-        source_listing{ {}, 10 }, its.mMirror, news, mStart);
+      followed_source& added = mFollowers.back();
+      std::vector<item_change> changes;
+      added.mFollower.SetStagger(
+        { static_cast<std::size_t>(each), kFollowerCount, 1 });
+      added.mCall = added.mFollower.OnListed(
+        source_listing{ {}, 10 }, added.mMirror, changes, mStart);
     }
   }
 
   // When somebody hears from the source what was written at `aWritten`, the
   // source being silent from `aFrom` until `aUntil`.
-  time_point Heard(time_point aFrom, time_point aUntil, time_point aWritten)
+  time_point FirstObserved(time_point aOutageStart,
+                           time_point aOutageEnd,
+                           time_point aWrittenAt)
   {
-    for (one& each : mAll) {
-      Begin(each, mStart, aFrom, aUntil);
+    for (followed_source& each : mFollowers) {
+      Begin(each, mStart, aOutageStart, aOutageEnd);
     }
     for (time_point now = mStart; now < mStart + Seconds(60);
          now += Milliseconds(10)) {
-      bool fails = false;
-      for (one& each : mAll) {
-        fails = fails || each.mFollower.Failing();
-        const bool open = each.mAnswered && now >= each.mEnds - Waits(each);
-        if (now >= aWritten && open) {
+      bool anyFails = false;
+      for (followed_source& each : mFollowers) {
+        anyFails = anyFails || each.mFollower.Failing();
+        const bool isOpen =
+          each.mWillAnswer && now >= each.mEndsAt - WaitTime(each);
+        if (now >= aWrittenAt && isOpen) {
           return now;
         }
-        if (now >= each.mEnds) {
-          End(each, now, aFrom, aUntil);
+        if (now >= each.mEndsAt) {
+          End(each, now, aOutageStart, aOutageEnd);
         }
       }
-      for (one& each : mAll) {
+      for (followed_source& each : mFollowers) {
         const auto probe =
-          fails
-            ? each.mFollower.OnDoubt(watch_doubt::kPeerFails, each.mMirror, now)
-            : std::nullopt;
+          anyFails ? each.mFollower.OnSuspected(
+                       suspicion_reason::kPeerFails, each.mMirror, now)
+                   : std::nullopt;
         if (probe) {
           each.mCall = *probe;
-          Begin(each, now, aFrom, aUntil);
+          Begin(each, now, aOutageStart, aOutageEnd);
         }
       }
     }
@@ -186,36 +192,40 @@
   }
 
 private:
-  static duration Waits(const one& aOne)
+  static duration WaitTime(const followed_source& aFollower)
   {
-    return aOne.mCall.mList ? duration::zero() : aOne.mCall.mWait;
+    return aFollower.mCall.mList ? duration::zero() : aFollower.mCall.mWait;
   }
 
-  static void Begin(one& aOne,
+  static void Begin(followed_source& aFollower,
                     time_point aNow,
-                    time_point aFrom,
-                    time_point aTo)
+                    time_point aOutageStart,
+                    time_point aOutageEnd)
   {
-    const time_point asked = aNow + aOne.mCall.mPause;
-    const time_point due = asked + Waits(aOne);
-    aOne.mAnswered =
-      (asked < aFrom || asked >= aTo) && !(asked < aFrom && due >= aFrom);
-    aOne.mEnds = aOne.mAnswered ? due : due + aOne.mCall.mPatience;
+    const time_point sentAt = aNow + aFollower.mCall.mSendDelay;
+    const time_point dueAt = sentAt + WaitTime(aFollower);
+    aFollower.mWillAnswer = (sentAt < aOutageStart || sentAt >= aOutageEnd) &&
+                            !(sentAt < aOutageStart && dueAt >= aOutageStart);
+    aFollower.mEndsAt =
+      aFollower.mWillAnswer ? dueAt : dueAt + aFollower.mCall.mResponseTimeout;
   }
 
-  static void End(one& aOne, time_point aNow, time_point aFrom, time_point aTo)
+  static void End(followed_source& aFollower,
+                  time_point aNow,
+                  time_point aOutageStart,
+                  time_point aOutageEnd)
   {
-    std::vector<item_change> news;
-    if (!aOne.mAnswered) {
-      aOne.mCall = aOne.mFollower.OnOverdue(aOne.mMirror, aNow);
-    } else if (aOne.mCall.mList) {
-      aOne.mCall = aOne.mFollower.OnListed(
-        source_listing{ {}, 10 }, aOne.mMirror, news, aNow);
+    std::vector<item_change> changes;
+    if (!aFollower.mWillAnswer) {
+      aFollower.mCall = aFollower.mFollower.OnOverdue(aFollower.mMirror, aNow);
+    } else if (aFollower.mCall.mList) {
+      aFollower.mCall = aFollower.mFollower.OnListed(
+        source_listing{ {}, 10 }, aFollower.mMirror, changes, aNow);
     } else {
-      aOne.mCall = aOne.mFollower.OnWatched(
-        source_changes{ {}, 10 }, aOne.mMirror, news, aNow);
+      aFollower.mCall = aFollower.mFollower.OnWatched(
+        source_changes{ {}, 10 }, aFollower.mMirror, changes, aNow);
     }
-    Begin(aOne, aNow, aFrom, aTo);
+    Begin(aFollower, aNow, aOutageStart, aOutageEnd);
   }
 };
 
@@ -224,90 +234,92 @@
 {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     CAPTURE(seed);
-    eight_followers_of_a_silent_source condition(seed);
-    const time_point back = condition.mStart + Seconds(13);
-    const time_point written = back + Milliseconds(890);
+    eight_followers_of_unresponsive_source subject(seed);
+    const time_point recovered = subject.mStart + Seconds(13);
+    const time_point written = recovered + Milliseconds(890);
     const time_point result =
-      condition.Heard(condition.mStart + Seconds(7), back, written);
+      subject.FirstObserved(subject.mStart + Seconds(7), recovered, written);
     CHECK(result - written < Seconds(1));
   }
 }
 
-TEST_CASE_FIXTURE(follower_after_a_listing,
+TEST_CASE_FIXTURE(follower_after_listing,
                   "source_follower/peer_fails/is_asked_anew_once_in_a_while")
 {
   mNow += Seconds(2);
-  const auto doubt = [this](duration aLater) {
-    return mFollower.OnDoubt(watch_doubt::kPeerFails, mMirror, mNow + aLater);
+  const auto suspect = [this](duration aDelay) {
+    return mFollower.OnSuspected(
+      suspicion_reason::kPeerFails, mMirror, mNow + aDelay);
   };
-  const auto result = doubt(duration::zero());
+  const auto result = suspect(duration::zero());
   REQUIRE(result.has_value());
   CHECK(result->mWait <= Milliseconds(500));
-  CHECK(result->mPatience <= Milliseconds(500));
-  CHECK_FALSE(doubt(Seconds(1)));
+  CHECK(result->mResponseTimeout <= Milliseconds(500));
+  CHECK_FALSE(suspect(Seconds(1)));
   // Answered, it is still not asked again for a while.
-  mFollower.OnWatched(source_changes{ {}, 10 }, mMirror, mNews, mNow);
-  CHECK_FALSE(doubt(Milliseconds(2'900)));
-  CHECK(doubt(Seconds(3)));
+  mFollower.OnWatched(source_changes{ {}, 10 }, mMirror, mChanges, mNow);
+  CHECK_FALSE(suspect(Milliseconds(2'900)));
+  CHECK(suspect(Seconds(3)));
   // Its own answer says more than a peer's failure.
   mFollower.OnWatched(
-    source_changes{ {}, 10 }, mMirror, mNews, mNow + Seconds(7));
-  CHECK_FALSE(doubt(Seconds(7) + Milliseconds(500)));
+    source_changes{ {}, 10 }, mMirror, mChanges, mNow + Seconds(7));
+  CHECK_FALSE(suspect(Seconds(7) + Milliseconds(500)));
 }
 
-TEST_CASE_FIXTURE(follower_after_a_listing,
+TEST_CASE_FIXTURE(follower_after_listing,
                   "source_follower/other_call_fails/asks_within_a_second")
 {
-  const auto doubt = [this](duration aLater) {
-    return mFollower.OnDoubt(
-      watch_doubt::kOtherCallFails, mMirror, mNow + aLater);
+  const auto suspect = [this](duration aDelay) {
+    return mFollower.OnSuspected(
+      suspicion_reason::kOtherCallFails, mMirror, mNow + aDelay);
   };
   // Answered a moment ago: it knows as much.
-  CHECK_FALSE(doubt(Milliseconds(900)));
-  CHECK(doubt(Seconds(1)));
+  CHECK_FALSE(suspect(Milliseconds(900)));
+  CHECK(suspect(Seconds(1)));
 }
 
 // A change reached an instance from a peer while its own watch hung: the next
 // change was in force two seconds late, as nothing had been made of that.
-TEST_CASE_FIXTURE(follower_after_a_listing,
+TEST_CASE_FIXTURE(follower_after_listing,
                   "source_follower/peer_knew_first/asks_beside_its_watch")
 {
   const auto result =
-    mFollower.OnDoubt(watch_doubt::kPeerKnewFirst, mMirror, mNow);
+    mFollower.OnSuspected(suspicion_reason::kPeerKnewFirst, mMirror, mNow);
   REQUIRE(result.has_value());
-  CHECK(result->mPause == duration::zero());
+  CHECK(result->mSendDelay == duration::zero());
   CHECK(result->mWait <= Milliseconds(1));
 }
 
-TEST_CASE_FIXTURE(follower_after_a_listing,
+TEST_CASE_FIXTURE(follower_after_listing,
                   "source_follower/overdue_once/asks_beside_and_is_no_failure")
 {
   mNext = mFollower.OnOverdue(mMirror, mNow);
-  CHECK(mNext.mPause == duration::zero());
+  CHECK(mNext.mSendDelay == duration::zero());
   CHECK(mNext.mWait <= Milliseconds(1));
   CHECK_FALSE(mFollower.Failing());
-  mNext = mFollower.OnWatched(source_changes{ {}, 10 }, mMirror, mNews, mNow);
+  mNext =
+    mFollower.OnWatched(source_changes{ {}, 10 }, mMirror, mChanges, mNow);
   CHECK(mNext.mWait >= Seconds(1));
   // Two in a row are a failure.
   mFollower.OnOverdue(mMirror, mNow);
   mNext = mFollower.OnOverdue(mMirror, mNow);
   CHECK(mFollower.Failing());
-  CHECK(mNext.mPause == duration::zero());
-  CHECK(mNext.mPatience <= Milliseconds(500));
+  CHECK(mNext.mSendDelay == duration::zero());
+  CHECK(mNext.mResponseTimeout <= Milliseconds(500));
 }
 
 // A source that answers slowly was asked again and again, as if it were silent.
-TEST_CASE_FIXTURE(follower_after_a_listing,
+TEST_CASE_FIXTURE(follower_after_listing,
                   "source_follower/slow_answers/are_waited_for")
 {
-  mFollower.NoteDelay(Milliseconds(300));
-  CHECK(mFollower.Start(mMirror).mPatience == Milliseconds(400));
-  mFollower.NoteDelay(Seconds(5));
-  CHECK(mFollower.Start(mMirror).mPatience == Milliseconds(600));
+  mFollower.RecordDelay(Milliseconds(300));
+  CHECK(mFollower.Start(mMirror).mResponseTimeout == Milliseconds(400));
+  mFollower.RecordDelay(Seconds(5));
+  CHECK(mFollower.Start(mMirror).mResponseTimeout == Milliseconds(600));
   for (int answer = 0; answer < 4; ++answer) {
-    mFollower.NoteDelay(Milliseconds(4));
+    mFollower.RecordDelay(Milliseconds(4));
   }
-  CHECK(mFollower.Start(mMirror).mPatience == Milliseconds(150));
+  CHECK(mFollower.Start(mMirror).mResponseTimeout == Milliseconds(150));
 }
 
 // A change that all heard of began all watches together; the first of them
@@ -315,35 +327,38 @@
 TEST_CASE("source_follower/news_for_all/watches_end_a_second_apart")
 {
   constexpr std::size_t kInstances = 3;
-  for (std::size_t place = 0; place < kInstances; ++place) {
-    source_follower condition(source_follower_settings{}, place);
-    condition.SetTurn({ place, kInstances, 0.5 });
+  for (std::size_t index = 0; index < kInstances; ++index) {
+    source_follower subject(source_follower_settings{}, index);
+    subject.SetStagger({ index, kInstances, 0.5 });
     item_mirror mirror;
-    std::vector<item_change> news;
-    condition.OnListed(source_listing{ {}, 10 }, mirror, news, time_point());
-    source_call result = condition.OnWatched(
-      source_changes{ { { "a", "2", 12 } }, 12 }, mirror, news, time_point());
-    CHECK(ToSeconds(result.mWait) == static_cast<double>(place) + 0.5);
+    std::vector<item_change> changes;
+    subject.OnListed(source_listing{ {}, 10 }, mirror, changes, time_point());
+    source_call result =
+      subject.OnWatched(source_changes{ { { "a", "2", 12 } }, 12 },
+                        mirror,
+                        changes,
+                        time_point());
+    CHECK(ToSeconds(result.mWait) == static_cast<double>(index) + 0.5);
     // From there on each waits a whole round.
-    result =
-      condition.OnWatched(source_changes{ {}, 12 }, mirror, news, time_point());
+    result = subject.OnWatched(
+      source_changes{ {}, 12 }, mirror, changes, time_point());
     CHECK(result.mWait == Seconds(3));
     // Others come or go: places are new.
-    condition.SetTurn({ place, kInstances + 1, 0.5 });
-    CHECK(ToSeconds(condition.Start(mirror).mWait) ==
-          static_cast<double>(place) + 0.5);
+    subject.SetStagger({ index, kInstances + 1, 0.5 });
+    CHECK(ToSeconds(subject.Start(mirror).mWait) ==
+          static_cast<double>(index) + 0.5);
   }
 }
 
-TEST_CASE_FIXTURE(follower_after_a_listing,
+TEST_CASE_FIXTURE(follower_after_listing,
                   "source_follower/failures/limits_leave_a_slow_source_time")
 {
-  duration longest{};
+  duration maxIdleTimeout{};
   for (int call = 0; call < 6; ++call) {
-    mNext = mFollower.OnWatched(source_failure{}, mMirror, mNews, mNow);
-    longest = std::max(longest, mNext.mLimit);
+    mNext = mFollower.OnWatched(source_failure{}, mMirror, mChanges, mNow);
+    maxIdleTimeout = std::max(maxIdleTimeout, mNext.mIdleTimeout);
   }
-  CHECK(longest == Seconds(2));
+  CHECK(maxIdleTimeout == Seconds(2));
 }
 
 } // namespace
--- a/thornhollow/fleet/relay_peers.cc
+++ b/thornhollow/fleet/relay_peers.cc
@@ -127,7 +127,7 @@
   return mReads;
 }
 
-watch_turn
+watch_stagger
 relay_peers::Turn(time_point aNow) const
 {
   std::set<domain_name> domains{ mOwnDomain };
@@ -136,10 +136,10 @@
   }
   const above found = Above(aNow);
   const auto place = std::distance(domains.begin(), domains.find(mOwnDomain));
-  watch_turn turn;
+  watch_stagger turn;
   const bool all = AllRead(found.mInDomain);
-  turn.mOf = all ? found.mInDomain : mSettings.mReaders;
-  turn.mPlace = (all ? found.mKnown : found.mHeard) % turn.mOf;
+  turn.mCount = all ? found.mInDomain : mSettings.mReaders;
+  turn.mIndex = (all ? found.mKnown : found.mHeard) % turn.mCount;
   turn.mPhase =
     static_cast<double>(place + 1) / static_cast<double>(domains.size());
   return turn;
--- a/thornhollow/fleet/relay_peers.h
+++ b/thornhollow/fleet/relay_peers.h
@@ -210,7 +210,7 @@
   bool AllReadHere() const { return mReads && !mReadsForAll; }
   // This instance's turn among those of its domain that read the source, by
   // which their watches end one after the other.
-  watch_turn Turn(time_point aNow) const;
+  watch_stagger Turn(time_point aNow) const;
   // Sums that are to be told now, each to one other. `aOwn`: what is asked for
   // here.
   std::vector<sums_to_tell> SumsToTell(
--- a/thornhollow/fleet/relay_peers_test.cc
+++ b/thornhollow/fleet/relay_peers_test.cc
@@ -363,9 +363,9 @@
     { "b2", domain_name("b") }, { "c1", domain_name("c") }
   };
 
-  watch_turn TurnOf(const std::string& aAddress,
-                    const domain_name& aDomain,
-                    const relay_peer_settings& aSettings = {}) const
+  watch_stagger TurnOf(const std::string& aAddress,
+                       const domain_name& aDomain,
+                       const relay_peer_settings& aSettings = {}) const
   {
     relay_peers peers(aSettings, aAddress, aDomain, {}, 1);
     for (const auto& [address, domain] : mAll) {
@@ -383,14 +383,14 @@
   std::map<domain_name, std::set<std::size_t>> places;
   std::map<domain_name, double> phases;
   for (const auto& [address, domain] : mAll) {
-    const watch_turn result = TurnOf(address, domain);
-    CHECK(result.mPlace < result.mOf);
-    CHECK(places[domain].insert(result.mPlace).second);
+    const watch_stagger result = TurnOf(address, domain);
+    CHECK(result.mIndex < result.mCount);
+    CHECK(places[domain].insert(result.mIndex).second);
     phases[domain] = result.mPhase;
   }
   CHECK(places[domain_name("a")].size() == 3);
-  CHECK(TurnOf("a1", domain_name("a")).mOf == 3);
-  CHECK(TurnOf("c1", domain_name("c")) == watch_turn{ 0, 1, 1 });
+  CHECK(TurnOf("a1", domain_name("a")).mCount == 3);
+  CHECK(TurnOf("c1", domain_name("c")) == watch_stagger{ 0, 1, 1 });
   // The domains share a turn out among themselves.
   CHECK(phases[domain_name("a")] < phases[domain_name("b")]);
   CHECK(phases[domain_name("b")] < phases[domain_name("c")]);
@@ -401,7 +401,7 @@
   relay_peer_settings settings;
   settings.mAllRead = 1;
   settings.mReaders = 2;
-  CHECK(TurnOf("a1", domain_name("a"), settings).mOf == 2);
+  CHECK(TurnOf("a1", domain_name("a"), settings).mCount == 2);
 }
 
 TEST_CASE_FIXTURE(hello_fleet, "relay_peers/nobody_heard/counts_as_unknown")
--- a/thornhollow/fleet/testing/modelled_instance.h
+++ b/thornhollow/fleet/testing/modelled_instance.h
@@ -16,9 +16,9 @@
 #include <string>
 #include <vector>
 
-#include "thornhollow/discovery/call_round.h"
 #include "thornhollow/discovery/endpoint_roster.h"
 #include "thornhollow/discovery/item_mirror.h"
+#include "thornhollow/discovery/pending_calls.h"
 #include "thornhollow/discovery/source_follower.h"
 #include "thornhollow/fleet/copy_requests.h"
 #include "thornhollow/fleet/large_copies.h"
@@ -68,7 +68,7 @@
   bool mIdle = false;
   // On their way beside each other, the newest last.
   std::vector<open_call> mOpen = {};
-  call_round mRound = call_round{};
+  pending_calls mRound = pending_calls{};
   // Of earlier rounds: nobody waits for them, and they come all the same.
   std::vector<open_call> mGivenUp = {};
 };
@@ -101,8 +101,8 @@
 inline std::optional<time_point>
 SourceAnswered(const modelled_instance& aOne)
 {
-  return std::max(aOne.mLinks[0].mFollower.Answered(),
-                  aOne.mLinks[1].mFollower.Answered());
+  return std::max(aOne.mLinks[0].mFollower.LastAnswer(),
+                  aOne.mLinks[1].mFollower.LastAnswer());
 }
 
 // Tells its roster when the source last answered it or, by their word, others.
--- a/thornhollow/fleet/testing/silent_source_fleet.h
+++ b/thornhollow/fleet/testing/silent_source_fleet.h
@@ -25,9 +25,9 @@
 #include <utility>
 #include <vector>
 
-#include "thornhollow/discovery/call_round.h"
 #include "thornhollow/discovery/endpoint_roster.h"
 #include "thornhollow/discovery/item_mirror.h"
+#include "thornhollow/discovery/pending_calls.h"
 #include "thornhollow/discovery/source_follower.h"
 #include "thornhollow/fleet/copy_requests.h"
 #include "thornhollow/fleet/large_copies.h"
@@ -257,16 +257,16 @@
   {
     std::ranges::move(aLink.mOpen, std::back_inserter(aLink.mGivenUp));
     aLink.mOpen.clear();
-    aLink.mRound.End();
+    aLink.mRound.Clear();
     aLink.mIdle = !aOne.mAsksSource;
     if (aLink.mIdle) {
       aLink.mToSend = false;
-      aLink.mFollower.StopAsking();
+      aLink.mFollower.StopReading();
       return;
     }
     aLink.mToSend = true;
-    aLink.mSendAt = mNow + aCall.mPause;
-    if (aCall.mPause <= duration::zero()) {
+    aLink.mSendAt = mNow + aCall.mSendDelay;
+    if (aCall.mSendDelay <= duration::zero()) {
       Send(aLink, aCall);
     }
   }
@@ -296,7 +296,7 @@
         came != aLink.mOpen.end()) {
       const open_call answered = *came;
       aLink.mOpen.erase(came);
-      NoteDelay(aLink, answered);
+      RecordDelay(aLink, answered);
       return Answer(aOne, aLink, answered);
     }
     if (!aLink.mOpen.empty() && Expired(aLink.mOpen.back())) {
@@ -339,7 +339,8 @@
 
   bool Expired(const open_call& aCall) const
   {
-    return mNow >= std::max(Due(aCall), aCall.mLastBytes) + aCall.mCall.mLimit;
+    return mNow >=
+           std::max(Due(aCall), aCall.mLastBytes) + aCall.mCall.mIdleTimeout;
   }
 
   // The newest call is given up.
@@ -380,27 +381,28 @@
            mShape.mSourceEncoding;
   }
 
-  void NoteDelay(link& aLink, const open_call& aOpen)
+  void RecordDelay(link& aLink, const open_call& aOpen)
   {
     if (mNow > Due(aOpen)) {
-      aLink.mFollower.NoteDelay(mNow - Due(aOpen));
+      aLink.mFollower.RecordDelay(mNow - Due(aOpen));
     }
   }
 
   // The daemon looks at each tick.
   void AskBesideOverdue(link& aLink)
   {
-    if (aLink.mRound.Overdue(mNow)) {
+    if (aLink.mRound.IsOverdue(mNow)) {
       Send(aLink, aLink.mFollower.OnOverdue(aLink.mMirror, mNow));
     }
   }
 
-  void Doubt(link& aLink, watch_doubt aWhy)
+  void Doubt(link& aLink, suspicion_reason aWhy)
   {
-    if (!aLink.mRound.MayBeDoubted(aWhy, mNow)) {
+    if (!aLink.mRound.AllowsProbe(aWhy, mNow)) {
       return;
     }
-    if (const auto call = aLink.mFollower.OnDoubt(aWhy, aLink.mMirror, mNow)) {
+    if (const auto call =
+          aLink.mFollower.OnSuspected(aWhy, aLink.mMirror, mNow)) {
       Send(aLink, *call);
     }
   }
@@ -455,16 +457,16 @@
     const bool peerFails = aOne.mPeers->SourceFailsElsewhere(mNow);
     NoteSource(aOne);
     if (mNow < aOne.mSourceFailsUntil || peerFails) {
-      aOne.mRoster.OnSourceFails(mNow);
+      aOne.mRoster.OnSourceFailed(mNow);
     }
     aOne.mReads = aOne.mPeers->Reads(mNow);
     aOne.mAsksSource = aOne.mReads || aOne.mRequests.NeedsSource(mNow);
     aOne.mRoster.Tick(mNow);
-    const watch_turn turn = aOne.mPeers->Turn(mNow);
+    const watch_stagger turn = aOne.mPeers->Turn(mNow);
     for (link& each : aOne.mLinks) {
-      each.mFollower.SetTurn(turn);
+      each.mFollower.SetStagger(turn);
       if (!aOne.mAsksSource) {
-        each.mFollower.StopAsking();
+        each.mFollower.StopReading();
         continue;
       }
       if (each.mIdle) {
@@ -472,10 +474,10 @@
       }
       AskBesideOverdue(each);
       if (std::ranges::any_of(aOne.mLinks, fails)) {
-        Doubt(each, watch_doubt::kOtherCallFails);
+        Doubt(each, suspicion_reason::kOtherCallFails);
       }
       if (peerFails) {
-        Doubt(each, watch_doubt::kPeerFails);
+        Doubt(each, suspicion_reason::kPeerFails);
       }
     }
     const hello_round round = aOne.mPeers->Tick(mNow);
@@ -505,14 +507,14 @@
     copy_on_its_way copy;
     copy.mFrom = aFrom;
     copy.mWhich = aWhich;
-    copy.mAsked = aOne.mLinks[aWhich].mMirror.At();
-    copy.mAt = its.At();
+    copy.mAsked = aOne.mLinks[aWhich].mMirror.Revision();
+    copy.mAt = its.Revision();
     copy.mAskedAt = mNow;
     if (copy.mAt <= copy.mAsked) {
       return;
     }
     std::size_t items = 0;
-    if (auto changes = its.Since(copy.mAsked)) {
+    if (auto changes = its.ChangesSince(copy.mAsked)) {
       copy.mChanges = std::move(*changes);
       items = copy.mChanges.size();
     } else {
@@ -522,7 +524,7 @@
     const double each = aWhich == 0 ? mShape.mDocumentBytes : kEndpointBytes;
     copy.mBytesLeft = each * static_cast<double>(items) * mShape.mPacking;
     if (aWhich == 1) {
-      copy.mSourceBackFor = from->mRoster.RegainedFor(mNow);
+      copy.mSourceBackFor = from->mRoster.TimeSinceRecovery(mNow);
     }
     if (!from->mLargeCopies.Gives(static_cast<std::size_t>(copy.mBytesLeft),
                                   mNow)) {
@@ -534,7 +536,8 @@
 
   static known_revisions Known(const instance& aOne)
   {
-    return { aOne.mLinks[0].mMirror.At(), aOne.mLinks[1].mMirror.At() };
+    return { aOne.mLinks[0].mMirror.Revision(),
+             aOne.mLinks[1].mMirror.Revision() };
   }
 
   instance* Reached(const instance& aFrom, const std::string& aAddress)
@@ -570,10 +573,11 @@
     hello.mBrief = true;
     hello.mAddress = aOne.mAddress;
     hello.mDomain = aOne.mDomain;
-    hello.mKnown = aOne.mPeers->AllReadHere()
-                     ? Known(aOne)
-                     : known_revisions{ aOne.mLinks[0].mMirror.ChangedAt(),
-                                        aOne.mLinks[1].mMirror.ChangedAt() };
+    hello.mKnown =
+      aOne.mPeers->AllReadHere()
+        ? Known(aOne)
+        : known_revisions{ aOne.mLinks[0].mMirror.LastChangeRevision(),
+                           aOne.mLinks[1].mMirror.LastChangeRevision() };
     hello.mSourceFails = mNow < aOne.mSourceFailsUntil;
     if (const auto answered = SourceAnswered(aOne)) {
       hello.mSourceAnswerAge = mNow - *answered;
@@ -635,9 +639,9 @@
   {
     link& link = aTo.mLinks[aCopy.mWhich];
     if (aCopy.mSourceBackFor && !aTo.mAsksSource) {
-      aTo.mRoster.OnToldRegained(mNow - *aCopy.mSourceBackFor);
+      aTo.mRoster.OnRecoveryReported(mNow - *aCopy.mSourceBackFor);
     }
-    if (aCopy.mAt <= link.mMirror.At()) {
+    if (aCopy.mAt <= link.mMirror.Revision()) {
       return;
     }
     const auto taken =
@@ -646,7 +650,7 @@
         : link.mMirror.OnPeerChanges(aCopy.mChanges, aCopy.mAsked, aCopy.mAt);
     Apply(aTo, link.mWhich, taken);
     if (!taken.empty()) {
-      Doubt(link, watch_doubt::kPeerKnewFirst);
+      Doubt(link, suspicion_reason::kPeerKnewFirst);
       TellBriefly(aTo, aTo.mPeers->OnNews());
     }
   }
@@ -676,7 +680,7 @@
   static bool HeldBy(const instance& aOne, const source_change& aChange)
   {
     if (aChange.mRemoved) {
-      return !aOne.mRoster.Counts(endpoint_name(aChange.mKey));
+      return !aOne.mRoster.Contains(endpoint_name(aChange.mKey));
     }
     return Holds(aOne) >= aChange.mRevision;
   }
--- a/thornhollow/listing/platform_list.cc
+++ b/thornhollow/listing/platform_list.cc
@@ -18,7 +18,7 @@
 }
 
 void
-ReadInstance(const boost::json::object& aObject, platform_list& aInto)
+ReadInstance(const boost::json::object& aObject, platform_list& aList)
 {
   const std::string name = StringField(aObject, "name");
   const std::string role = StringField(aObject, "role");
@@ -27,12 +27,12 @@
     return;
   }
   if (role == "endpoint") {
-    aInto.mEndpoints.push_back({ endpoint_name(name), leaving });
+    aList.mEndpoints.push_back({ endpoint_name(name), leaving });
     return;
   }
   const std::string address = StringField(aObject, "peer_address");
   if (role == "router" && !address.empty()) {
-    aInto.mRouters.mInstances.push_back(
+    aList.mRouters.mInstances.push_back(
       { instance_name(name),
         domain_name(StringField(aObject, "domain")),
         address,
@@ -45,17 +45,17 @@
 std::optional<platform_list>
 ReadPlatformList(std::string_view aJson, std::uint64_t aVersion)
 {
-  boost::system::error_code wrong;
-  const boost::json::value parsed = boost::json::parse(aJson, wrong);
-  const boost::json::object* object = parsed.if_object();
-  const boost::json::value* listed =
-    object == nullptr ? nullptr : object->if_contains("instances");
-  if (wrong || listed == nullptr || !listed->is_array()) {
+  boost::system::error_code error;
+  const boost::json::value parsed = boost::json::parse(aJson, error);
+  const boost::json::object* root = parsed.if_object();
+  const boost::json::value* instances =
+    root == nullptr ? nullptr : root->if_contains("instances");
+  if (error || instances == nullptr || !instances->is_array()) {
     return std::nullopt;
   }
   platform_list list;
   list.mRouters.mVersion = aVersion;
-  for (const boost::json::value& each : listed->get_array()) {
+  for (const boost::json::value& each : instances->get_array()) {
     const boost::json::object* entry = each.if_object();
     if (entry == nullptr) {
       return std::nullopt;
--- a/thornhollow/listing/platform_list.h
+++ b/thornhollow/listing/platform_list.h
@@ -15,20 +15,20 @@
 
 namespace thornhollow {
 
-struct listed_endpoint
+struct platform_endpoint
 {
   endpoint_name mName;
   bool mLeaving = false;
 
-  friend bool operator==(const listed_endpoint&,
-                         const listed_endpoint&) = default;
+  friend bool operator==(const platform_endpoint&,
+                         const platform_endpoint&) = default;
 };
 
 struct platform_list
 {
   // Entry instances that state a peer address.
   instance_list mRouters;
-  std::vector<listed_endpoint> mEndpoints;
+  std::vector<platform_endpoint> mEndpoints;
 
   friend bool operator==(const platform_list&, const platform_list&) = default;
 };
--- a/thornhollow/listing/platform_list_test.cc
+++ b/thornhollow/listing/platform_list_test.cc
@@ -18,7 +18,7 @@
   REQUIRE(list->mRouters.mInstances.size() == 1);
   CHECK(list->mRouters.mInstances[0].mAddress == "127.0.0.1:2");
   CHECK(list->mEndpoints ==
-        std::vector<listed_endpoint>{ { endpoint_name("e1"), true } });
+        std::vector<platform_endpoint>{ { endpoint_name("e1"), true } });
 }
 
 TEST_CASE("platform_list/text_of_another_shape/is_no_list")
--- a/thornhollow/listing/platform_watch.cc
+++ b/thornhollow/listing/platform_watch.cc
@@ -18,13 +18,13 @@
 // grace, and an endpoint that leaves must get no new work after a few seconds.
 // With these two, that takes 3 s, and 420 instances make 210 calls a second of
 // the 2,000 that all readers have.
-constexpr duration kWait = Seconds(2);
+constexpr duration kLongPollWait = Seconds(2);
 // Beyond the wait, an answer is due within this; else the watch is given up and
 // asked anew on a new connection.
-constexpr duration kGrace = Seconds(1);
+constexpr duration kResponseGrace = Seconds(1);
 // After a failure, so that a service that is down isn't asked in a tight loop
 // by every reader; spread so that readers don't come back together.
-constexpr double kRetrySeconds = 0.5;
+constexpr double kMeanRetrySeconds = 0.5;
 
 } // namespace
 
@@ -44,14 +44,14 @@
   {
   }
 
-  void Ask()
+  void Poll()
   {
     fetch_call call;
     call.mAddress = mAddress;
     call.mTarget = fmt::format(
-      "{}?after={}&wait_ms={}", mPath, mVersion, ToMilliseconds(kWait));
-    call.mTimeout = kWait + kGrace;
-    mAsked = Now();
+      "{}?after={}&wait_ms={}", mPath, mVersion, ToMilliseconds(kLongPollWait));
+    call.mTimeout = kLongPollWait + kResponseGrace;
+    mPolledAt = Now();
     Fetch(mIo, call, [self = shared_from_this()](fetch_outcome aOutcome) {
       self->OnOutcome(std::move(aOutcome));
     });
@@ -74,7 +74,7 @@
     }
     // An answer that waited in the socket while this process stood still is as
     // old as the pause; idempotency keys rely on a view that is fresh.
-    if (Now() - mAsked > kWait + kGrace) {
+    if (Now() - mPolledAt > kLongPollWait + kResponseGrace) {
       aOutcome.reset();
     }
     if (aOutcome) {
@@ -82,7 +82,7 @@
     }
     if (aOutcome && aOutcome->mHttpStatus == kNotModified) {
       mListener.mOnUnchanged();
-      Ask();
+      Poll();
       return;
     }
     const bool isNewer = aOutcome && aOutcome->mHttpStatus == kOk &&
@@ -91,21 +91,21 @@
       mVersion = *aOutcome->mVersion;
       mListener.mOnValue(
         platform_value{ mVersion, std::move(aOutcome->mBody) });
-      Ask();
+      Poll();
       return;
     }
     mListener.mOnFailure();
-    AskLater();
+    ScheduleRetry();
   }
 
-  void AskLater()
+  void ScheduleRetry()
   {
     std::uniform_real_distribution<double> factor(0.5, 1.5);
-    mTimer.expires_after(FromSeconds(kRetrySeconds * factor(mRandom)));
+    mTimer.expires_after(FromSeconds(kMeanRetrySeconds * factor(mRandom)));
     mTimer.async_wait(
-      [self = shared_from_this()](const boost::system::error_code& aWrong) {
-        if (!aWrong && !self->mStopped) {
-          self->Ask();
+      [self = shared_from_this()](const boost::system::error_code& aError) {
+        if (!aError && !self->mStopped) {
+          self->Poll();
         }
       });
   }
@@ -117,7 +117,7 @@
   boost::asio::steady_timer mTimer;
   std::mt19937 mRandom;
   std::uint64_t mVersion = 0;
-  time_point mAsked{};
+  time_point mPolledAt{};
   bool mStopped = false;
 };
 
@@ -140,7 +140,7 @@
 void
 platform_watch::Start()
 {
-  mLoop->Ask();
+  mLoop->Poll();
 }
 
 } // namespace thornhollow
--- a/thornhollow/platform/document_reader.cc
+++ b/thornhollow/platform/document_reader.cc
@@ -46,11 +46,11 @@
 }
 
 result<pool_weight>
-ReadShare(const object& aShare)
+ReadPoolWeight(const object& aPoolWeight)
 {
-  BOOST_LEAF_AUTO(pool, TextField(aShare, "service"));
-  BOOST_LEAF_AUTO(weight, CountField(aShare, "weight"));
-  return pool_weight{ pool_name(pool), Bounded(weight) };
+  BOOST_LEAF_AUTO(pool, TextField(aPoolWeight, "service"));
+  BOOST_LEAF_AUTO(weight, CountField(aPoolWeight, "weight"));
+  return pool_weight{ pool_name(pool), ClampToUint32(weight) };
 }
 
 // A route goes to one pool, or is split over several by weight.
@@ -58,9 +58,9 @@
 ReadPools(const object& aRoute)
 {
   if (HasField(aRoute, "traffic_split")) {
-    BOOST_LEAF_AUTO(shares, ListField(aRoute, "traffic_split"));
-    if (!shares->empty()) {
-      return ReadList<pool_weight>(*shares, ReadShare);
+    BOOST_LEAF_AUTO(weights, ListField(aRoute, "traffic_split"));
+    if (!weights->empty()) {
+      return ReadList<pool_weight>(*weights, ReadPoolWeight);
     }
   }
   BOOST_LEAF_AUTO(pool, TextField(aRoute, "service"));
@@ -79,33 +79,33 @@
   read.mKind = ReadKind(kind, resumable);
   BOOST_LEAF_ASSIGN(read.mPools, ReadPools(aRoute));
   BOOST_LEAF_AUTO(attempts, OptionalCount(aRoute, "max_attempts", 1));
-  read.mMaxAttempts = Bounded(attempts);
+  read.mMaxAttempts = ClampToUint32(attempts);
   BOOST_LEAF_ASSIGN(read.mTimeout, MillisecondsField(aRoute, "timeout_ms"));
   BOOST_LEAF_ASSIGN(
     read.mTarget,
     OptionalMilliseconds(aRoute, "target_latency_ms", read.mTimeout));
   // The longest pause between two events of a stream, not a time to its start.
   BOOST_LEAF_ASSIGN(
-    read.mPauseTarget,
+    read.mEventGapTarget,
     OptionalMilliseconds(aRoute, "gap_target_ms", duration::zero()));
   BOOST_LEAF_AUTO(tier, OptionalCount(aRoute, "priority", 0));
-  read.mTier = Bounded(tier);
+  read.mTier = ClampToUint32(tier);
   BOOST_LEAF_ASSIGN(read.mAnonymous,
                     OptionalFlag(aRoute, "anonymous_access", false));
   return read;
 }
 
-result<engine_pool_facts>
+result<engine_pool_spec>
 ReadEngine(const object& aEngine)
 {
-  engine_pool_facts read;
+  engine_pool_spec read;
   BOOST_LEAF_AUTO(slots, OptionalCount(aEngine, "slots", 0));
-  read.mSlots = Bounded(slots);
+  read.mSlots = ClampToUint32(slots);
   BOOST_LEAF_ASSIGN(read.mMemoryTokens,
                     OptionalCount(aEngine, "kv_cache_tokens", 0));
   // The number of tokens in one event of a stream.
   BOOST_LEAF_AUTO(stride, OptionalCount(aEngine, "stride", 1));
-  read.mTokensPerEvent = Bounded(stride);
+  read.mTokensPerEvent = ClampToUint32(stride);
   return read;
 }
 
@@ -116,7 +116,7 @@
   BOOST_LEAF_AUTO(name, TextField(aPool, "name"));
   read.mName = pool_name(name);
   BOOST_LEAF_AUTO(limit, OptionalCount(aPool, "connection_limit", 0));
-  read.mConnectionLimit = Bounded(limit);
+  read.mConnectionLimit = ClampToUint32(limit);
   if (const value* engine = aPool.if_contains("engine");
       engine != nullptr && engine->is_object()) {
     BOOST_LEAF_ASSIGN(read.mEngine, ReadEngine(engine->get_object()));
@@ -139,15 +139,15 @@
   }
   if (HasField(aTeam, "priority")) {
     BOOST_LEAF_AUTO(tier, CountField(aTeam, "priority"));
-    read.mTier = Bounded(tier);
+    read.mTier = ClampToUint32(tier);
   }
   return read;
 }
 
-result<caller_bounds>
+result<caller_connection_limits>
 ReadLimits(const object& aDocument)
 {
-  caller_bounds read;
+  caller_connection_limits read;
   const value* limits = aDocument.if_contains("limits");
   if (limits == nullptr || !limits->is_object()) {
     return read;
@@ -155,7 +155,7 @@
   const object& fields = limits->get_object();
   BOOST_LEAF_AUTO(
     header, OptionalCount(fields, "max_header_bytes", read.mMaxHeaderBytes));
-  read.mMaxHeaderBytes = Bounded(header);
+  read.mMaxHeaderBytes = ClampToUint32(header);
   BOOST_LEAF_ASSIGN(
     read.mMaxBodyBytes,
     OptionalCount(fields, "max_body_bytes", read.mMaxBodyBytes));
@@ -180,8 +180,8 @@
   BOOST_LEAF_ASSIGN(read.mRoutes, ReadList<route>(*routes, ReadRoute));
   BOOST_LEAF_AUTO(pools, ListField(fields, "services"));
   BOOST_LEAF_ASSIGN(read.mPools, ReadList<routed_pool>(*pools, ReadPool));
-  read.mTokensNeeded = HasField(fields, "tenants");
-  if (read.mTokensNeeded) {
+  read.mTokensRequired = HasField(fields, "tenants");
+  if (read.mTokensRequired) {
     BOOST_LEAF_AUTO(teams, ListField(fields, "tenants"));
     BOOST_LEAF_ASSIGN(read.mTeams, ReadList<routed_team>(*teams, ReadTeam));
   }
--- a/thornhollow/platform/endpoint_reader.cc
+++ b/thornhollow/platform/endpoint_reader.cc
@@ -47,7 +47,7 @@
   read.mDomain = domain_name(domain);
   BOOST_LEAF_CHECK(TextField(fields, "version"));
   BOOST_LEAF_AUTO(slots, CountField(fields, "slots"));
-  read.mSlots = Bounded(slots);
+  read.mSlots = ClampToUint32(slots);
   BOOST_LEAF_ASSIGN(read.mDraining, ReadDraining(fields));
   // How much longer it is slow, not how long it has been up.
   BOOST_LEAF_ASSIGN(read.mWarmUp,
--- a/thornhollow/platform/json_fields.cc
+++ b/thornhollow/platform/json_fields.cc
@@ -16,10 +16,10 @@
 constexpr double kMaxMilliseconds = 86'400'000;
 
 auto
-Wrong(std::string_view aName, std::string_view aWanted)
+FieldError(std::string_view aName, std::string_view aExpected)
 {
   return Fail(error_kind::kMalformedRequest,
-              std::string(aName) + ": " + std::string(aWanted));
+              std::string(aName) + ": " + std::string(aExpected));
 }
 
 const boost::json::value*
@@ -33,12 +33,12 @@
 result<boost::json::object>
 ParseObject(std::string_view aText)
 {
-  boost::json::error_code wrong;
+  boost::json::error_code error;
   boost::json::parse_options options;
   options.max_depth = kMaxDepth;
   boost::json::value read =
-    boost::json::parse({ aText.data(), aText.size() }, wrong, {}, options);
-  if (wrong || !read.is_object()) {
+    boost::json::parse({ aText.data(), aText.size() }, error, {}, options);
+  if (error || !read.is_object()) {
     return Fail(error_kind::kMalformedRequest, "not a JSON object");
   }
   return std::move(read.as_object());
@@ -49,7 +49,7 @@
 {
   const auto* value = Find(aObject, aName);
   if (value == nullptr || !value->is_string()) {
-    return Wrong(aName, "a text is needed");
+    return FieldError(aName, "a text is needed");
   }
   return std::string(value->get_string());
 }
@@ -64,7 +64,7 @@
   if (value != nullptr && value->is_int64() && value->get_int64() >= 0) {
     return static_cast<std::uint64_t>(value->get_int64());
   }
-  return Wrong(aName, "a whole number is needed");
+  return FieldError(aName, "a whole number is needed");
 }
 
 result<duration>
@@ -72,11 +72,11 @@
 {
   const auto* value = Find(aObject, aName);
   if (value == nullptr || !value->is_number()) {
-    return Wrong(aName, "a number of milliseconds is needed");
+    return FieldError(aName, "a number of milliseconds is needed");
   }
   const double count = value->to_number<double>();
   if (!std::isfinite(count) || count < 0 || count > kMaxMilliseconds) {
-    return Wrong(aName, "milliseconds up to a day are needed");
+    return FieldError(aName, "milliseconds up to a day are needed");
   }
   return FromSeconds(count / 1000);
 }
@@ -86,7 +86,7 @@
 {
   const auto* value = Find(aObject, aName);
   if (value == nullptr || !value->is_array()) {
-    return Wrong(aName, "a list is needed");
+    return FieldError(aName, "a list is needed");
   }
   return &value->get_array();
 }
@@ -112,7 +112,7 @@
   }
   const auto* value = Find(aObject, aName);
   if (!value->is_bool()) {
-    return Wrong(aName, "true or false is needed");
+    return FieldError(aName, "true or false is needed");
   }
   return value->get_bool();
 }
@@ -129,10 +129,10 @@
 }
 
 std::uint32_t
-Bounded(std::uint64_t aCount)
+ClampToUint32(std::uint64_t aCount)
 {
-  constexpr std::uint64_t kMost = std::numeric_limits<std::uint32_t>::max();
-  return static_cast<std::uint32_t>(std::min(aCount, kMost));
+  constexpr std::uint64_t kMax = std::numeric_limits<std::uint32_t>::max();
+  return static_cast<std::uint32_t>(std::min(aCount, kMax));
 }
 
 bool
--- a/thornhollow/platform/json_fields.h
+++ b/thornhollow/platform/json_fields.h
@@ -51,7 +51,7 @@
 
 // The count, or the largest that fits where it is larger.
 std::uint32_t
-Bounded(std::uint64_t aCount);
+ClampToUint32(std::uint64_t aCount);
 
 // Whether the field is there and not null.
 bool
--- a/thornhollow/platform/readers_test.cc
+++ b/thornhollow/platform/readers_test.cc
@@ -25,7 +25,7 @@
  "limits":{"max_header_bytes":8192,"idle_timeout_ms":15000},
  "tenants":[{"name":"t","api_keys":["k1","k2"],"priority":1}]})";
 
-constexpr const char* kEntry =
+constexpr const char* kEntryText =
   R"({"service":"s1","address":"10.1.2.3:80","zone":"z","version":"v1",
  "slots":64,"state":"ready","cold_remaining_ms":0,"sequence_number":4,
  "born":1700000000000,"models":[]})";
@@ -44,19 +44,20 @@
 
 // `aText` with one to four random bytes put in, taken out or changed.
 std::string
-Spoilt(std::string aText, std::mt19937_64& aRandom)
+Corrupted(std::string aText, std::mt19937_64& aRandom)
 {
-  for (std::uint64_t left = 1 + aRandom() % 4; left > 0; --left) {
-    const std::size_t at = aRandom() % aText.size();
+  for (std::uint64_t remaining = 1 + aRandom() % 4; remaining > 0;
+       --remaining) {
+    const std::size_t position = aRandom() % aText.size();
     switch (aRandom() % 3) {
       case 0:
-        aText[at] = static_cast<char>(aRandom());
+        aText[position] = static_cast<char>(aRandom());
         break;
       case 1:
-        aText.erase(at, 1 + aRandom() % 5);
+        aText.erase(position, 1 + aRandom() % 5);
         break;
       default:
-        aText.insert(at, 1, "{}[]\",:0-9e"[aRandom() % 11]);
+        aText.insert(position, 1, "{}[]\",:0-9e"[aRandom() % 11]);
     }
   }
   return aText;
@@ -73,7 +74,7 @@
   CHECK(first.mPools == std::vector<pool_weight>{ { pool_name("s1"), 90 },
                                                   { pool_name("s2"), 10 } });
   CHECK(first.mTarget == Seconds(2));
-  CHECK(first.mPauseTarget == std::chrono::microseconds(800'500));
+  CHECK(first.mEventGapTarget == std::chrono::microseconds(800'500));
   CHECK(first.mAnonymous);
   const route& second = read->mRoutes[1];
   CHECK(second.mKind == request_kind::kAtMostOnce);
@@ -81,7 +82,7 @@
   CHECK(second.mTarget == Milliseconds(1200));
   CHECK(read->mPools[0].mEngine->mTokensPerEvent == 5);
   CHECK_FALSE(read->mPools[1].mEngine.has_value());
-  CHECK(read->mTokensNeeded);
+  CHECK(read->mTokensRequired);
   CHECK(read->mTeams[0].mTokens.size() == 2);
   CHECK(read->mTeams[0].mTier == 1);
   CHECK(read->mCallers.mMaxHeaderBytes == 8192);
@@ -112,7 +113,7 @@
 
 TEST_CASE("endpoint_reader/whole_entry/is_read_into_its_fields")
 {
-  const auto read = Read(ReadEndpoint("servers/i-7", kEntry));
+  const auto read = Read(ReadEndpoint("servers/i-7", kEntryText));
   REQUIRE(read.has_value());
   CHECK(read->mName == endpoint_name("i-7"));
   CHECK(read->mPool == pool_name("s1"));
@@ -136,12 +137,12 @@
          { "1700000000000", "1.5" },
          { "\"zone\"", "\"area\"" },
          { "\"sequence_number\"", "\"seq\"" } }) {
-    std::string text = kEntry;
+    std::string text = kEntryText;
     text.replace(text.find(from), from.size(), to);
     CHECK_FALSE(Read(ReadEndpoint("servers/i-7", text)).has_value());
   }
   CHECK_FALSE(Read(ReadEndpoint("servers/i-7", "\xff\x00")).has_value());
-  CHECK_FALSE(Read(ReadEndpoint("servers/", kEntry)).has_value());
+  CHECK_FALSE(Read(ReadEndpoint("servers/", kEntryText)).has_value());
 }
 
 TEST_CASE("store_client/page_and_changes/are_decoded")
@@ -150,10 +151,10 @@
     R"({"entries":[{"key":"a","value":"eHl6","revision":4},
       {"key":"b","value":"eA==","revision":5}],"has_more":true,"at":9})"));
   REQUIRE(page.has_value());
-  CHECK(page->mListing.mAt == 9);
+  CHECK(page->mListing.mRevision == 9);
   CHECK(page->mListing.mItems ==
         std::vector<source_item>{ { "a", "xyz", 4 }, { "b", "x", 5 } });
-  CHECK(page->mMoreAfter == "b");
+  CHECK(page->mNextPageAfter == "b");
   const auto changes = Read(ReadStoreChanges(
     R"({"events":[{"key":"a","value":"","revision":10},
       {"key":"b","revision":11,"is_deleted":true}],"at":11})"));
@@ -176,13 +177,13 @@
 {
   for (std::uint64_t seed = 1; seed <= 3000; ++seed) {
     std::mt19937_64 random(seed);
-    Read(ReadDocument(Spoilt(kDocument, random)));
+    Read(ReadDocument(Corrupted(kDocument, random)));
     if (const auto entry =
-          Read(ReadEndpoint("servers/i", Spoilt(kEntry, random)))) {
+          Read(ReadEndpoint("servers/i", Corrupted(kEntryText, random)))) {
       CHECK_FALSE(entry->mAddress.empty());
     }
     Read(ReadStorePage(
-      Spoilt(R"({"entries":[],"has_more":false,"at":9})", random)));
+      Corrupted(R"({"entries":[],"has_more":false,"at":9})", random)));
   }
 }
 
--- a/thornhollow/platform/store_client.cc
+++ b/thornhollow/platform/store_client.cc
@@ -22,7 +22,7 @@
 constexpr unsigned kStatusOk = 200;
 constexpr unsigned kStatusGone = 410;
 // Two pages of a megabyte at most, in base64 and JSON.
-constexpr std::size_t kMaxAnswerBytes = std::size_t{ 4 } << 20U;
+constexpr std::size_t kMaxResponseBytes = std::size_t{ 4 } << 20U;
 
 std::optional<std::string>
 DecodeBase64(std::string_view aText)
@@ -75,7 +75,7 @@
 // The value of `aRead`, or what was wrong.
 template<class value>
 std::variant<value, source_failure>
-OrFailure(result<value> aRead)
+ValueOrFailure(result<value> aRead)
 {
   using outcome = std::variant<value, source_failure>;
   return boost::leaf::try_handle_all(
@@ -90,7 +90,7 @@
 }
 
 source_failure
-NoAnswer(const fetch_outcome& aOutcome)
+DescribeFailure(const fetch_outcome& aOutcome)
 {
   return { aOutcome ? fmt::format("status {}", aOutcome->mHttpStatus)
                     : "no answer" };
@@ -103,19 +103,19 @@
   listing_call(boost::asio::io_context& aIo,
                std::string aAddress,
                std::string aPrefix,
-               duration aLimit,
-               answer_progress aOnBytes,
+               duration aIdleTimeout,
+               response_progress aOnBytes,
                std::function<void(list_outcome)> aDone)
     : mIo(aIo)
     , mAddress(std::move(aAddress))
     , mPrefix(std::move(aPrefix))
-    , mLimit(aLimit)
+    , mIdleTimeout(aIdleTimeout)
     , mOnBytes(std::move(aOnBytes))
     , mDone(std::move(aDone))
   {
   }
 
-  void AskPage(const std::string& aAfter)
+  void RequestPage(const std::string& aAfter)
   {
     fetch_call call;
     call.mAddress = mAddress;
@@ -123,11 +123,11 @@
     if (!aAfter.empty()) {
       call.mTarget += fmt::format("&after={}", aAfter);
     }
-    call.mTimeout = mLimit;
-    call.mMostPause = mLimit;
+    call.mTimeout = mIdleTimeout;
+    call.mMostPause = mIdleTimeout;
     call.mOnBytes = mOnBytes;
     call.mConnectTimeout = kConnectTimeout;
-    call.mMaxBytes = kMaxAnswerBytes;
+    call.mMaxBytes = kMaxResponseBytes;
     Fetch(
       mIo, call, [self = shared_from_this()](const fetch_outcome& aOutcome) {
         self->OnPage(aOutcome);
@@ -138,26 +138,27 @@
   void OnPage(const fetch_outcome& aOutcome)
   {
     if (!aOutcome || aOutcome->mHttpStatus != kStatusOk) {
-      mDone(NoAnswer(aOutcome));
+      mDone(DescribeFailure(aOutcome));
       return;
     }
-    auto read = OrFailure(ReadStorePage(aOutcome->mBody));
-    if (const auto* wrong = std::get_if<source_failure>(&read)) {
-      mDone(*wrong);
+    auto read = ValueOrFailure(ReadStorePage(aOutcome->mBody));
+    if (const auto* failed = std::get_if<source_failure>(&read)) {
+      mDone(*failed);
       return;
     }
     auto& page = std::get<store_page>(read);
     // Pages are no snapshot: the whole is known to hold as of the first one
     // only, and what changed since comes again with the first watch.
-    mListing.mAt =
-      mFirst ? page.mListing.mAt : std::min(mListing.mAt, page.mListing.mAt);
-    mFirst = false;
+    mListing.mRevision =
+      mIsFirstPage ? page.mListing.mRevision
+                   : std::min(mListing.mRevision, page.mListing.mRevision);
+    mIsFirstPage = false;
     std::ranges::move(page.mListing.mItems,
                       std::back_inserter(mListing.mItems));
-    if (page.mMoreAfter.empty()) {
+    if (page.mNextPageAfter.empty()) {
       mDone(std::move(mListing));
     } else {
-      AskPage(page.mMoreAfter);
+      RequestPage(page.mNextPageAfter);
     }
   }
 
@@ -165,11 +166,11 @@
   std::string mAddress;
   std::string mPrefix;
   // Without a part of an answer.
-  duration mLimit;
-  answer_progress mOnBytes;
+  duration mIdleTimeout;
+  response_progress mOnBytes;
   std::function<void(list_outcome)> mDone;
   source_listing mListing;
-  bool mFirst = true;
+  bool mIsFirstPage = true;
 };
 
 } // namespace
@@ -179,7 +180,7 @@
 {
   BOOST_LEAF_AUTO(fields, ParseObject(aBytes));
   store_page read;
-  BOOST_LEAF_ASSIGN(read.mListing.mAt, CountField(fields, "at"));
+  BOOST_LEAF_ASSIGN(read.mListing.mRevision, CountField(fields, "at"));
   BOOST_LEAF_AUTO(items, ListField(fields, "entries"));
   for (const boost::json::value& each : *items) {
     if (!each.is_object()) {
@@ -190,7 +191,7 @@
   }
   BOOST_LEAF_AUTO(more, OptionalFlag(fields, "has_more", false));
   if (more && !read.mListing.mItems.empty()) {
-    read.mMoreAfter = read.mListing.mItems.back().mKey;
+    read.mNextPageAfter = read.mListing.mItems.back().mKey;
   }
   return read;
 }
@@ -200,7 +201,7 @@
 {
   BOOST_LEAF_AUTO(fields, ParseObject(aBytes));
   source_changes read;
-  BOOST_LEAF_ASSIGN(read.mAt, CountField(fields, "at"));
+  BOOST_LEAF_ASSIGN(read.mRevision, CountField(fields, "at"));
   BOOST_LEAF_AUTO(events, ListField(fields, "events"));
   for (const boost::json::value& each : *events) {
     if (!each.is_object()) {
@@ -214,21 +215,21 @@
 
 void
 store_client::List(const std::string& aPrefix,
-                   duration aLimit,
-                   answer_progress aOnBytes,
+                   duration aIdleTimeout,
+                   response_progress aOnBytes,
                    std::function<void(list_outcome)> aDone)
 {
   std::make_shared<listing_call>(
-    mIo, mAddress, aPrefix, aLimit, std::move(aOnBytes), std::move(aDone))
-    ->AskPage("");
+    mIo, mAddress, aPrefix, aIdleTimeout, std::move(aOnBytes), std::move(aDone))
+    ->RequestPage("");
 }
 
 void
 store_client::Watch(const std::string& aPrefix,
                     std::uint64_t aAfter,
                     duration aWait,
-                    duration aLimit,
-                    answer_progress aOnBytes,
+                    duration aIdleTimeout,
+                    response_progress aOnBytes,
                     std::function<void(watch_outcome)> aDone)
 {
   fetch_call call;
@@ -237,22 +238,22 @@
                              aPrefix,
                              aAfter,
                              ToMilliseconds(aWait));
-  call.mTimeout = aWait + aLimit;
-  call.mMostPause = aLimit;
+  call.mTimeout = aWait + aIdleTimeout;
+  call.mMostPause = aIdleTimeout;
   call.mOnBytes = std::move(aOnBytes);
   call.mConnectTimeout = kConnectTimeout;
   call.mLongPoll = true;
-  call.mMaxBytes = kMaxAnswerBytes;
+  call.mMaxBytes = kMaxResponseBytes;
   Fetch(mIo, call, [done = std::move(aDone)](const fetch_outcome& aOutcome) {
     if (aOutcome && aOutcome->mHttpStatus == kStatusGone) {
       done(history_gone{});
       return;
     }
     if (!aOutcome || aOutcome->mHttpStatus != kStatusOk) {
-      done(NoAnswer(aOutcome));
+      done(DescribeFailure(aOutcome));
       return;
     }
-    auto read = OrFailure(ReadStoreChanges(aOutcome->mBody));
+    auto read = ValueOrFailure(ReadStoreChanges(aOutcome->mBody));
     std::visit([&](auto& aRead) { done(std::move(aRead)); }, read);
   });
 }
--- a/thornhollow/platform/store_client.h
+++ b/thornhollow/platform/store_client.h
@@ -23,7 +23,7 @@
 {
   source_listing mListing;
   // The next page begins after this key; empty at the end.
-  std::string mMoreAfter;
+  std::string mNextPageAfter;
 
   friend bool operator==(const store_page&, const store_page&) = default;
 };
@@ -45,14 +45,14 @@
   }
 
   void List(const std::string& aPrefix,
-            duration aLimit,
-            answer_progress aOnBytes,
+            duration aIdleTimeout,
+            response_progress aOnBytes,
             std::function<void(list_outcome)> aDone) override;
   void Watch(const std::string& aPrefix,
              std::uint64_t aAfter,
              duration aWait,
-             duration aLimit,
-             answer_progress aOnBytes,
+             duration aIdleTimeout,
+             response_progress aOnBytes,
              std::function<void(watch_outcome)> aDone) override;
 
 private:
--- a/thornhollow/routing/routing_document.h
+++ b/thornhollow/routing/routing_document.h
@@ -76,7 +76,7 @@
   // To the whole answer, or to a stream's first event.
   duration mTarget = Seconds(1);
   // Longest pause between two events of a stream; zero where none is stated.
-  duration mPauseTarget{};
+  duration mEventGapTarget{};
   tier_number mTier = 0;
   // Callers need no token.
   bool mAnonymous = false;
@@ -85,7 +85,7 @@
 };
 
 // What is declared of a pool of model engines.
-struct engine_pool_facts
+struct engine_pool_spec
 {
   // Requests that an engine of the pool runs at a time.
   std::uint32_t mSlots = 0;
@@ -94,8 +94,8 @@
   // Tokens that one event of a stream may hold.
   std::uint32_t mTokensPerEvent = 1;
 
-  friend bool operator==(const engine_pool_facts&,
-                         const engine_pool_facts&) = default;
+  friend bool operator==(const engine_pool_spec&,
+                         const engine_pool_spec&) = default;
 };
 
 struct routed_pool
@@ -104,7 +104,7 @@
   // Connections that an endpoint accepts, over all instances; 0: not stated.
   std::uint32_t mConnectionLimit = 0;
   // Absent for a pool of plain services.
-  std::optional<engine_pool_facts> mEngine;
+  std::optional<engine_pool_spec> mEngine;
 
   friend bool operator==(const routed_pool&, const routed_pool&) = default;
 };
@@ -121,14 +121,15 @@
 };
 
 // Bounds on what a caller's connection may take.
-struct caller_bounds
+struct caller_connection_limits
 {
   std::uint32_t mMaxHeaderBytes = 16 * 1024;
   std::size_t mMaxBodyBytes = std::size_t{ 4 } << 20U;
   duration mHeaderTimeout = Seconds(10);
   duration mIdleTimeout = Seconds(60);
 
-  friend bool operator==(const caller_bounds&, const caller_bounds&) = default;
+  friend bool operator==(const caller_connection_limits&,
+                         const caller_connection_limits&) = default;
 };
 
 struct routing_document
@@ -138,9 +139,9 @@
   std::vector<route> mRoutes;
   std::vector<routed_pool> mPools;
   // False: callers need no token, and no team is known.
-  bool mTokensNeeded = false;
+  bool mTokensRequired = false;
   std::vector<routed_team> mTeams;
-  caller_bounds mCallers;
+  caller_connection_limits mCallers;
 
   friend bool operator==(const routing_document&,
                          const routing_document&) = default;
--- a/thornhollow/routing/routing_table.cc
+++ b/thornhollow/routing/routing_table.cc
@@ -27,17 +27,17 @@
 routing_table::routing_table(routing_document aDocument)
   : mDocument(std::move(aDocument))
 {
-  for (std::size_t at = 0; at < mDocument.mRoutes.size(); ++at) {
-    const route& each = mDocument.mRoutes[at];
-    mRoutes.emplace(HostKey(each.mHost) + each.mPathPrefix, at);
+  for (std::size_t index = 0; index < mDocument.mRoutes.size(); ++index) {
+    const route& each = mDocument.mRoutes[index];
+    mRoutes.emplace(HostKey(each.mHost) + each.mPathPrefix, index);
   }
-  for (std::size_t at = 0; at < mDocument.mTeams.size(); ++at) {
-    for (const std::string& token : mDocument.mTeams[at].mTokens) {
-      mTokens.emplace(token, at);
+  for (std::size_t index = 0; index < mDocument.mTeams.size(); ++index) {
+    for (const std::string& token : mDocument.mTeams[index].mTokens) {
+      mTokens.emplace(token, index);
     }
   }
-  for (std::size_t at = 0; at < mDocument.mPools.size(); ++at) {
-    mPools.emplace(mDocument.mPools[at].mName, at);
+  for (std::size_t index = 0; index < mDocument.mPools.size(); ++index) {
+    mPools.emplace(mDocument.mPools[index].mName, index);
   }
 }
 
@@ -60,7 +60,7 @@
 }
 
 const routed_team*
-routing_table::TeamOf(std::string_view aToken) const
+routing_table::TeamForToken(std::string_view aToken) const
 {
   const auto found = mTokens.find(std::string(aToken));
   return found == mTokens.end() ? nullptr : &mDocument.mTeams[found->second];
@@ -74,16 +74,16 @@
 }
 
 const pool_name*
-routing_table::PoolFor(const route& aRoute, std::uint64_t aHash)
+routing_table::SelectPool(const route& aRoute, std::uint64_t aHash)
 {
-  std::uint64_t sum = 0;
+  std::uint64_t totalWeight = 0;
   for (const pool_weight& each : aRoute.mPools) {
-    sum += each.mWeight;
+    totalWeight += each.mWeight;
   }
-  if (sum == 0) {
+  if (totalWeight == 0) {
     return nullptr;
   }
-  std::uint64_t point = aHash % sum;
+  std::uint64_t point = aHash % totalWeight;
   for (const pool_weight& each : aRoute.mPools) {
     if (point < each.mWeight) {
       return &each.mPool;
@@ -100,14 +100,14 @@
 }
 
 std::uint32_t
-EngineRank(const route& aRoute, tier_number aTier)
+EnginePriority(const route& aRoute, tier_number aTier)
 {
   // Of ten ranks, three for the teams of each route.
-  constexpr tier_number kTeamRanks = 3;
-  constexpr tier_number kLeastUrgent = 9;
-  const tier_number byRoute = std::min(aRoute.mTier, kLeastUrgent);
-  const tier_number byTeam = std::min(aTier, kTeamRanks - 1);
-  return std::min(byRoute * kTeamRanks + byTeam, kLeastUrgent);
+  constexpr tier_number kLevelsPerRoute = 3;
+  constexpr tier_number kLowestPriority = 9;
+  const tier_number routeLevel = std::min(aRoute.mTier, kLowestPriority);
+  const tier_number tierLevel = std::min(aTier, kLevelsPerRoute - 1);
+  return std::min(routeLevel * kLevelsPerRoute + tierLevel, kLowestPriority);
 }
 
 tier_number
--- a/thornhollow/routing/routing_table.h
+++ b/thornhollow/routing/routing_table.h
@@ -3,7 +3,7 @@
 //
 //   const routing_table_ptr table = MakeRoutingTable(document);
 //   if (const route* found = table->Match("dispatch.example", "/plans/3")) {
-//     const pool_name& pool = table->PoolFor(*found, Hash64(requestId));
+//     const pool_name& pool = table->SelectPool(*found, Hash64(requestId));
 //   }
 //
 #ifndef THORNHOLLOW_ROUTING_ROUTING_TABLE_H_
@@ -37,14 +37,14 @@
   const route* Match(std::string_view aHost, std::string_view aPath) const;
 
   // The team that holds this token, or null.
-  const routed_team* TeamOf(std::string_view aToken) const;
+  const routed_team* TeamForToken(std::string_view aToken) const;
 
   // Null for a pool that no document declares.
   const routed_pool* Pool(const pool_name& aName) const;
 
   // The pool for the request with this hash, by the weights. The same hash
   // gives the same pool on every instance. Null where no pool has weight.
-  static const pool_name* PoolFor(const route& aRoute, std::uint64_t aHash);
+  static const pool_name* SelectPool(const route& aRoute, std::uint64_t aHash);
 
 private:
   routing_document mDocument;
@@ -71,7 +71,7 @@
 // second, a driver's note or a short tag is interrupted while another team's
 // plan of many pages, which may wait, runs on.
 std::uint32_t
-EngineRank(const route& aRoute, tier_number aTier);
+EnginePriority(const route& aRoute, tier_number aTier);
 
 } // namespace thornhollow
 
--- a/thornhollow/routing/routing_table_test.cc
+++ b/thornhollow/routing/routing_table_test.cc
@@ -6,26 +6,26 @@
 namespace {
 
 route
-Route(std::string aHost, std::string aPrefix, std::string aName)
+MakeRoute(std::string aHost, std::string aPrefix, std::string aName)
 {
-  route made;
-  made.mHost = std::move(aHost);
-  made.mPathPrefix = std::move(aPrefix);
-  made.mName = std::move(aName);
-  made.mPools = { { pool_name("engines"), 1 } };
-  return made;
+  route result;
+  result.mHost = std::move(aHost);
+  result.mPathPrefix = std::move(aPrefix);
+  result.mName = std::move(aName);
+  result.mPools = { { pool_name("engines"), 1 } };
+  return result;
 }
 
 struct table_with_nested_routes
 {
   routing_table_ptr mTable = MakeRoutingTable({
     .mVersion = 3,
-    .mRoutes = { Route("a.example", "/", "root"),
-                 Route("a.example", "/plans/", "plans"),
-                 Route("a.example", "/plans/long/", "long"),
-                 Route("b.example", "/notes/", "notes") },
+    .mRoutes = { MakeRoute("a.example", "/", "root"),
+                 MakeRoute("a.example", "/plans/", "plans"),
+                 MakeRoute("a.example", "/plans/long/", "long"),
+                 MakeRoute("b.example", "/notes/", "notes") },
     .mPools = { { pool_name("engines"), 10, std::nullopt } },
-    .mTokensNeeded = true,
+    .mTokensRequired = true,
     .mTeams = { { team_name("office"), { "t1", "t2" }, 1 },
                 { team_name("field"), { "t3" }, std::nullopt } },
     .mCallers = {},
@@ -67,61 +67,61 @@
 TEST_CASE_FIXTURE(table_with_nested_routes,
                   "routing_table/several_tokens/each_names_the_team")
 {
-  REQUIRE(mTable->TeamOf("t2") != nullptr);
-  CHECK(mTable->TeamOf("t2")->mName == team_name("office"));
-  CHECK(mTable->TeamOf("t3")->mName == team_name("field"));
-  CHECK(mTable->TeamOf("t4") == nullptr);
-  CHECK(mTable->TeamOf("") == nullptr);
+  REQUIRE(mTable->TeamForToken("t2") != nullptr);
+  CHECK(mTable->TeamForToken("t2")->mName == team_name("office"));
+  CHECK(mTable->TeamForToken("t3")->mName == team_name("field"));
+  CHECK(mTable->TeamForToken("t4") == nullptr);
+  CHECK(mTable->TeamForToken("") == nullptr);
 }
 
 TEST_CASE_FIXTURE(table_with_nested_routes,
                   "routing_table/tier/is_the_teams_where_it_has_one")
 {
-  route one = Route("a.example", "/", "root");
-  one.mTier = 2;
-  CHECK(EffectiveTier(one, mTable->TeamOf("t1")) == 1);
-  CHECK(EffectiveTier(one, mTable->TeamOf("t3")) == 2);
-  CHECK(EffectiveTier(one, nullptr) == 2);
+  route rootRoute = MakeRoute("a.example", "/", "root");
+  rootRoute.mTier = 2;
+  CHECK(EffectiveTier(rootRoute, mTable->TeamForToken("t1")) == 1);
+  CHECK(EffectiveTier(rootRoute, mTable->TeamForToken("t3")) == 2);
+  CHECK(EffectiveTier(rootRoute, nullptr) == 2);
 }
 
 TEST_CASE("routing_table/engine_rank/orders_by_route_then_by_tier")
 {
   // A driver's note is interrupted on an engine where a plan runs on: the plan
   // is of a team of a higher tier, and the engine was told the team's tier.
-  route note = Route("a.example", "/notes/", "notes");
+  route note = MakeRoute("a.example", "/notes/", "notes");
   note.mTier = 0;
-  route plan = Route("a.example", "/plans/", "plans");
+  route plan = MakeRoute("a.example", "/plans/", "plans");
   plan.mTier = 2;
   for (tier_number tier = 0; tier < 3; ++tier) {
-    CHECK(EngineRank(note, tier) < EngineRank(plan, 0));
+    CHECK(EnginePriority(note, tier) < EnginePriority(plan, 0));
   }
-  CHECK(EngineRank(note, 0) < EngineRank(note, 1));
-  CHECK(EngineRank(plan, 1) < EngineRank(plan, 2));
+  CHECK(EnginePriority(note, 0) < EnginePriority(note, 1));
+  CHECK(EnginePriority(plan, 1) < EnginePriority(plan, 2));
   plan.mTier = 4'000'000'000;
-  CHECK(EngineRank(plan, 4'000'000'000) == 9);
+  CHECK(EnginePriority(plan, 4'000'000'000) == 9);
 }
 
 TEST_CASE("routing_table/weights/share_hashes_in_proportion")
 {
-  route split = Route("a.example", "/", "split");
+  route split = MakeRoute("a.example", "/", "split");
   split.mPools = { { pool_name("old"), 90 },
                    { pool_name("none"), 0 },
                    { pool_name("new"), 10 } };
-  int fresh = 0;
+  int newCount = 0;
   for (std::uint64_t hash = 0; hash < 1000; ++hash) {
-    const pool_name* chosen = routing_table::PoolFor(split, hash);
+    const pool_name* chosen = routing_table::SelectPool(split, hash);
     REQUIRE(chosen != nullptr);
     CHECK(*chosen != pool_name("none"));
-    fresh += *chosen == pool_name("new") ? 1 : 0;
+    newCount += *chosen == pool_name("new") ? 1 : 0;
   }
-  CHECK(fresh == 100);
+  CHECK(newCount == 100);
 }
 
 TEST_CASE("routing_table/no_weight_at_all/names_no_pool")
 {
-  route split = Route("a.example", "/", "split");
+  route split = MakeRoute("a.example", "/", "split");
   split.mPools = { { pool_name("old"), 0 } };
-  CHECK(routing_table::PoolFor(split, 5) == nullptr);
+  CHECK(routing_table::SelectPool(split, 5) == nullptr);
 }
 
 } // namespace
--- a/thornhollow/tools/document_command.cc
+++ b/thornhollow/tools/document_command.cc
@@ -115,16 +115,16 @@
   lines += ExplainLine(IsStream(aRoute.mKind) ? "target for the first event"
                                               : "target for the answer",
                        Ms(aRoute.mTarget));
-  if (aRoute.mPauseTarget > duration::zero()) {
+  if (aRoute.mEventGapTarget > duration::zero()) {
     lines +=
-      ExplainLine("longest pause between events", Ms(aRoute.mPauseTarget));
+      ExplainLine("longest pause between events", Ms(aRoute.mEventGapTarget));
   }
   lines += ExplainLine("time limit", Ms(aRoute.mTimeout));
   return lines;
 }
 
 std::string
-CallerLines(const caller_bounds& aBounds)
+CallerLines(const caller_connection_limits& aBounds)
 {
   std::string lines = ExplainLine("header at most",
                                   fmt::format("{} bytes in {}",
@@ -161,7 +161,7 @@
     aDocument.mRoutes.size(),
     aDocument.mPools.size(),
     aDocument.mTeams.size(),
-    aDocument.mTokensNeeded ? "a" : "no");
+    aDocument.mTokensRequired ? "a" : "no");
   for (const std::string& each : notes) {
     done.mOut += "note: " + each + '\n';
   }
@@ -179,8 +179,8 @@
   if (found == nullptr) {
     return RefusedWith(404, "no route has this host and begins this path");
   }
-  const routed_team* team = table->TeamOf(aToken);
-  const bool tokenNeeded = aDocument.mTokensNeeded && !found->mAnonymous;
+  const routed_team* team = table->TeamForToken(aToken);
+  const bool tokenNeeded = aDocument.mTokensRequired && !found->mAnonymous;
   if (tokenNeeded && team == nullptr) {
     return RefusedWith(401, "route " + found->mName + " needs a team's token");
   }
@@ -194,7 +194,7 @@
     fmt::format(
       "{}, the {}'s", tier, team != nullptr && team->mTier ? "team" : "route"));
   done.mOut += ExplainLine("rank at engines (0 to 9)",
-                           std::to_string(EngineRank(*found, tier)));
+                           std::to_string(EnginePriority(*found, tier)));
   done.mOut += PoolLines(*table, *found);
   done.mOut += CallerLines(aDocument.mCallers);
   return done;
--- a/thornhollow/tools/document_command_test.cc
+++ b/thornhollow/tools/document_command_test.cc
@@ -12,9 +12,9 @@
   document_with_two_routes()
   {
     mDocument.mVersion = 7;
-    mDocument.mTokensNeeded = true;
+    mDocument.mTokensRequired = true;
     mDocument.mPools = {
-      { pool_name("notes"), 0, engine_pool_facts{ 64, 600'000, 5 } },
+      { pool_name("notes"), 0, engine_pool_spec{ 64, 600'000, 5 } },
       { pool_name("stock"), 0, std::nullopt }
     };
     route notes;
@@ -24,7 +24,7 @@
     notes.mKind = request_kind::kResumableStream;
     notes.mPools = { { pool_name("notes"), 1 } };
     notes.mTarget = Milliseconds(300);
-    notes.mPauseTarget = Milliseconds(200);
+    notes.mEventGapTarget = Milliseconds(200);
     notes.mTier = 2;
     route stock;
     stock.mName = "stock";
