--- a/thornhollow/discovery/endpoint_roster.cc
+++ b/thornhollow/discovery/endpoint_roster.cc
@@ -32,7 +32,7 @@
   if (found == mRecords.end()) {
     return {};
   }
-  // An endpoint that had said that it leaves does not come back.
+  // An endpoint that announced its shutdown does not register again.
   if (!RecentlyRecovered(aNow) || found->second.mEntry.mDraining) {
     mRecords.erase(found);
     return { endpoint_gone{ aName } };
@@ -107,7 +107,7 @@
 endpoint_roster::Tick(time_point aNow)
 {
   roster_changes changes;
-  // While the source is away nobody can register again.
+  // Endpoints can't renew their registration during an outage.
   if (IsSourceInOutage(aNow)) {
     return changes;
   }
--- a/thornhollow/discovery/endpoint_roster.h
+++ b/thornhollow/discovery/endpoint_roster.h
@@ -1,4 +1,4 @@
-// The endpoints that may get work, as the source lists them.
+// Tracks the endpoints that may receive work, as listed by the source.
 //
 //   endpoint_roster roster(roster_settings{});
 //   roster.OnSourceAnswered(now);
@@ -6,24 +6,26 @@
 //   Apply(roster.OnRemoved(endpoint_name("i-7"), now));
 //   Apply(roster.Tick(now));
 //
-// Guards against an outage of the source: entries are leases, and those of
-// healthy endpoints lapse while the source is away. It shows as every endpoint
-// vanishing in the moment in which the source returns, and the instance would
-// refuse everything until the endpoints have registered again. So an entry that
-// is missing right after an outage keeps its endpoint for as long as a live one
-// needs to come back, and only then counts as gone.
+// Guards against an outage of the source. Entries are leases, and those of
+// healthy endpoints expire while the source is unavailable. All endpoints would
+// then disappear as soon as the source recovers, and the instance would reject
+// every request until they have registered again. An entry that is missing
+// right after an outage is therefore kept for a grace period in which a live
+// endpoint can register again.
 //
-// Guards against taking endpoints that leave for lapsed ones. It shows as work
-// sent to endpoints seconds after they left. That several leave at once says
-// nothing: a copy from a peer holds the changes of some hundred milliseconds.
-// Nor does it that the source doesn't answer this instance, or some other: that
-// may be their own path, and leases lapse only where the source is away for
-// all. So an outage is a time of failing calls in which it answered nobody, by
-// what all tell; who has seen its end tells peers with their copies.
+// Guards against treating endpoints that shut down as endpoints with an expired
+// lease, which would send them work for seconds after they have gone. Several
+// removals at once are no evidence of an outage: a copy from a peer batches the
+// changes of a few hundred milliseconds. Neither are failed calls of this
+// instance or of one peer, which may be caused by their own network path;
+// leases expire only if the source is unavailable to all. An outage is
+// therefore a period of failing calls in which, by all reports, the source
+// answered no instance. An instance that observes the recovery reports it to
+// its peers together with its copies.
 //
-// Guards against a restart under the same name: the new process holds and knows
-// nothing of before. It shows as a later start time, and is reported as the old
-// lifetime's end and a new one's beginning.
+// Guards against a restart under the same name: the new process has no requests
+// in flight and no cached state. It is detected by its start time and reported
+// as the end of the old lifetime and the beginning of a new one.
 #ifndef THORNHOLLOW_DISCOVERY_ENDPOINT_ROSTER_H_
 #define THORNHOLLOW_DISCOVERY_ENDPOINT_ROSTER_H_
 
@@ -42,28 +44,28 @@
 // One entry of the source's list.
 struct listed_endpoint
 {
-  // Unique among the endpoints that live at a time.
+  // Unique among the endpoints that are alive at the same time.
   endpoint_name mName;
   pool_name mPool;
-  // IP number and port. Addresses of endpoints that ended are used again, also
-  // by other pools.
+  // IP address and port. Addresses of terminated endpoints are reused, also by
+  // other pools.
   std::string mAddress;
   domain_name mDomain;
-  // Requests that it runs at a time; 0: not stated.
+  // Requests that it runs concurrently; 0 if not stated.
   std::uint32_t mSlots = 0;
-  // Takes no new work and ends soon.
+  // Accepts no new work and will shut down soon.
   bool mDraining = false;
-  // How much longer it is slow after its start, as of the entry's writing.
+  // Remaining warm-up time after its start, as of when the entry was written.
   duration mWarmUp{};
-  // When its process started, by its own clock; 0: not stated. Tells lifetimes
-  // of one name apart, nothing else.
+  // Start time of its process by its own clock; 0 if not stated. Only used to
+  // distinguish lifetimes under the same name.
   std::int64_t mStartedMs = 0;
 
   friend bool operator==(const listed_endpoint&,
                          const listed_endpoint&) = default;
 };
 
-// A process began to serve under this name: nothing known of the name holds.
+// A process started under this name. State kept for the name is obsolete.
 struct endpoint_joined
 {
   listed_endpoint mEndpoint;
@@ -71,7 +73,7 @@
   friend bool operator==(const endpoint_joined&,
                          const endpoint_joined&) = default;
 };
-// The entry says something else now, of the same process.
+// The entry of a running process changed.
 struct endpoint_updated
 {
   listed_endpoint mEndpoint;
@@ -79,7 +81,7 @@
   friend bool operator==(const endpoint_updated&,
                          const endpoint_updated&) = default;
 };
-// Gets no new work.
+// The endpoint must not receive new work.
 struct endpoint_gone
 {
   endpoint_name mName;
@@ -92,17 +94,18 @@
 
 struct roster_settings
 {
-  // Entries that lapsed during an outage are back within two seconds of its
-  // end; a tenth less, so that a removal that was real is acted on within two
-  // seconds of the source's return as well.
+  // How long entries that expired during an outage are kept after the recovery.
+  // Live endpoints register again within two seconds; the period is a tenth
+  // shorter so that a real removal also takes effect within two seconds of the
+  // recovery.
   duration mRecoveryGracePeriod = Milliseconds(1800);
-  // Two peers' words of one return differ by the time that they took to come;
-  // a return that is told of as later by less than this is the same one, or
-  // the window would grow with each word.
+  // Reports of the same recovery by different peers differ by their transit
+  // time. A reported recovery that is later by less than this is the same one;
+  // otherwise each report would extend the grace period.
   duration mSameRecoveryWindow = Seconds(1);
-  // Without an answer to anybody for so long leases may lapse: each is renewed
-  // several times in the time for which it holds. Where nothing changes peers
-  // tell of an answer every second, and a word of theirs may be lost.
+  // Leases may have expired if the source answered no instance for this long.
+  // Each lease is renewed several times within its lifetime. Without changes,
+  // peers report an answer every second, and one of their messages may be lost.
   duration mMinOutage = Seconds(2);
 
   friend bool operator==(const roster_settings&,
@@ -118,45 +121,46 @@
   }
 
   roster_changes OnListed(const listed_endpoint& aEntry, time_point aNow);
-  // The source lists no endpoint of this name any more.
+  // The source no longer lists an endpoint of this name.
   roster_changes OnRemoved(const endpoint_name& aName, time_point aNow);
 
-  // A call to the source fails, here or, by its word, at some peer.
+  // A call to the source failed, on this instance or as reported by a peer.
   void OnSourceFailed(time_point aNow);
-  // The source answered this instance or some other at that moment; to be told
-  // before what it answered with.
+  // The source answered this or another instance at `aAt`. To be called before
+  // the contents of that answer are applied.
   void OnSourceAnswered(time_point aAt);
-  // A peer told that the source came back from an outage at `aThen`.
+  // A peer reported that the source recovered from an outage at `aAt`.
   void OnRecoveryReported(time_point aAt);
-  // Whether the source is away for all, as far as is known.
+  // Whether the source is unavailable to all instances, as far as is known.
   bool IsSourceInOutage(time_point aNow) const;
-  // How long ago the source came back from an outage, for peers that don't ask
-  // it themselves; nothing once no lapsed entry can be missing for that reason.
+  // Time since the source recovered from an outage, reported to peers that
+  // don't read the source themselves. Nothing after the grace period or during
+  // an outage.
   std::optional<duration> TimeSinceRecovery(time_point aNow) const;
 
-  // Removes what is missing for too long. To be called every 100 ms.
+  // Removes entries whose grace period has ended. To be called every 100 ms.
   roster_changes Tick(time_point aNow);
 
-  // By name, those that still count though they are missing included.
+  // Sorted by name, including missing entries within their grace period.
   std::vector<listed_endpoint> Endpoints() const;
-  // Whether it is one of them.
+  // Whether `Endpoints` includes this endpoint.
   bool Contains(const endpoint_name& aName) const;
 
 private:
   struct record
   {
     listed_endpoint mEntry;
-    // Set while the source lists it no more but it still counts.
+    // Set while the source no longer lists the endpoint but it is still kept.
     std::optional<time_point> mExpiresAt;
   };
 
   roster_settings mSettings;
-  // The source came back from an outage at that moment.
+  // Records a recovery of the source at `aAt`.
   void OnRecovered(time_point aAt);
   bool RecentlyRecovered(time_point aNow) const;
 
   std::map<endpoint_name, record> mRecords;
-  // A call has failed since the last answer to anybody.
+  // A call failed since the last answer to any instance.
   bool mCallFailed = false;
   std::optional<time_point> mLastAnswer;
   std::optional<time_point> mRecoveredAt;
--- a/thornhollow/discovery/endpoint_roster_test.cc
+++ b/thornhollow/discovery/endpoint_roster_test.cc
@@ -29,8 +29,8 @@
   }
 };
 
-// Guards against leaving endpoints that get work on, where others read the
-// source and several leave within one copy.
+// Guards against sending work to endpoints that have gone, where a peer reads
+// the source and one copy contains several removals.
 TEST_CASE_FIXTURE(roster_with_two_endpoints,
                   "endpoint_roster/two_removed_at_once/both_are_gone_at_once")
 {
@@ -38,8 +38,8 @@
   CHECK(mRoster.OnRemoved(endpoint_name("b"), mNow).size() == 1);
 }
 
-// Guards against dropping live endpoints where others read the source, whose
-// outage isn't seen here.
+// Guards against dropping live endpoints where a peer reads the source and the
+// outage isn't observed locally.
 TEST_CASE_FIXTURE(roster_with_two_endpoints,
                   "endpoint_roster/told_of_an_outage/lapsed_ones_count_on")
 {
@@ -50,7 +50,8 @@
   CHECK(mRoster.Tick(mNow).size() == 1);
 }
 
-// Guards against a window that grows with each peer's word of one return.
+// Guards against extending the grace period with each peer's report of the same
+// recovery.
 TEST_CASE_FIXTURE(roster_with_two_endpoints,
                   "endpoint_roster/told_twice_of_one_outage/window_stays")
 {
@@ -65,8 +66,8 @@
   CHECK_FALSE(mRoster.TimeSinceRecovery(recovered + Milliseconds(1'800)));
 }
 
-// Guards against a return that nobody saw: an instance whose own calls fail
-// doesn't know when the source answers again.
+// Guards against reporting a recovery that was not observed: an instance whose
+// own calls fail doesn't know when the source answers again.
 TEST_CASE_FIXTURE(roster_with_two_endpoints,
                   "endpoint_roster/source_fails/no_return_is_told")
 {
@@ -76,8 +77,8 @@
   CHECK(mRoster.OnRemoved(endpoint_name("a"), mNow + Seconds(9)).size() == 1);
 }
 
-// Guards against endpoints that get work for seconds after they left, as the
-// source didn't answer this instance while it answered others.
+// Guards against sending work to removed endpoints for seconds because the
+// source did not answer this instance while it answered others.
 TEST_CASE_FIXTURE(roster_with_two_endpoints,
                   "endpoint_roster/source_fails_here_only/removed_is_gone")
 {
@@ -92,7 +93,7 @@
   CHECK(mRoster.OnRemoved(endpoint_name("a"), mNow).size() == 1);
 }
 
-// Guards against taking a quiet source for one that was away.
+// Guards against treating a source without traffic as one in an outage.
 TEST_CASE_FIXTURE(roster_with_two_endpoints,
                   "endpoint_roster/no_answer_for_long_and_no_failure/no_outage")
 {
@@ -102,7 +103,8 @@
   CHECK(mRoster.OnRemoved(endpoint_name("a"), mNow).size() == 1);
 }
 
-// Guards against a window that begins anew with each short failure after it.
+// Guards against restarting the grace period with each short failure after it
+// began.
 TEST_CASE_FIXTURE(roster_with_two_endpoints,
                   "endpoint_roster/fails_again_after_an_outage/window_stays")
 {
@@ -127,8 +129,8 @@
 TEST_CASE_FIXTURE(roster_with_two_endpoints,
                   "endpoint_roster/lapsed_in_an_outage/counts_till_it_returns")
 {
-  // Callers get 503 for a second after each outage of the source: the leases
-  // lapsed meanwhile, the first listing afterwards is empty, and the endpoints,
+  // Guards against 503 responses for a second after an outage: leases expired
+  // meanwhile, so the first listing afterwards is empty, and the endpoints,
   // which never stopped serving, register again a moment later.
   mRoster.OnSourceFailed(mNow + Seconds(1));
   mNow += Seconds(5);
@@ -161,8 +163,8 @@
 TEST_CASE_FIXTURE(roster_with_two_endpoints,
                   "endpoint_roster/started_again_under_its_name/is_a_new_one")
 {
-  // Requests are sent for a cached prompt that is not there any more: the
-  // engine crashed and started again under its name.
+  // Guards against routing for a cached prompt that is gone because the engine
+  // crashed and restarted under the same name.
   const auto changes = mRoster.OnListed(MakeEntry("a", 2), mNow);
   REQUIRE(changes.size() == 2);
   CHECK(std::holds_alternative<endpoint_gone>(changes[0]));
--- a/thornhollow/discovery/item_mirror.cc
+++ b/thornhollow/discovery/item_mirror.cc
@@ -67,7 +67,7 @@
                    bool aIsUnresolved)
 {
   std::vector<item_change> applied;
-  // With removals of what wasn't held here: a peer may hold it.
+  // Includes deletions of items that are unknown here, as a peer may hold them.
   std::vector<item_change> recorded;
   for (const item_change& each : aChanges) {
     if (each.mRevision <= mRevision) {
--- a/thornhollow/discovery/item_mirror.h
+++ b/thornhollow/discovery/item_mirror.h
@@ -1,14 +1,15 @@
-// A local copy of the items that a read-only source publishes under one prefix,
-// kept in step by listings and changes, or by what a peer holds.
+// A local replica of the items that a read-only source publishes under one
+// prefix. It is updated by listings and changes of the source, or by a copy
+// from a peer.
 //
 //   item_mirror mirror;
 //   for (const item_change& each : mirror.OnListing(items, 412)) { ... }
 //   for (const item_change& each : mirror.OnChanges(changes, 415)) { ... }
 //
-// Guards against going back: the source, a lagging replica of it and peers may
-// answer late, and an older answer taken after a newer one would bring back a
-// removed endpoint or a revoked token. Every step carries the source's revision
-// counter, and nothing at or below the one already held is taken.
+// Guards against reverting to older state: the source, its lagging replicas and
+// peers may answer late, and an older answer applied after a newer one would
+// restore a removed endpoint or a revoked token. Every update carries the
+// source's revision, and older revisions than that of the replica are ignored.
 #ifndef THORNHOLLOW_DISCOVERY_ITEM_MIRROR_H_
 #define THORNHOLLOW_DISCOVERY_ITEM_MIRROR_H_
 
@@ -26,13 +27,13 @@
 {
   std::string mKey;
   std::string mValue;
-  // The source's counter at the item's last change.
+  // The source's revision at the last change of the item.
   std::uint64_t mRevision = 0;
 
   friend bool operator==(const source_item&, const source_item&) = default;
 };
 
-// One item written, or removed where there is no value.
+// An item was written, or deleted if there is no value.
 struct item_change
 {
   std::string mKey;
@@ -45,42 +46,43 @@
 class item_mirror
 {
 public:
-  // All items as of revision `aAt`. Returns what differs from the copy; nothing
-  // where the copy is newer. A listing at the copy's own revision repairs it.
+  // Applies a complete listing as of `aRevision`. Returns the differences to
+  // the replica; empty if the replica is newer. A listing at the replica's own
+  // revision is still applied and corrects differences.
   std::vector<item_change> OnListing(const std::vector<source_item>& aItems,
                                      std::uint64_t aRevision);
 
-  // All that the source changed after the copy's revision, up to `aAt`. Returns
-  // what is news here: a change that was seen already is left out.
+  // Applies all changes of the source after the replica's revision, up to
+  // `aRevision`. Returns those that were not known yet.
   std::vector<item_change> OnChanges(const std::vector<item_change>& aChanges,
                                      std::uint64_t aRevision);
 
-  // The same of what a peer answered with `Since(aAsked)`: it may lack items
-  // that came and went meanwhile. So it is taken only where the copy is still
-  // at the revision that it was asked for: one that has moved on may hold such
-  // an item, and would keep it.
+  // Applies a peer's answer to `ChangesSince(aRequestedAfter)`. The answer may
+  // omit items that were created and deleted meanwhile, so it is applied only
+  // if the replica is still at the requested revision: a replica that has
+  // advanced since may hold such an item and would never delete it.
   std::vector<item_change> OnPeerChanges(
     const std::vector<item_change>& aChanges,
     std::uint64_t aRequestedAfter,
     std::uint64_t aRevision);
 
-  // True once a listing was taken.
+  // Whether a listing was applied.
   bool Listed() const { return mListed; }
-  // The source's revision up to which the copy is complete; 0 before.
+  // The source's revision up to which the replica is complete; 0 initially.
   std::uint64_t Revision() const { return mRevision; }
-  // The same as of the last change that the copy took: a peer whose copy is
-  // complete up to there lacks nothing that is here.
+  // The revision of the last update that contained a change. A peer whose
+  // replica is complete up to this revision has all changes of this one.
   std::uint64_t LastChangeRevision() const { return mLastChangeRevision; }
   std::size_t size() const { return mItems.size(); }
   std::vector<source_item> Items() const;
 
-  // What changed after revision `aAfter`, of each item only the last change,
-  // the latest last: a configuration of hundreds of kilobytes of which three
-  // versions were missed is told once. Nothing where that is longer ago than
-  // the copy remembers, or lies inside a step of which it knows both ends only.
-  // A peer at such a revision may hold an item that had come and was gone again
-  // in that step: it kept it for good, and sent requests to an engine that no
-  // longer was.
+  // The last change of each item that changed after revision `aAfter`, oldest
+  // first; intermediate versions are omitted, as an item may be a configuration
+  // of hundreds of kilobytes. Nothing if the history doesn't reach back that
+  // far, or if `aAfter` lies within an update of which only the first and last
+  // revisions are known. A peer at such a revision may hold an item that was
+  // created and deleted within the update; it would never delete the item and
+  // would keep sending requests to an engine that no longer exists.
   std::optional<std::vector<item_change>> ChangesSince(
     std::uint64_t aAfter) const;
 
@@ -96,9 +98,10 @@
   std::uint64_t mLastChangeRevision = 0;
   std::map<std::string, stored_item> mItems;
 
-  // Changes remembered: minutes of those of a large site.
+  // Changes kept in the history; several minutes of changes of a large site.
   static constexpr std::size_t kMaxHistory = 256;
-  // Of a step from `aBefore` of which both ends are known only, or each change.
+  // Adds an update from `aBefore` to `aAfter` to the history. `aIsUnresolved`:
+  // the intermediate changes are not known.
   void RecordHistory(const std::vector<item_change>& aChanges,
                      std::uint64_t aBefore,
                      std::uint64_t aAfter,
@@ -107,11 +110,12 @@
                                  std::uint64_t aRevision,
                                  bool aIsUnresolved);
 
-  // Of each item the last change, the latest last.
+  // The last change of each item, oldest first.
   std::deque<item_change> mHistory;
-  // All changes after this revision are remembered.
+  // The history contains all changes after this revision.
   std::uint64_t mHistoryStart = 0;
-  // Steps of which both ends are known only: from, to.
+  // Updates, as first and last revision, whose intermediate changes are not
+  // known.
   std::deque<std::pair<std::uint64_t, std::uint64_t>> mUnresolvedSteps;
 };
 
--- a/thornhollow/discovery/item_mirror_test.cc
+++ b/thornhollow/discovery/item_mirror_test.cc
@@ -30,9 +30,9 @@
 TEST_CASE_FIXTURE(mirror_with_two_items,
                   "item_mirror/older_listing/changes_nothing")
 {
-  // A caller whose token was revoked is served again: an instance that was cut
-  // off asks a peer, whose answer is from before the revocation, and that
-  // answer arrives after the source's own.
+  // Guards against accepting a revoked token again: a partitioned instance
+  // requests a copy from a peer, the copy predates the revocation and arrives
+  // after the source's own answer.
   CHECK(mMirror.OnListing({ { "a", "old", 4 } }, 9).empty());
   CHECK(mMirror.Items().size() == 2);
   CHECK(mMirror.Revision() == 10);
@@ -48,8 +48,9 @@
   CHECK(mMirror.Items() == std::vector<source_item>{ { "a", "3", 11 } });
 }
 
-// Guards against an item that a peer keeps for good: it came and went in one
-// step of this copy, and the peer had heard of its coming only.
+// Guards against an item that a peer never deletes: it was created and deleted
+// within one update of this replica, and the peer has received only the
+// creation.
 TEST_CASE_FIXTURE(mirror_with_two_items,
                   "item_mirror/removal_of_what_is_not_held/is_told_to_peers")
 {
@@ -63,8 +64,8 @@
   CHECK(peer.Items() == mMirror.Items());
 }
 
-// Guards against questions for copies without news, each time that a reader's
-// watch ends.
+// Guards against peers requesting copies without changes each time that a
+// reader's watch ends.
 TEST_CASE_FIXTURE(mirror_with_two_items,
                   "item_mirror/source_moves_on_without_news/last_change_stays")
 {
@@ -104,8 +105,8 @@
   CHECK(mMirror.ChangesSince(390)->size() == 9);
 }
 
-// Guards against a peer that gets each version of a large document that it
-// missed, and against memory that grows with each of them.
+// Guards against sending a peer every version of a large document that it
+// missed, and against a history that grows with each version.
 TEST_CASE_FIXTURE(mirror_with_two_items,
                   "item_mirror/item_changed_often/its_last_change_is_told")
 {
--- a/thornhollow/discovery/item_source.h
+++ b/thornhollow/discovery/item_source.h
@@ -1,8 +1,9 @@
-// A source of items that can be listed and watched, and never written.
-//
-//   source.List("endpoints/", [](list_outcome aOutcome) { ... });
-//   source.Watch("endpoints/", 412, [](watch_outcome aOutcome) { ... });
+// Interface of a read-only source of items that can be listed and watched.
 //
+//   source.List("endpoints/", idleTimeout, onBytes,
+//               [](list_outcome aOutcome) { ... });
+//   source.Watch("endpoints/", 412, wait, idleTimeout, onBytes,
+//                [](watch_outcome aOutcome) { ... });
 #ifndef THORNHOLLOW_DISCOVERY_ITEM_SOURCE_H_
 #define THORNHOLLOW_DISCOVERY_ITEM_SOURCE_H_
 
@@ -18,7 +19,7 @@
 
 namespace thornhollow {
 
-// All items under the prefix as of revision `mAt`.
+// All items under the prefix as of revision `mRevision`.
 struct source_listing
 {
   std::vector<source_item> mItems;
@@ -27,7 +28,7 @@
   friend bool operator==(const source_listing&,
                          const source_listing&) = default;
 };
-// What changed, up to revision `mAt`; nothing where the wait ended first.
+// Changes up to revision `mRevision`; empty if the wait elapsed without any.
 struct source_changes
 {
   std::vector<item_change> mChanges;
@@ -36,12 +37,13 @@
   friend bool operator==(const source_changes&,
                          const source_changes&) = default;
 };
-// The source no longer knows what changed since then: list anew.
+// The source no longer has the history after the requested revision. A new
+// listing is needed.
 struct history_gone
 {
   friend bool operator==(const history_gone&, const history_gone&) = default;
 };
-// No usable answer; for logs.
+// The call failed; `mDetail` is for logs.
 struct source_failure
 {
   std::string mDetail;
@@ -50,7 +52,7 @@
                          const source_failure&) = default;
 };
 
-// Called while an answer comes, with the bytes that have come so far.
+// Called while a response is received, with the number of bytes so far.
 using response_progress = std::function<void(std::size_t aBytes)>;
 
 using list_outcome = std::variant<source_listing, source_failure>;
@@ -65,16 +67,16 @@
   item_source& operator=(const item_source&) = delete;
   virtual ~item_source() = default;
 
-  // `aDone` is called once, later; with a failure where nothing of an answer
-  // came for `aLimit`.
+  // Lists all items under `aPrefix`. Calls `aDone` once, asynchronously, with a
+  // failure if no part of the response arrives for `aIdleTimeout`.
   virtual void List(const std::string& aPrefix,
                     duration aIdleTimeout,
                     response_progress aOnBytes,
                     std::function<void(list_outcome)> aDone) = 0;
 
-  // Waits for changes after revision `aAfter`, for `aWait` at the most. `aDone`
-  // is called once, later; with a failure where nothing of an answer came for
-  // `aLimit` beyond it.
+  // Waits up to `aWait` for changes after revision `aAfter`. Calls `aDone`
+  // once, asynchronously, with a failure if no part of the response arrives for
+  // `aIdleTimeout` beyond the wait.
   virtual void Watch(const std::string& aPrefix,
                      std::uint64_t aAfter,
                      duration aWait,
--- a/thornhollow/discovery/knowledge_search_test.cc
+++ b/thornhollow/discovery/knowledge_search_test.cc
@@ -16,7 +16,7 @@
 
 using state = std::map<std::string, std::pair<std::string, std::uint64_t>>;
 
-// A source with all that it ever held.
+// A source that keeps all its revisions.
 class versioned_source
 {
 public:
@@ -60,11 +60,12 @@
 struct delta
 {
   std::vector<item_change> mChanges;
-  // The revision that a peer was asked for; nothing for the source's own.
+  // The revision for which a peer was asked; nothing for a response of the
+  // source.
   std::optional<std::uint64_t> mRequestedAfter = std::nullopt;
 };
 
-// An answer of the source or of a peer, on its way to an instance.
+// A response of the source or of a peer, in transit to an instance.
 struct message
 {
   std::size_t mTo = 0;
@@ -72,8 +73,8 @@
   std::uint64_t mRevision = 0;
 };
 
-// Instances that ask a source, of which any may be cut off, and each other;
-// answers overtake each other and come late.
+// Instances that read from a source and from each other. Any of them may be
+// partitioned from the source; responses are delayed and reordered.
 class mirror_network
 {
 public:
@@ -92,7 +93,7 @@
     }
   }
 
-  // All cuts end; whoever asks is answered.
+  // Ends all partitions and delivers all responses.
   void HealAll()
   {
     mPartitioned.assign(mMirrors.size(), false);
@@ -193,7 +194,7 @@
     CHECK(mirror.Revision() >= revisionBefore);
   }
 
-  // Each copy is what the source held at the copy's revision, all of it.
+  // Each mirror equals the source's complete state at the mirror's revision.
   void CheckAll() const
   {
     for (const item_mirror& each : mMirrors) {
@@ -222,9 +223,9 @@
   return more != nullptr ? std::strtoull(more, nullptr, 10) : 150;
 }
 
-// An instance that the source turns away lives by what its peers hold, which
-// may be older or newer than its own: a removed endpoint came back, or a change
-// between two answers was lost for good.
+// Instances that can't reach the source depend on copies from peers, which may
+// be older or newer than their own. Guards against restoring a removed endpoint
+// and against permanently losing a change between two responses.
 TEST_CASE("knowledge_search/cuts and late answers/never back, never a gap")
 {
   for (std::uint64_t seed = 1; seed <= Seeds(); ++seed) {
--- a/thornhollow/discovery/pending_calls.cc
+++ b/thornhollow/discovery/pending_calls.cc
@@ -27,9 +27,9 @@
   return mNewest && aNow >= mNewest->mDueAt && !IsReceiving(aNow);
 }
 
-// With no call on its way there is nothing to doubt: the next one is due. Nor
-// is there with one that was made a moment ago, which tells the same. A peer
-// that knew first says nothing of a call that was made before it told.
+// Without a pending call there is nothing to suspect: the next call is due
+// anyway. A very recent call already serves as a probe, unless a peer had a
+// change first: that says nothing about a call made before the peer's message.
 bool
 pending_calls::AllowsProbe(suspicion_reason aReason, time_point aNow) const
 {
--- a/thornhollow/discovery/pending_calls.h
+++ b/thornhollow/discovery/pending_calls.h
@@ -1,17 +1,18 @@
-// The calls to the source that are on their way beside each other: whether
-// another one is to be made, as nothing of an answer comes.
+// Tracks the concurrent calls to the source and decides whether another one is
+// needed because no response data arrives.
 //
 //   pending_calls calls;
-//   round.OnSent(call, now);
-//   round.OnBytes(now);                  // for each part of an answer
-//   if (round.Overdue(now)) { ... make another call, OnSent again ... }
-//   round.End();                         // an answer is whole, or none will be
+//   calls.OnSent(call, now);
+//   calls.OnBytes(now);                   // for each part of a response
+//   if (calls.IsOverdue(now)) { ... }     // make another call, OnSent again
+//   calls.Clear();                        // a response is complete, or given
+//   up
 //
-// Guards against giving up what is only slow: an answer of hundreds of
-// kilobytes takes longer on a narrow link than a silent source may be waited
-// for. It shows as calls that are made beside each other until none of their
-// answers comes whole, as each has a smaller part of the link. So an answer
-// counts as overdue only while nothing of it comes.
+// Guards against giving up on a slow transfer: a response of hundreds of
+// kilobytes takes longer on a narrow link than the time-out for an unresponsive
+// source. Concurrent calls would accumulate, each with a smaller share of the
+// bandwidth, until none of them completes. A response is therefore overdue only
+// while no data arrives.
 #ifndef THORNHOLLOW_DISCOVERY_PENDING_CALLS_H_
 #define THORNHOLLOW_DISCOVERY_PENDING_CALLS_H_
 
@@ -24,9 +25,10 @@
 
 struct pending_calls_settings
 {
-  // A call isn't doubted before: answers take a few milliseconds.
+  // No probe is made for a younger call; responses take a few milliseconds.
   duration mMinProbeAge = Milliseconds(200);
-  // Between two parts of an answer: a lost packet comes again within.
+  // Maximum gap between two parts of a response; a lost packet is retransmitted
+  // within it.
   duration mMaxPartGap = Milliseconds(600);
 
   friend bool operator==(const pending_calls_settings&,
@@ -41,22 +43,22 @@
   {
   }
 
-  // A call was made beside those on their way.
+  // Another call was made, concurrently with any pending ones.
   void OnSent(const source_call& aCall, time_point aNow);
-  // A part of an answer to any of them came.
+  // Part of a response to any pending call arrived.
   void OnBytes(time_point aNow) { mLastBytesAt = aNow; }
-  // None of them counts any more.
+  // Stops tracking all calls.
   void Clear();
 
-  // Whether a call is on its way.
+  // Whether any call is pending.
   bool IsPending() const { return mNewest.has_value(); }
-  // Whether a part of an answer came a moment ago.
+  // Whether part of a response arrived recently.
   bool IsReceiving(time_point aNow) const;
-  // Whether the newest call's answer is overdue and nothing of any comes.
+  // Whether the newest call is overdue and no data arrives for any call.
   bool IsOverdue(time_point aNow) const;
-  // Whether a reason to doubt the calls on their way is one to make another.
+  // Whether a suspicion about the pending calls justifies another call.
   bool AllowsProbe(suspicion_reason aReason, time_point aNow) const;
-  // How long ago the newest was made; zero where none is on its way.
+  // Time since the newest call was made; zero if none is pending.
   duration NewestCallAge(time_point aNow) const;
 
 private:
--- a/thornhollow/discovery/pending_calls_test.cc
+++ b/thornhollow/discovery/pending_calls_test.cc
@@ -27,8 +27,8 @@
   CHECK(mCalls.IsOverdue(mStart + Milliseconds(2'350)));
 }
 
-// Guards against a document of hundreds of kilobytes that is asked for again
-// while it comes, and then comes twice as slowly.
+// Guards against requesting a document of hundreds of kilobytes again during
+// its transfer, which halves the bandwidth of both transfers.
 TEST_CASE_FIXTURE(calls_with_watch,
                   "call_round/large_answer/its_transfer_is_waited_for")
 {
@@ -41,7 +41,8 @@
   }
 }
 
-// Guards against waiting for an answer whose source fell silent in its middle.
+// Guards against waiting for a response whose source becomes unresponsive in
+// the middle of the transfer.
 TEST_CASE_FIXTURE(calls_with_watch,
                   "call_round/answer_that_stops/is_overdue_within_a_second")
 {
--- a/thornhollow/discovery/relay_adapter.h
+++ b/thornhollow/discovery/relay_adapter.h
@@ -1,9 +1,8 @@
-// What a platform's adapter provides: names and decoders, and the source of
-// routes and endpoints. An adapter only translates; every decision about what
-// it hands over is the router's.
+// The interface of a platform's adapter: wire names, decoders, and the source
+// of routes and endpoints. An adapter only translates; all decisions about the
+// data are made by the router.
 //
 //   relay_adapter adapter = platform::MakeAdapter(io, "10.0.0.7:8223");
-//
 #ifndef THORNHOLLOW_DISCOVERY_RELAY_ADAPTER_H_
 #define THORNHOLLOW_DISCOVERY_RELAY_ADAPTER_H_
 
@@ -24,12 +23,13 @@
 {
   relay_names mNames;
   std::unique_ptr<item_source> mSource;
-  // The one item that holds the configuration, and a prefix that it is under.
+  // Key of the item that holds the configuration, and a prefix that includes
+  // it.
   std::string mDocumentPrefix;
   std::string mDocumentKey;
-  // The items below are the endpoints' entries.
+  // Prefix of the endpoints' entries.
   std::string mEndpointPrefix;
-  // Where the balancer asks for readiness.
+  // Path of the load balancer's readiness check.
   std::string mReadinessPath;
 
   std::function<result<routing_document>(std::string_view aBytes)>
@@ -37,7 +37,7 @@
   std::function<result<listed_endpoint>(std::string_view aKey,
                                         std::string_view aBytes)>
     mReadEndpoint;
-  // Whose entry stands under this key.
+  // The name of the endpoint whose entry has this key.
   std::function<endpoint_name(std::string_view aKey)> mEndpointName;
 };
 
--- a/thornhollow/discovery/source_follower.cc
+++ b/thornhollow/discovery/source_follower.cc
@@ -54,8 +54,8 @@
 source_call
 source_follower::OnOverdue(const item_mirror& aMirror, time_point aNow)
 {
-  // One answer may be late; the next one, to a call that need not wait, tells
-  // whether the source answers at all.
+  // A single response may be late; the next call, a probe that returns at once,
+  // shows whether the source responds at all.
   if (mProbing || Failing()) {
     RecordFailure(aNow);
   }
@@ -98,13 +98,14 @@
 void
 source_follower::RecordDelay(duration aDelay)
 {
-  // One answer that was late by far doesn't make the next ones be waited for.
+  // Bounded so that a single very late response doesn't prolong the time-out.
   mMaxRecentDelay = std::max(std::min(aDelay, mSettings.mMaxResponseTimeout),
                              mMaxRecentDelay / 2);
 }
 
-// What ends all instances' watches at once, such as news, begins them together
-// too: each then waits until its place, and the whole round from there on.
+// An event that ends all instances' watches at once, such as a change, also
+// starts the next ones together. Each instance first waits until its own
+// position, and for a full round of all readers from then on.
 duration
 source_follower::WatchWait() const
 {
@@ -202,8 +203,8 @@
   if (!mFailingSince) {
     mFailingSince = aNow;
   }
-  // A watch that waits tells nothing, so that the outage's end would go unseen
-  // until something changes; a listing answers at once.
+  // A waiting watch doesn't show the end of an outage until something changes;
+  // a listing is answered at once.
   mMustList = mMustList || InOutage(aNow);
 }
 
--- a/thornhollow/discovery/source_follower.h
+++ b/thornhollow/discovery/source_follower.h
@@ -1,28 +1,29 @@
-// Decides which call to a source comes next, so that a mirror of one prefix
-// stays in step: a listing first, then watches, each after the last.
+// Schedules the calls to a source that keep a mirror of one prefix up to date:
+// a listing first, then consecutive watches (long polls).
 //
 //   source_follower follower(source_follower_settings{}, seed);
-//   Make(follower.Start());
-//   Make(follower.OnWatched(outcome, mirror, now));
+//   Make(follower.Start(mirror));
+//   Make(follower.OnWatched(outcome, mirror, changes, now));
 //
-// Load this answers: an outage of the source with all instances asking it, and
-// its return. Refused calls come further and further apart, up to a bound, with
-// jitter, so that the source isn't met by all at the same moment.
+// Limits the load on the source during and after an outage, when all instances
+// call it: failed calls are retried with exponential backoff up to a bound and
+// with jitter, so that instances don't retry at the same moment.
 //
-// Guards against a source that falls silent for a moment: a watch that was open
-// then, and a call made then, is never answered, not even once the source is
-// back. It shows as a change that is acknowledged and in force nowhere, as all
-// wait. Three things hold it to less than two seconds, at any length of the
-// silence:
+// Guards against a source that is unresponsive for a moment. Watches that were
+// open then, and calls made then, are never answered, even after the source
+// recovers. If all instances wait for such calls, a change is acknowledged but
+// takes effect nowhere. Three measures bound the delay to less than two
+// seconds, whatever the length of the outage:
 //
-// - In each failure domain an instance's watch ends every second, in turn, also
-//   after a change that all heard of at once. So somebody asks anew.
-// - Nobody waits for an answer that is overdue and of which nothing comes:
-//   another call is made beside it, and the first answer to either is taken. A
-//   slow source is still heard.
-// - A reason to doubt a watch that is open brings such a call too: the same
-//   process' other call is overdue, a peer's failed, or a peer told of a change
-//   that this watch ought to have told of.
+// - In each failure domain one instance's watch ends every second, in turn,
+//   also after a change that ended all watches at once. Some instance therefore
+//   always makes a new call soon.
+// - If a response is overdue and no data arrives, another call is made
+//   concurrently, and the first response to either is used. A slow source is
+//   still usable.
+// - An open watch that is suspected to be dead also triggers such a call: the
+//   process' other call is overdue, a peer's call failed, or a peer reported a
+//   change that this watch should have returned.
 #ifndef THORNHOLLOW_DISCOVERY_SOURCE_FOLLOWER_H_
 #define THORNHOLLOW_DISCOVERY_SOURCE_FOLLOWER_H_
 
@@ -39,14 +40,15 @@
 
 namespace thornhollow {
 
-// Which of the instances that ask the source in a failure domain this one is.
+// The position of this instance among the readers of the source in its failure
+// domain, which staggers the ends of their watches.
 struct watch_stagger
 {
-  // From 0, each once, and how many they are.
+  // Zero-based position, unique among the `mCount` readers.
   std::size_t mIndex = 0;
   std::size_t mCount = 1;
-  // Above 0, 1 at the most: the domain's part of a turn, so that the domains
-  // don't ask at the same moment either.
+  // In (0, 1]: the domain's offset as a fraction of the interval, so that the
+  // domains don't call the source at the same moment.
   double mPhase = 1;
 
   friend bool operator==(const watch_stagger&, const watch_stagger&) = default;
@@ -55,12 +57,12 @@
 // Why an open watch may never be answered.
 enum class suspicion_reason : std::uint8_t
 {
-  // A call of the same process for other items is overdue or failed.
+  // Another call of the same process, for other items, is overdue or failed.
   kOtherCallFails,
-  // A peer tells that the source fails there.
+  // A peer reported that its calls to the source fail.
   kPeerFails,
-  // A peer's copy had a change that this watch, open for longer than telling of
-  // it takes, hasn't told of.
+  // A peer's copy contained a change that this watch has not returned, although
+  // it has been open for longer than the source takes to report changes.
   kPeerKnewFirst,
 };
 
@@ -70,44 +72,47 @@
 
 struct source_follower_settings
 {
-  // First pause after a refused call, doubled up to the longest. What the
-  // source publishes must be in force two seconds after an outage's end or so,
-  // and a call may take a moment: less than half a second leaves room for one
-  // refusal more.
+  // Delay after the first failed call, doubled for each further one up to the
+  // maximum. A published change must take effect about two seconds after the
+  // end of an outage, and a call may take a moment; a delay below half a second
+  // leaves time for one more failed call.
   duration mInitialBackoff = Milliseconds(100);
   duration mMaxBackoff = Milliseconds(400);
-  // Between a watch that told of something and the next, so that what follows
-  // comes in one answer: engines that join one after the other would be a call
-  // each for every instance. News that stands alone isn't delayed; other news
-  // by an eighth at most of the two seconds in which it must be known.
+  // Delay between a watch that returned changes and the next watch, to batch
+  // further changes: otherwise each engine of a group that starts one after the
+  // other costs one call per instance. A single change isn't delayed; following
+  // ones are delayed by at most an eighth of the two seconds within which they
+  // must be known.
   duration mCoalesceDelay = Milliseconds(250);
-  // Failing for so long counts as an outage; a shorter one is a cut connection
-  // or a refusal of one call, in which no lease lapses.
+  // Failures that last this long are an outage. Shorter ones are a broken
+  // connection or a single failed call, during which no lease expires.
   duration mOutageThreshold = Seconds(1);
-  // A watch of each domain ends so often. Half of the time in which a change
-  // must be in force: the rest is for a late answer and for telling peers.
+  // Interval at which one watch in each domain ends. Half the time within which
+  // a change must take effect; the other half allows for a late response and
+  // for updating peers.
   duration mStaggerInterval = Seconds(1);
-  // A watch waits no longer than so many turns.
+  // Maximum length of a watch, in intervals.
   std::size_t mMaxStaggerSlots = 20;
-  // A watch that is only to show whether the source answers.
+  // Wait of a watch that only probes whether the source responds.
   duration mProbeWait = Milliseconds(1);
-  // An answer is overdue so much later than the longest delay seen lately,
-  // within bounds.
+  // A response is overdue this long after the largest recent delay, within the
+  // bounds below.
   duration mTimeoutMargin = Milliseconds(100);
   duration mMinResponseTimeout = Milliseconds(150);
   duration mMaxResponseTimeout = Milliseconds(600);
-  // While the source fails: between calls, for each instance of the domain,
-  // within bounds. A large fleet's calls stay below what the source bears.
+  // While the source fails: interval between calls, per instance of the domain
+  // and within the bounds below. It keeps the calls of a large fleet below the
+  // capacity of the source.
   duration mRetryIntervalPerInstance = Milliseconds(50);
   duration mMinRetryInterval = Milliseconds(400);
   duration mMaxRetryInterval = Seconds(1);
-  // Taken for the longest delay before any was seen.
+  // Assumed largest delay before the first response.
   duration mInitialDelay = Milliseconds(250);
-  // An answer of which nothing came for so long after it was due, or after its
-  // last part, isn't waited for.
+  // A call is abandoned if no data arrives for this long after the response was
+  // due or after its last part.
   duration mIdleTimeout = Seconds(2);
-  // Between two calls for which the doubt is the same process' other call, or a
-  // peer's failure: many instances hear of that, for seconds.
+  // Minimum interval between probes triggered by the same process' other call,
+  // or by a peer's failure. Many instances receive such reports, for seconds.
   duration mOwnProbeInterval = Seconds(1);
   duration mPeerProbeInterval = Seconds(3);
 
@@ -118,15 +123,15 @@
 // The next call to the source.
 struct source_call
 {
-  // A listing, or a watch after `mAfter`.
+  // A listing, or a watch for changes after `mAfter`.
   bool mList = true;
   std::uint64_t mAfter = 0;
   duration mSendDelay{};
   // How long a watch waits for changes; zero for a listing.
   duration mWait{};
-  // Where nothing of the answer came after that long beyond the wait it is
-  // overdue, and `OnOverdue` is to be called; it is still taken up to the
-  // limit. See `pending_calls`.
+  // If no data arrives for this long beyond the wait, the response is overdue
+  // and `OnOverdue` is to be called. A later response is still used, up to
+  // `mIdleTimeout`. See `pending_calls`.
   duration mResponseTimeout{};
   duration mIdleTimeout{};
 
@@ -139,23 +144,24 @@
   source_follower(const source_follower_settings& aSettings,
                   std::uint64_t aSeed);
 
-  // The first call, and the one after anything that makes an answer on its way
-  // worthless, such as a pause of this process.
+  // Returns the first call, or the next call after an event that invalidates
+  // pending responses, such as a pause of this process.
   source_call Start(const item_mirror& aMirror);
-  // The answer to the newest call is overdue. Returns the call to make beside
-  // those on their way.
+  // The response to the newest call is overdue. Returns the call to make
+  // concurrently with the pending ones.
   source_call OnOverdue(const item_mirror& aMirror, time_point aNow);
-  // The call to make beside a watch on its way that may never be answered;
-  // nothing where that would tell no more than what is known.
+  // A pending watch is suspected to be dead. Returns the call to make
+  // concurrently, or nothing if it would yield no new information.
   std::optional<source_call> OnSuspected(suspicion_reason aReason,
                                          const item_mirror& aMirror,
                                          time_point aNow);
-  // This instance's turn among those that ask the source.
+  // Sets the position of this instance among the readers.
   void SetStagger(const watch_stagger& aStagger);
-  // An answer came so long after it was due: what later ones are allowed.
+  // Records how long after its due time a response arrived; adjusts the
+  // time-out of later ones.
   void RecordDelay(duration aDelay);
 
-  // Takes the answer into `aMirror`, appends what changed to `aNews`, and
+  // Applies the response to `aMirror`, appends the changes to `aChanges`, and
   // returns the next call.
   source_call OnListed(const list_outcome& aOutcome,
                        item_mirror& aMirror,
@@ -166,16 +172,17 @@
                         std::vector<item_change>& aChanges,
                         time_point aNow);
 
-  // The source isn't asked from here any more: what it last did says nothing.
+  // This instance no longer calls the source, so earlier failures are
+  // irrelevant.
   void StopReading() { ClearFailure(); }
 
-  // When the source last answered; what a peer told doesn't count. Nothing
-  // before the first answer.
+  // When the source last answered this instance; reports of peers don't count.
+  // Nothing before the first answer.
   std::optional<time_point> LastAnswer() const { return mLastAnswer; }
 
-  // The source has failed for longer than a moment.
+  // Whether the source has failed for at least `mOutageThreshold`.
   bool InOutage(time_point aNow) const;
-  // Two answers in a row were overdue, or the last one was a failure.
+  // Whether two responses in a row were overdue, or the last call failed.
   bool Failing() const { return mFailingSince.has_value(); }
 
 private:
@@ -193,15 +200,17 @@
   std::optional<time_point> mLastAnswer;
   duration mBackoff;
   watch_stagger mStagger;
-  // The last watch waited its whole turn in vain and the turn is the same.
+  // The last watch elapsed without changes and the position is unchanged, so
+  // the watches are staggered.
   bool mIsStaggered = false;
-  // The next watch is a short one.
+  // The next watch is a probe.
   bool mProbing = false;
-  // The last call that a doubt brought.
+  // The last probe triggered by a suspicion.
   std::optional<time_point> mLastProbe;
-  // Of the answers seen lately, the older the less it counts.
+  // Of recent responses; halved with each new one.
   duration mMaxRecentDelay;
-  // The source forgot what the mirror is to be continued with, or was away.
+  // A listing is needed: the source dropped the required history or was in an
+  // outage.
   bool mMustList = false;
 };
 
--- a/thornhollow/discovery/source_follower_test.cc
+++ b/thornhollow/discovery/source_follower_test.cc
@@ -37,19 +37,19 @@
   CHECK(mChanges.size() == 1);
 }
 
-// Ninety engines came up one after the other, and each of ninety instances made
-// a call for each of them.
+// Guards against one call per change: ninety engines started one after the
+// other, and each of ninety instances made a call for every one of them.
 TEST_CASE_FIXTURE(follower_after_listing,
                   "source_follower/news/what_follows_is_gathered")
 {
   mNext = mFollower.OnWatched(
     source_changes{ { { "a", "2", 12 } }, 12 }, mMirror, mChanges, mNow);
   CHECK(mNext.mSendDelay == Milliseconds(250));
-  // A watch that waited in vain is made again at once.
+  // A watch that elapsed without changes is repeated at once.
   mNext =
     mFollower.OnWatched(source_changes{ {}, 15 }, mMirror, mChanges, mNow);
   CHECK(mNext.mSendDelay == duration::zero());
-  // What was missed is never waited for.
+  // A listing after lost history is not delayed.
   mNext = mFollower.OnWatched(history_gone{}, mMirror, mChanges, mNow);
   CHECK(mNext.mList);
   CHECK(mNext.mAfter == 15);
@@ -59,8 +59,9 @@
 TEST_CASE_FIXTURE(follower_after_listing,
                   "source_follower/history_gone/lists_anew_until_it_succeeds")
 {
-  // An endpoint that left while the source dropped its history gets requests
-  // for ever: the watch goes on after the gap and never tells of it.
+  // Guards against requests to an endpoint that was removed while the source
+  // dropped its history: a watch that continues after the gap never reports the
+  // removal.
   mNext = mFollower.OnWatched(history_gone{}, mMirror, mChanges, mNow);
   CHECK(mNext.mList);
   mNext = mFollower.OnListed(source_failure{ "503" }, mMirror, mChanges, mNow);
@@ -89,9 +90,9 @@
 TEST_CASE_FIXTURE(follower_after_listing,
                   "source_follower/outage_over/is_seen_by_a_listing_at_once")
 {
-  // An endpoint that left after an outage got work for two seconds more: the
-  // source had been back for ten, but the watch had not answered yet, so that
-  // the entry was taken for one that had lapsed.
+  // Guards against sending work to a removed endpoint after an outage: if the
+  // recovery is only seen when the next watch returns, seconds later, the
+  // removal is taken for a lease that expired during the outage.
   mFollower.OnWatched(source_failure{}, mMirror, mChanges, mNow);
   CHECK_FALSE(
     mFollower
@@ -117,9 +118,10 @@
   CHECK(mFollower.InOutage(mNow + Milliseconds(1000)));
 }
 
-// The source fell silent for six seconds. All watches hung, were given up
-// within the silence and asked again into it, each for 22 s; the source had
-// been back for 12 s when a configuration came into force, everywhere at once.
+// The source is unresponsive for six seconds. Guards against abandoning open
+// watches during the outage and issuing new long ones into it: their 22 s waits
+// delayed a configuration change for 12 s after the recovery, on all instances
+// at once.
 struct eight_followers_of_unresponsive_source
 {
   static constexpr int kFollowerCount = 8;
@@ -130,7 +132,8 @@
     item_mirror mMirror;
     source_call mCall;
     time_point mEndsAt{};
-    // The source will answer when the call ends, else it is overdue then.
+    // Whether the source will answer at `mEndsAt`; otherwise the call is
+    // overdue then.
     bool mWillAnswer = true;
   };
 
@@ -154,8 +157,8 @@
     }
   }
 
-  // When somebody hears from the source what was written at `aWritten`, the
-  // source being silent from `aFrom` until `aUntil`.
+  // When the first follower receives a change written at `aWrittenAt`, if the
+  // source is unresponsive from `aOutageStart` until `aOutageEnd`.
   time_point FirstObserved(time_point aOutageStart,
                            time_point aOutageEnd,
                            time_point aWrittenAt)
@@ -256,11 +259,11 @@
   CHECK(result->mWait <= Milliseconds(500));
   CHECK(result->mResponseTimeout <= Milliseconds(500));
   CHECK_FALSE(suspect(Seconds(1)));
-  // Answered, it is still not asked again for a while.
+  // After a response, probes are still limited by the interval.
   mFollower.OnWatched(source_changes{ {}, 10 }, mMirror, mChanges, mNow);
   CHECK_FALSE(suspect(Milliseconds(2'900)));
   CHECK(suspect(Seconds(3)));
-  // Its own answer says more than a peer's failure.
+  // A recent response of its own outweighs a peer's failure.
   mFollower.OnWatched(
     source_changes{ {}, 10 }, mMirror, mChanges, mNow + Seconds(7));
   CHECK_FALSE(suspect(Seconds(7) + Milliseconds(500)));
@@ -273,13 +276,13 @@
     return mFollower.OnSuspected(
       suspicion_reason::kOtherCallFails, mMirror, mNow + aDelay);
   };
-  // Answered a moment ago: it knows as much.
+  // A recent response makes a probe unnecessary.
   CHECK_FALSE(suspect(Milliseconds(900)));
   CHECK(suspect(Seconds(1)));
 }
 
-// A change reached an instance from a peer while its own watch hung: the next
-// change was in force two seconds late, as nothing had been made of that.
+// Guards against ignoring that a peer had a change first: the instance's own
+// watch was dead, and the following change took effect two seconds late.
 TEST_CASE_FIXTURE(follower_after_listing,
                   "source_follower/peer_knew_first/asks_beside_its_watch")
 {
@@ -300,7 +303,7 @@
   mNext =
     mFollower.OnWatched(source_changes{ {}, 10 }, mMirror, mChanges, mNow);
   CHECK(mNext.mWait >= Seconds(1));
-  // Two in a row are a failure.
+  // Two overdue responses in a row are a failure.
   mFollower.OnOverdue(mMirror, mNow);
   mNext = mFollower.OnOverdue(mMirror, mNow);
   CHECK(mFollower.Failing());
@@ -308,7 +311,7 @@
   CHECK(mNext.mResponseTimeout <= Milliseconds(500));
 }
 
-// A source that answers slowly was asked again and again, as if it were silent.
+// Guards against calling a slow source repeatedly as if it were unresponsive.
 TEST_CASE_FIXTURE(follower_after_listing,
                   "source_follower/slow_answers/are_waited_for")
 {
@@ -322,8 +325,8 @@
   CHECK(mFollower.Start(mMirror).mResponseTimeout == Milliseconds(150));
 }
 
-// A change that all heard of began all watches together; the first of them
-// ended three seconds later, and a silence in between was seen by nobody.
+// Guards against watches that a change starts all at once: the first of them
+// ended three seconds later, and an outage in between went unnoticed.
 TEST_CASE("source_follower/news_for_all/watches_end_a_second_apart")
 {
   constexpr std::size_t kInstances = 3;
@@ -339,11 +342,11 @@
                         changes,
                         time_point());
     CHECK(ToSeconds(result.mWait) == static_cast<double>(index) + 0.5);
-    // From there on each waits a whole round.
+    // From then on each instance waits a full round.
     result = subject.OnWatched(
       source_changes{ {}, 12 }, mirror, changes, time_point());
     CHECK(result.mWait == Seconds(3));
-    // Others come or go: places are new.
+    // A change in the number of readers changes the positions.
     subject.SetStagger({ index, kInstances + 1, 0.5 });
     CHECK(ToSeconds(subject.Start(mirror).mWait) ==
           static_cast<double>(index) + 0.5);
