--- a/thornhollow/daemon/relay_gateway.cc
+++ b/thornhollow/daemon/relay_gateway.cc
@@ -41,7 +41,8 @@
 constexpr duration kBodyTimeout = Seconds(10);
 
 server_limits
-CallerLimits(const relay_settings& aSettings, const caller_bounds& aBounds)
+CallerLimits(const relay_settings& aSettings,
+             const caller_connection_limits& aBounds)
 {
   server_limits limits;
   limits.mMaxHeaderBytes = aBounds.mMaxHeaderBytes;
@@ -82,7 +83,7 @@
     , mDispatcher(aIo, aSettings, mAdapter.mNames, aLog, mMetrics)
     , mCallers(
         aIo,
-        CallerLimits(aSettings, caller_bounds{}),
+        CallerLimits(aSettings, caller_connection_limits{}),
         [this](caller_exchange_ptr aExchange) {
           mDispatcher.Serve(std::move(aExchange));
         },
@@ -166,12 +167,12 @@
   {
     relay_peer_callbacks callbacks;
     callbacks.mKnownRevisions = [this] {
-      return known_revisions{ mDocument.Mirror().At(),
-                              mEndpoints.Mirror().At() };
+      return known_revisions{ mDocument.Mirror().Revision(),
+                              mEndpoints.Mirror().Revision() };
     };
     callbacks.mChangeRevisions = [this] {
-      return known_revisions{ mDocument.Mirror().ChangedAt(),
-                              mEndpoints.Mirror().ChangedAt() };
+      return known_revisions{ mDocument.Mirror().LastChangeRevision(),
+                              mEndpoints.Mirror().LastChangeRevision() };
     };
     callbacks.mSourceFails = [this] { return Now() < mSourceFailsUntil; };
     callbacks.mSourceAnswered = [this] { return SourceAnswered(); };
@@ -201,14 +202,14 @@
   {
     const item_mirror& mirror = LinkOf(aRequest.mWhich).Mirror();
     items_answer answer{ aRequest.mWhich, 0, false, {} };
-    if (mirror.At() <= aRequest.mAfter) {
+    if (mirror.Revision() <= aRequest.mAfter) {
       return answer;
     }
-    answer.mAt = mirror.At();
+    answer.mAt = mirror.Revision();
     if (aRequest.mWhich == copied_items::kEndpoints) {
-      answer.mSourceBackFor = mRoster.RegainedFor(Now());
+      answer.mSourceBackFor = mRoster.TimeSinceRecovery(Now());
     }
-    if (auto changes = mirror.Since(aRequest.mAfter)) {
+    if (auto changes = mirror.ChangesSince(aRequest.mAfter)) {
       answer.mChangesOnly = true;
       answer.mItems = std::move(*changes);
       return answer;
@@ -224,7 +225,7 @@
     source_link& link = LinkOf(aCopy.mWhich);
     // Who reads the source has seen for itself whether it was away.
     if (aCopy.mSourceBackFor && !mReadsSource) {
-      mRoster.OnToldRegained(Now() - *aCopy.mSourceBackFor);
+      mRoster.OnRecoveryReported(Now() - *aCopy.mSourceBackFor);
     }
     if (aCopy.mChangesOnly) {
       link.OnPeerChanges(aCopy.mItems, aRequest.mAfter, aCopy.mAt);
@@ -261,13 +262,13 @@
     }
     RecordSourceAnswers();
     if (Now() < mSourceFailsUntil || mPeers.SourceFailsElsewhere(aNow)) {
-      mRoster.OnSourceFails(aNow);
+      mRoster.OnSourceFailed(aNow);
     }
     mReadsSource = mPeers.ShouldReadSource(aNow);
-    const watch_turn turn = mPeers.Turn(aNow);
+    const watch_stagger turn = mPeers.Turn(aNow);
     for (source_link* each : { &mDocument, &mEndpoints }) {
       each->SetReading(mReadsSource);
-      each->SetTurn(turn);
+      each->SetStagger(turn);
     }
     SuspectWatches(aNow);
   }
@@ -293,10 +294,10 @@
     for (const auto& [link, other] : { std::pair(&mDocument, &mEndpoints),
                                        std::pair(&mEndpoints, &mDocument) }) {
       if (other->Failing()) {
-        link->OnWatchSuspected(watch_doubt::kOtherCallFails, aNow);
+        link->OnWatchSuspected(suspicion_reason::kOtherCallFails, aNow);
       }
       if (peerFails) {
-        link->OnWatchSuspected(watch_doubt::kPeerFails, aNow);
+        link->OnWatchSuspected(suspicion_reason::kPeerFails, aNow);
       }
     }
   }
@@ -313,7 +314,7 @@
   bool Ready() const
   {
     return !mDrain.Begun() && mDispatcher.Table() &&
-           mEndpoints.Mirror().At() > 0;
+           mEndpoints.Mirror().Revision() > 0;
   }
 
   void AnswerReadiness(const caller_exchange_ptr& aExchange)
@@ -336,7 +337,7 @@
   static held_items HeldBy(const source_link& aLink, std::string aWhat)
   {
     return { std::move(aWhat),
-             aLink.Mirror().At(),
+             aLink.Mirror().Revision(),
              aLink.Mirror().size(),
              aLink.AnswerAge(Now()),
              aLink.Failing() };
@@ -448,8 +449,8 @@
   {
     const time_point now = Now();
     mDispatcher.Apply(mRoster.OnRemoved(aName, now));
-    if (mRoster.Counts(aName)) {
-      const auto sourceBackFor = mRoster.RegainedFor(now);
+    if (mRoster.Contains(aName)) {
+      const auto sourceBackFor = mRoster.TimeSinceRecovery(now);
       mLog.Write(
         log_level::kInfo,
         "endpoint_removal_put_off",
--- a/thornhollow/daemon/relay_session.cc
+++ b/thornhollow/daemon/relay_session.cc
@@ -97,9 +97,9 @@
   request_profile profile;
   profile.mTier = aTier;
   profile.mPromptTokens = aRequest.mPromptTokens;
-  profile.mEnginePriority = EngineRank(aRoute, aTier);
+  profile.mEnginePriority = EnginePriority(aRoute, aTier);
   profile.mTarget = aRoute.mTarget;
-  profile.mPause = aRoute.mPauseTarget;
+  profile.mPause = aRoute.mEventGapTarget;
   // The last part is the request's own.
   for (std::size_t at = 0; at + 1 < aRequest.mParts.size(); ++at) {
     const prompt_part& part = aRequest.mParts[at];
@@ -190,13 +190,14 @@
     if (mRoute == nullptr) {
       return error_kind::kUnknownPath;
     }
-    mTeam = mTable->TeamOf(mRelayRequest.mToken);
+    mTeam = mTable->TeamForToken(mRelayRequest.mToken);
     const bool allowsAnonymous =
-      mRoute->mAnonymous || !mTable->Document().mTokensNeeded;
+      mRoute->mAnonymous || !mTable->Document().mTokensRequired;
     if (mTeam == nullptr && !allowsAnonymous) {
       return error_kind::kUnauthenticated;
     }
-    mPool = routing_table::PoolFor(*mRoute, Hash64(mRelayRequest.mId.Text()));
+    mPool =
+      routing_table::SelectPool(*mRoute, Hash64(mRelayRequest.mId.Text()));
     return mPool == nullptr ? std::optional(error_kind::kNoEndpoint)
                             : std::nullopt;
   }
--- a/thornhollow/daemon/source_link.cc
+++ b/thornhollow/daemon/source_link.cc
@@ -7,7 +7,7 @@
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
 
-#include "thornhollow/discovery/call_round.h"
+#include "thornhollow/discovery/pending_calls.h"
 #include "thornhollow/net/clock.h"
 
 namespace thornhollow {
@@ -40,7 +40,7 @@
       Restart();
     }
     if (!aReads) {
-      mFollower.StopAsking();
+      mFollower.StopReading();
       RecordReadingStopped();
     }
   }
@@ -48,17 +48,17 @@
   void ScheduleCall(const source_call& aCall)
   {
     const std::uint64_t round = ++mRound;
-    mOpenCalls.End();
+    mOpenCalls.Clear();
     mIdle = !mReadsSource;
     if (mIdle) {
-      mFollower.StopAsking();
+      mFollower.StopReading();
       return;
     }
-    if (aCall.mPause <= duration::zero()) {
+    if (aCall.mSendDelay <= duration::zero()) {
       Send(aCall, round);
       return;
     }
-    mTimer.expires_after(aCall.mPause);
+    mTimer.expires_after(aCall.mSendDelay);
     mTimer.async_wait([weak = weak_from_this(),
                        round](const boost::system::error_code& aError) {
       const auto self = weak.lock();
@@ -71,22 +71,25 @@
 
   void Restart() { ScheduleCall(mFollower.Start(mMirror)); }
 
-  void OnWatchSuspected(watch_doubt aWhy, time_point aNow)
+  void OnWatchSuspected(suspicion_reason aWhy, time_point aNow)
   {
-    if (!mReadsSource || !mOpenCalls.MayBeDoubted(aWhy, aNow)) {
+    if (!mReadsSource || !mOpenCalls.AllowsProbe(aWhy, aNow)) {
       return;
     }
-    if (const auto call = mFollower.OnDoubt(aWhy, mMirror, aNow)) {
+    if (const auto call = mFollower.OnSuspected(aWhy, mMirror, aNow)) {
       LogAdditionalCall(Name(aWhy), aNow);
       Send(*call, mRound);
     }
   }
 
-  void SetTurn(const watch_turn& aTurn) { mFollower.SetTurn(aTurn); }
+  void SetStagger(const watch_stagger& aStagger)
+  {
+    mFollower.SetStagger(aStagger);
+  }
 
   void Tick(time_point aNow)
   {
-    if (mReadsSource && mOpenCalls.Overdue(aNow)) {
+    if (mReadsSource && mOpenCalls.IsOverdue(aNow)) {
       CallAgainAfterOverdue(aNow);
     }
     if (mFollower.InOutage(aNow)) {
@@ -97,7 +100,7 @@
   void OnPeerListing(const std::vector<source_item>& aItems,
                      std::uint64_t aRevision)
   {
-    if (const std::uint64_t before = mMirror.At(); aRevision > before) {
+    if (const std::uint64_t before = mMirror.Revision(); aRevision > before) {
       ApplyPeerChanges(mMirror.OnListing(aItems, aRevision), before, Now());
     }
   }
@@ -106,7 +109,7 @@
                      std::uint64_t aAfter,
                      std::uint64_t aRevision)
   {
-    if (const std::uint64_t before = mMirror.At();
+    if (const std::uint64_t before = mMirror.Revision();
         aRevision > before && aAfter == before && mMirror.Listed()) {
       ApplyPeerChanges(
         mMirror.OnPeerChanges(aChanges, aAfter, aRevision), before, Now());
@@ -116,7 +119,7 @@
   void Stop()
   {
     ++mRound;
-    mOpenCalls.End();
+    mOpenCalls.Clear();
     mTimer.cancel();
   }
 
@@ -124,7 +127,7 @@
   bool Failing() const { return mFollower.Failing(); }
   std::optional<time_point> LastAnswerTime() const
   {
-    return mFollower.Answered();
+    return mFollower.LastAnswer();
   }
 
 private:
@@ -144,8 +147,8 @@
     const time_point now = Now();
     const sent_call sent{ aRound, ++mCallNumber, now, now + aCall.mWait };
     mOpenCalls.OnSent(aCall, now);
-    answer_progress onBytes = [weak = weak_from_this(),
-                               aRound](std::size_t aBytes) {
+    response_progress onBytes = [weak = weak_from_this(),
+                                 aRound](std::size_t aBytes) {
       if (const auto self = weak.lock()) {
         self->OnBytes(aRound, aBytes);
       }
@@ -153,7 +156,7 @@
     if (aCall.mList) {
       mSource.List(
         mPrefix,
-        aCall.mLimit,
+        aCall.mIdleTimeout,
         std::move(onBytes),
         [weak = weak_from_this(), sent](const list_outcome& aOutcome) {
           if (const auto self = weak.lock()) {
@@ -166,7 +169,7 @@
       mPrefix,
       aCall.mAfter,
       aCall.mWait,
-      aCall.mLimit,
+      aCall.mIdleTimeout,
       std::move(onBytes),
       [weak = weak_from_this(), sent](const watch_outcome& aOutcome) {
         if (const auto self = weak.lock()) {
@@ -187,7 +190,7 @@
   {
     const source_call next = mFollower.OnOverdue(mMirror, aNow);
     if (mFollower.Failing()) {
-      LogFailure({ "overdue" }, mOpenCalls.OpenFor(aNow));
+      LogFailure({ "overdue" }, mOpenCalls.NewestCallAge(aNow));
     } else {
       LogAdditionalCall("overdue", aNow);
     }
@@ -208,7 +211,7 @@
   void RecordDelay(const sent_call& aSent, time_point aNow)
   {
     if (aNow > aSent.mDueAt) {
-      mFollower.NoteDelay(aNow - aSent.mDueAt);
+      mFollower.RecordDelay(aNow - aSent.mDueAt);
     }
   }
 
@@ -267,11 +270,11 @@
                "taken_from_peer",
                { { "what", mWhat },
                  { "from", static_cast<std::int64_t>(aBefore) },
-                 { "at", static_cast<std::int64_t>(mMirror.At()) },
+                 { "at", static_cast<std::int64_t>(mMirror.Revision()) },
                  { "changes", static_cast<std::int64_t>(aChanges.size()) },
                  { "answer_age_ms", AnswerAgeMs() } });
     if (!aChanges.empty()) {
-      OnWatchSuspected(watch_doubt::kPeerKnewFirst, aNow);
+      OnWatchSuspected(suspicion_reason::kPeerKnewFirst, aNow);
       mOnChanges(aChanges);
     }
   }
@@ -284,7 +287,7 @@
     mLog.Write(log_level::kWarning,
                "source_lost",
                { { "what", mWhat },
-                 { "at", static_cast<std::int64_t>(mMirror.At()) },
+                 { "at", static_cast<std::int64_t>(mMirror.Revision()) },
                  { "answer_age_ms", AnswerAgeMs() } });
   }
 
@@ -306,10 +309,10 @@
 
   void LogState(std::string_view aEvent)
   {
-    mLog.Write(
-      log_level::kInfo,
-      aEvent,
-      { { "what", mWhat }, { "at", static_cast<std::int64_t>(mMirror.At()) } });
+    mLog.Write(log_level::kInfo,
+               aEvent,
+               { { "what", mWhat },
+                 { "at", static_cast<std::int64_t>(mMirror.Revision()) } });
   }
 
   // One line for each reason in a series of failures: a line for each call of
@@ -337,7 +340,7 @@
                "source_asked_again",
                { { "what", mWhat },
                  { "why", std::string(aWhy) },
-                 { "open_ms", ToMilliseconds(mOpenCalls.OpenFor(aNow)) },
+                 { "open_ms", ToMilliseconds(mOpenCalls.NewestCallAge(aNow)) },
                  { "bytes", static_cast<std::int64_t>(mBytesReceived) },
                  { "answer_age_ms", AnswerAgeMs() } });
   }
@@ -350,14 +353,14 @@
     mLog.Write(log_level::kInfo,
                "source_answers_again",
                { { "what", mWhat },
-                 { "at", static_cast<std::int64_t>(mMirror.At()) },
+                 { "at", static_cast<std::int64_t>(mMirror.Revision()) },
                  { "failed_calls", std::exchange(mFailedCalls, 0) } });
   }
 
   // -1: it never answered.
   std::int64_t AnswerAgeMs() const
   {
-    const auto answered = mFollower.Answered();
+    const auto answered = mFollower.LastAnswer();
     return answered ? ToMilliseconds(Now() - *answered) : -1;
   }
 
@@ -378,7 +381,7 @@
   // Of the newest call.
   std::uint64_t mCallNumber = 0;
   // Those on their way; none while a pause lasts.
-  call_round mOpenCalls;
+  pending_calls mOpenCalls;
   // Of the answer that came last, whole or not.
   std::size_t mBytesReceived = 0;
   // Calls that failed since the last answer, and why the last one did.
@@ -419,15 +422,15 @@
 }
 
 void
-source_link::OnWatchSuspected(watch_doubt aWhy, time_point aNow)
+source_link::OnWatchSuspected(suspicion_reason aWhy, time_point aNow)
 {
   mCore->OnWatchSuspected(aWhy, aNow);
 }
 
 void
-source_link::SetTurn(const watch_turn& aTurn)
+source_link::SetStagger(const watch_stagger& aStagger)
 {
-  mCore->SetTurn(aTurn);
+  mCore->SetStagger(aStagger);
 }
 
 void
--- a/thornhollow/daemon/source_link.h
+++ b/thornhollow/daemon/source_link.h
@@ -50,9 +50,9 @@
   // Peers tell of news meanwhile.
   void SetReading(bool aReads);
   // Asks beside the watch on its way, which may never be answered.
-  void OnWatchSuspected(watch_doubt aWhy, time_point aNow);
+  void OnWatchSuspected(suspicion_reason aWhy, time_point aNow);
   // This instance's turn among those that ask the source.
-  void SetTurn(const watch_turn& aTurn);
+  void SetStagger(const watch_stagger& aStagger);
   // Notices overdue answers and an outage. To be called every 100 ms.
   void Tick(time_point aNow);
 
--- a/thornhollow/discovery/item_mirror_test.cc
+++ b/thornhollow/discovery/item_mirror_test.cc
@@ -24,57 +24,58 @@
   const auto changes = mMirror.OnListing({ { "a", "1", 5 } }, 12);
   REQUIRE(changes.size() == 1);
   CHECK(changes[0] == item_change{ "b", std::nullopt, 12 });
-  CHECK(mMirror.At() == 12);
+  CHECK(mMirror.Revision() == 12);
 }
 
 TEST_CASE_FIXTURE(mirror_with_two_items,
                   "item_mirror/older_listing/changes_nothing")
 {
-  // A caller whose token was revoked is served again: an instance that was cut
-  // off asks a peer, whose answer is from before the revocation, and that
-  // answer arrives after the source's own.
+  // Guards against accepting a revoked token again: a partitioned instance
+  // requests a copy from a peer, the copy predates the revocation and arrives
+  // after the source's own answer.
   CHECK(mMirror.OnListing({ { "a", "old", 4 } }, 9).empty());
   CHECK(mMirror.Items().size() == 2);
-  CHECK(mMirror.At() == 10);
+  CHECK(mMirror.Revision() == 10);
 }
 
 TEST_CASE_FIXTURE(mirror_with_two_items,
                   "item_mirror/changes_seen_before/are_left_out")
 {
   CHECK(mMirror.OnChanges({ { "a", "0", 9 } }, 10).empty());
-  const auto news =
+  const auto changes =
     mMirror.OnChanges({ { "a", "3", 11 }, { "b", std::nullopt, 12 } }, 12);
-  CHECK(news.size() == 2);
+  CHECK(changes.size() == 2);
   CHECK(mMirror.Items() == std::vector<source_item>{ { "a", "3", 11 } });
 }
 
-// Guards against an item that a peer keeps for good: it came and went in one
-// step of this copy, and the peer had heard of its coming only.
+// Guards against an item that a peer never deletes: it was created and deleted
+// within one update of this replica, and the peer has received only the
+// creation.
 TEST_CASE_FIXTURE(mirror_with_two_items,
                   "item_mirror/removal_of_what_is_not_held/is_told_to_peers")
 {
   item_mirror peer;
   peer.OnListing({ { "a", "1", 5 }, { "b", "2", 7 }, { "c", "4", 11 } }, 11);
   CHECK(mMirror.OnChanges({ { "c", std::nullopt, 12 } }, 12).empty());
-  CHECK(mMirror.ChangedAt() == 12);
-  const auto since = mMirror.Since(peer.At());
+  CHECK(mMirror.LastChangeRevision() == 12);
+  const auto since = mMirror.ChangesSince(peer.Revision());
   REQUIRE(since.has_value());
-  CHECK(peer.OnPeerChanges(*since, 11, mMirror.At()).size() == 1);
+  CHECK(peer.OnPeerChanges(*since, 11, mMirror.Revision()).size() == 1);
   CHECK(peer.Items() == mMirror.Items());
 }
 
-// Guards against questions for copies without news, each time that a reader's
-// watch ends.
+// Guards against peers requesting copies without changes each time that a
+// reader's watch ends.
 TEST_CASE_FIXTURE(mirror_with_two_items,
                   "item_mirror/source_moves_on_without_news/last_change_stays")
 {
-  CHECK(mMirror.ChangedAt() == 10);
+  CHECK(mMirror.LastChangeRevision() == 10);
   mMirror.OnChanges({}, 20);
   mMirror.OnListing({ { "a", "1", 5 }, { "b", "2", 7 } }, 25);
-  CHECK(mMirror.At() == 25);
-  CHECK(mMirror.ChangedAt() == 10);
+  CHECK(mMirror.Revision() == 25);
+  CHECK(mMirror.LastChangeRevision() == 10);
   mMirror.OnChanges({ { "a", "3", 30 } }, 31);
-  CHECK(mMirror.ChangedAt() == 31);
+  CHECK(mMirror.LastChangeRevision() == 31);
 }
 
 TEST_CASE_FIXTURE(mirror_with_two_items,
@@ -84,13 +85,13 @@
   other.OnListing({ { "a", "1", 5 }, { "b", "2", 7 } }, 10);
   mMirror.OnChanges({ { "a", "3", 11 } }, 11);
   mMirror.OnListing({ { "a", "3", 11 }, { "c", "4", 13 } }, 14);
-  const auto since = mMirror.Since(10);
+  const auto since = mMirror.ChangesSince(10);
   REQUIRE(since.has_value());
-  other.OnChanges(*since, mMirror.At());
+  other.OnChanges(*since, mMirror.Revision());
   CHECK(other.Items() == mMirror.Items());
-  CHECK(other.At() == 14);
-  CHECK_FALSE(mMirror.Since(9).has_value());
-  CHECK_FALSE(item_mirror().Since(0).has_value());
+  CHECK(other.Revision() == 14);
+  CHECK_FALSE(mMirror.ChangesSince(9).has_value());
+  CHECK_FALSE(item_mirror().ChangesSince(0).has_value());
 }
 
 TEST_CASE_FIXTURE(mirror_with_two_items,
@@ -100,12 +101,12 @@
     mMirror.OnChanges({ { "item-" + std::to_string(revision), "", revision } },
                       revision);
   }
-  CHECK_FALSE(mMirror.Since(20).has_value());
-  CHECK(mMirror.Since(390)->size() == 9);
+  CHECK_FALSE(mMirror.ChangesSince(20).has_value());
+  CHECK(mMirror.ChangesSince(390)->size() == 9);
 }
 
-// Guards against a peer that gets each version of a large document that it
-// missed, and against memory that grows with each of them.
+// Guards against sending a peer every version of a large document that it
+// missed, and against a history that grows with each version.
 TEST_CASE_FIXTURE(mirror_with_two_items,
                   "item_mirror/item_changed_often/its_last_change_is_told")
 {
@@ -114,9 +115,9 @@
                       revision);
   }
   const std::vector<item_change> result{ { "a", "399", 399 } };
-  CHECK(mMirror.Since(10) == result);
-  CHECK(mMirror.Since(390) == result);
-  CHECK(mMirror.Since(399)->empty());
+  CHECK(mMirror.ChangesSince(10) == result);
+  CHECK(mMirror.ChangesSince(390) == result);
+  CHECK(mMirror.ChangesSince(399)->empty());
 }
 
 TEST_CASE("item_mirror/random_answers/never_go_back_and_end_equal")
--- /dev/null
+++ b/thornhollow/discovery/pending_calls.cc
@@ -0,0 +1,47 @@
+#include "thornhollow/discovery/pending_calls.h"
+
+namespace thornhollow {
+
+void
+pending_calls::OnSent(const source_call& aCall, time_point aNow)
+{
+  mNewest = { aNow, aNow + aCall.mWait + aCall.mResponseTimeout };
+}
+
+void
+pending_calls::Clear()
+{
+  mNewest.reset();
+  mLastBytesAt.reset();
+}
+
+bool
+pending_calls::IsReceiving(time_point aNow) const
+{
+  return mLastBytesAt && aNow - *mLastBytesAt < mSettings.mMaxPartGap;
+}
+
+bool
+pending_calls::IsOverdue(time_point aNow) const
+{
+  return mNewest && aNow >= mNewest->mDueAt && !IsReceiving(aNow);
+}
+
+// Without a pending call there is nothing to suspect: the next call is due
+// anyway. A very recent call already serves as a probe, unless a peer had a
+// change first: that says nothing about a call made before the peer's message.
+bool
+pending_calls::AllowsProbe(suspicion_reason aReason, time_point aNow) const
+{
+  const bool isRecent = NewestCallAge(aNow) < mSettings.mMinProbeAge &&
+                        aReason != suspicion_reason::kPeerKnewFirst;
+  return mNewest && !isRecent && !IsReceiving(aNow);
+}
+
+duration
+pending_calls::NewestCallAge(time_point aNow) const
+{
+  return mNewest ? aNow - mNewest->mSentAt : duration::zero();
+}
+
+} // namespace thornhollow
--- a/thornhollow/fleet/relay_peers.h
+++ b/thornhollow/fleet/relay_peers.h
@@ -219,7 +219,7 @@
   bool AllReadInDomain() const { return mReads && !mReadsForDomain; }
   // Position of this instance among the readers of its domain, which staggers
   // the ends of their watches.
-  watch_turn Turn(time_point aNow) const;
+  watch_stagger Turn(time_point aNow) const;
   // Returns the aggregation messages that are due, each for one peer. `aOwn` is
   // the demand at this instance.
   std::vector<outgoing_aggregation> AggregationMessages(
--- a/thornhollow/fleet/testing/modelled_instance.h
+++ b/thornhollow/fleet/testing/modelled_instance.h
@@ -16,9 +16,9 @@
 #include <string>
 #include <vector>
 
-#include "thornhollow/discovery/call_round.h"
 #include "thornhollow/discovery/endpoint_roster.h"
 #include "thornhollow/discovery/item_mirror.h"
+#include "thornhollow/discovery/pending_calls.h"
 #include "thornhollow/discovery/source_follower.h"
 #include "thornhollow/fleet/copy_requests.h"
 #include "thornhollow/fleet/large_copy_limiter.h"
@@ -68,7 +68,7 @@
   bool mIdle = false;
   // Concurrent calls, the newest last.
   std::vector<outstanding_call> mOutstanding = {};
-  call_round mRound = call_round{};
+  pending_calls mRound = pending_calls{};
   // Calls of earlier rounds. Their answers are ignored but still take up the
   // link.
   std::vector<outstanding_call> mAbandoned = {};
@@ -102,8 +102,8 @@
 inline std::optional<time_point>
 SourceAnswered(const modelled_instance& aInstance)
 {
-  return std::max(aInstance.mSubscriptions[0].mFollower.Answered(),
-                  aInstance.mSubscriptions[1].mFollower.Answered());
+  return std::max(aInstance.mSubscriptions[0].mFollower.LastAnswer(),
+                  aInstance.mSubscriptions[1].mFollower.LastAnswer());
 }
 
 // Reports to the roster when the source last answered this instance or,
--- a/thornhollow/fleet/testing/silent_source_fleet.h
+++ b/thornhollow/fleet/testing/silent_source_fleet.h
@@ -24,9 +24,9 @@
 #include <utility>
 #include <vector>
 
-#include "thornhollow/discovery/call_round.h"
 #include "thornhollow/discovery/endpoint_roster.h"
 #include "thornhollow/discovery/item_mirror.h"
+#include "thornhollow/discovery/pending_calls.h"
 #include "thornhollow/discovery/source_follower.h"
 #include "thornhollow/fleet/copy_requests.h"
 #include "thornhollow/fleet/large_copy_limiter.h"
@@ -274,16 +274,16 @@
     std::ranges::move(aSubscription.mOutstanding,
                       std::back_inserter(aSubscription.mAbandoned));
     aSubscription.mOutstanding.clear();
-    aSubscription.mRound.End();
+    aSubscription.mRound.Clear();
     aSubscription.mIdle = !aInstance.mFollowsSource;
     if (aSubscription.mIdle) {
       aSubscription.mSendPending = false;
-      aSubscription.mFollower.StopAsking();
+      aSubscription.mFollower.StopReading();
       return;
     }
     aSubscription.mSendPending = true;
-    aSubscription.mSendAt = mNow + aCall.mPause;
-    if (aCall.mPause <= duration::zero()) {
+    aSubscription.mSendAt = mNow + aCall.mSendDelay;
+    if (aCall.mSendDelay <= duration::zero()) {
       Send(aSubscription, aCall);
     }
   }
@@ -316,7 +316,7 @@
         complete != aSubscription.mOutstanding.end()) {
       const outstanding_call answered = *complete;
       aSubscription.mOutstanding.erase(complete);
-      NoteDelay(aSubscription, answered);
+      RecordDelay(aSubscription, answered);
       return HandleAnswer(aInstance, aSubscription, answered);
     }
     if (!aSubscription.mOutstanding.empty() &&
@@ -363,7 +363,8 @@
 
   bool Expired(const outstanding_call& aCall) const
   {
-    return mNow >= std::max(Due(aCall), aCall.mLastBytes) + aCall.mCall.mLimit;
+    return mNow >=
+           std::max(Due(aCall), aCall.mLastBytes) + aCall.mCall.mIdleTimeout;
   }
 
   // The newest call has timed out.
@@ -410,29 +411,29 @@
            mShape.mSourceEncodingRatio;
   }
 
-  void NoteDelay(subscription& aSubscription, const outstanding_call& aCall)
+  void RecordDelay(subscription& aSubscription, const outstanding_call& aCall)
   {
     if (mNow > Due(aCall)) {
-      aSubscription.mFollower.NoteDelay(mNow - Due(aCall));
+      aSubscription.mFollower.RecordDelay(mNow - Due(aCall));
     }
   }
 
   // As in the daemon, checked on each tick.
   void RetryOverdue(subscription& aSubscription)
   {
-    if (aSubscription.mRound.Overdue(mNow)) {
+    if (aSubscription.mRound.IsOverdue(mNow)) {
       Send(aSubscription,
            aSubscription.mFollower.OnOverdue(aSubscription.mMirror, mNow));
     }
   }
 
-  void Suspect(subscription& aSubscription, watch_doubt aWhy)
+  void Suspect(subscription& aSubscription, suspicion_reason aWhy)
   {
-    if (!aSubscription.mRound.MayBeDoubted(aWhy, mNow)) {
+    if (!aSubscription.mRound.AllowsProbe(aWhy, mNow)) {
       return;
     }
-    if (const auto call =
-          aSubscription.mFollower.OnDoubt(aWhy, aSubscription.mMirror, mNow)) {
+    if (const auto call = aSubscription.mFollower.OnSuspected(
+          aWhy, aSubscription.mMirror, mNow)) {
       Send(aSubscription, *call);
     }
   }
@@ -492,17 +493,17 @@
     const bool peerFails = aInstance.mPeers->SourceFailsElsewhere(mNow);
     ReportSourceAnswers(aInstance);
     if (mNow < aInstance.mSourceFailsUntil || peerFails) {
-      aInstance.mRoster.OnSourceFails(mNow);
+      aInstance.mRoster.OnSourceFailed(mNow);
     }
     aInstance.mReads = aInstance.mPeers->Reads(mNow);
     aInstance.mFollowsSource =
       aInstance.mReads || aInstance.mRequests.NeedsSource(mNow);
     aInstance.mRoster.Tick(mNow);
-    const watch_turn turn = aInstance.mPeers->Turn(mNow);
+    const watch_stagger turn = aInstance.mPeers->Turn(mNow);
     for (subscription& each : aInstance.mSubscriptions) {
-      each.mFollower.SetTurn(turn);
+      each.mFollower.SetStagger(turn);
       if (!aInstance.mFollowsSource) {
-        each.mFollower.StopAsking();
+        each.mFollower.StopReading();
         continue;
       }
       if (each.mIdle) {
@@ -510,10 +511,10 @@
       }
       RetryOverdue(each);
       if (std::ranges::any_of(aInstance.mSubscriptions, fails)) {
-        Suspect(each, watch_doubt::kOtherCallFails);
+        Suspect(each, suspicion_reason::kOtherCallFails);
       }
       if (peerFails) {
-        Suspect(each, watch_doubt::kPeerFails);
+        Suspect(each, suspicion_reason::kPeerFails);
       }
     }
     const hello_round round = aInstance.mPeers->Tick(mNow);
@@ -546,14 +547,15 @@
     pending_copy copy;
     copy.mFrom = aFrom;
     copy.mSubscriptionIndex = aSubscriptionIndex;
-    copy.mAfter = aInstance.mSubscriptions[aSubscriptionIndex].mMirror.At();
-    copy.mAt = mirror.At();
+    copy.mAfter =
+      aInstance.mSubscriptions[aSubscriptionIndex].mMirror.Revision();
+    copy.mAt = mirror.Revision();
     copy.mRequestedAt = mNow;
     if (copy.mAt <= copy.mAfter) {
       return;
     }
     std::size_t items = 0;
-    if (auto changes = mirror.Since(copy.mAfter)) {
+    if (auto changes = mirror.ChangesSince(copy.mAfter)) {
       copy.mChanges = std::move(*changes);
       items = copy.mChanges.size();
     } else {
@@ -565,7 +567,7 @@
     copy.mBytesLeft =
       each * static_cast<double>(items) * mShape.mCompressionRatio;
     if (aSubscriptionIndex == 1) {
-      copy.mSourceBackFor = from->mRoster.RegainedFor(mNow);
+      copy.mSourceBackFor = from->mRoster.TimeSinceRecovery(mNow);
     }
     if (!from->mCopyLimiter.TryAdmit(static_cast<std::size_t>(copy.mBytesLeft),
                                      mNow)) {
@@ -577,8 +579,8 @@
 
   static known_revisions KnownRevisions(const instance& aInstance)
   {
-    return { aInstance.mSubscriptions[0].mMirror.At(),
-             aInstance.mSubscriptions[1].mMirror.At() };
+    return { aInstance.mSubscriptions[0].mMirror.Revision(),
+             aInstance.mSubscriptions[1].mMirror.Revision() };
   }
 
   instance* FindReachable(const instance& aFrom, const std::string& aAddress)
@@ -619,8 +621,10 @@
     hello.mRevisions =
       aInstance.mPeers->AllReadInDomain()
         ? KnownRevisions(aInstance)
-        : known_revisions{ aInstance.mSubscriptions[0].mMirror.ChangedAt(),
-                           aInstance.mSubscriptions[1].mMirror.ChangedAt() };
+        : known_revisions{
+            aInstance.mSubscriptions[0].mMirror.LastChangeRevision(),
+            aInstance.mSubscriptions[1].mMirror.LastChangeRevision()
+          };
     hello.mSourceFails = mNow < aInstance.mSourceFailsUntil;
     if (const auto answered = SourceAnswered(aInstance)) {
       hello.mSourceAnswerAge = mNow - *answered;
@@ -684,9 +688,9 @@
   {
     subscription& subscription = aTo.mSubscriptions[aCopy.mSubscriptionIndex];
     if (aCopy.mSourceBackFor && !aTo.mFollowsSource) {
-      aTo.mRoster.OnToldRegained(mNow - *aCopy.mSourceBackFor);
+      aTo.mRoster.OnRecoveryReported(mNow - *aCopy.mSourceBackFor);
     }
-    if (aCopy.mAt <= subscription.mMirror.At()) {
+    if (aCopy.mAt <= subscription.mMirror.Revision()) {
       return;
     }
     const auto applied =
@@ -695,7 +699,7 @@
                        aCopy.mChanges, aCopy.mAfter, aCopy.mAt);
     Apply(aTo, subscription.mType, applied);
     if (!applied.empty()) {
-      Suspect(subscription, watch_doubt::kPeerKnewFirst);
+      Suspect(subscription, suspicion_reason::kPeerKnewFirst);
       SendBriefHello(aTo, aTo.mPeers->OnNewRevision());
     }
   }
@@ -726,7 +730,7 @@
                          const source_change& aChange)
   {
     if (aChange.mRemoved) {
-      return !aInstance.mRoster.Counts(endpoint_name(aChange.mKey));
+      return !aInstance.mRoster.Contains(endpoint_name(aChange.mKey));
     }
     return ConfigurationRevision(aInstance) >= aChange.mRevision;
   }
