--- a/thornhollow/daemon/drain_watch.cc
+++ b/thornhollow/daemon/drain_watch.cc
@@ -8,8 +8,8 @@
 namespace thornhollow {
 namespace {
 
-// How often a stopping instance looks whether it is done: short beside the
-// second or more that a drain takes, and 20 looks a second cost nothing.
+// How often a draining instance checks whether it may exit: short compared with
+// the second or more that a drain takes, and 20 checks a second cost nothing.
 constexpr duration kCheckInterval = Milliseconds(50);
 
 } // namespace
@@ -55,9 +55,9 @@
   }
 }
 
-// A request can come between the look and the end of listening. Ending at once
-// would close its connection without an answer, so listening ends first, and
-// the process only where the next look still finds nothing.
+// A request can arrive between the check and the end of listening. Exiting at
+// once would close its connection without an answer, so listening stops first,
+// and the process exits only if the next check still finds no request.
 bool
 drain_watch::CanEnd(duration aElapsed)
 {
--- a/thornhollow/daemon/drain_watch.h
+++ b/thornhollow/daemon/drain_watch.h
@@ -1,5 +1,5 @@
-// Finds the moment at which a stopping instance may end, and logs both ends of
-// its stop.
+// Determines when a draining instance may exit, and logs the start and the end
+// of the drain.
 //
 //   drain_watch drain(io, callers, log);
 //   drain.Begin({ .mBalancerDetectionTime = Seconds(2),
@@ -24,9 +24,9 @@
 
 struct drain_limits
 {
-  // For so long balancers may still send requests, so the port stays open.
+  // Balancers may still send requests for this long, so the port stays open.
   duration mBalancerDetectionTime{};
-  // The instance ends after this long, whatever is still in progress.
+  // The instance exits after this long even if requests are in progress.
   duration mGrace{};
 };
 
@@ -40,10 +40,10 @@
 
   bool Begun() const { return mOnEnd != nullptr; }
 
-  // Call once. `aInProgress` gives the number of requests that the instance
-  // itself works on. `aEnd` is called once: when the balancer has had its time,
-  // nothing is in progress, and nothing came on the connections that were open
-  // when listening stopped; or when the grace has passed.
+  // Call once. `aInProgress` returns the number of requests that the instance
+  // is working on. `aOnEnd` is called once: when the balancer detection time
+  // has passed, no request is in progress, and none arrived on the connections
+  // that were open when listening stopped; or when the grace period has passed.
   void Begin(const drain_limits& aLimits,
              std::function<std::size_t()> aInProgress,
              std::function<void()> aOnEnd);
--- a/thornhollow/daemon/json_log.cc
+++ b/thornhollow/daemon/json_log.cc
@@ -11,10 +11,11 @@
 namespace thornhollow {
 namespace {
 
-// An overload refuses thousands of requests a second; ten lines of each kind
-// tell as much and cost nothing.
+// An overload causes thousands of refusals a second. Ten lines of each kind
+// carry the same information at negligible cost.
 constexpr std::uint32_t kLinesPerSecond = 10;
-// Distinct events remembered; beyond it the memory starts anew.
+// Maximum number of distinct events tracked; all counters are cleared beyond
+// it.
 constexpr std::size_t kMaxCounters = 1024;
 
 std::string
--- a/thornhollow/daemon/json_log.h
+++ b/thornhollow/daemon/json_log.h
@@ -1,11 +1,11 @@
-// Logs as JSON lines, one object a line, with a bound on repeated lines.
+// Writes logs as JSON lines, with a rate limit on repeated lines.
 //
 //   json_log log(log_level::kInfo, WriteToStandardError);
 //   log.Write(log_level::kWarning, "refused",
 //             { { "kind", "queue_full" }, { "class", "route-notes" } });
 //
-// A line holds the time, the level, the event and its fields. Callers of
-// `Write` never hand in a prompt, an answer or a bearer token.
+// A line contains the time, the level, the event and its fields. Callers must
+// not pass prompts, answers or bearer tokens.
 #ifndef THORNHOLLOW_DAEMON_JSON_LOG_H_
 #define THORNHOLLOW_DAEMON_JSON_LOG_H_
 
@@ -31,25 +31,26 @@
 class json_log
 {
 public:
-  // `aSink` takes one line with its end.
+  // `aSink` receives one line, including its newline.
   json_log(log_level aMinLevel, std::function<void(std::string_view)> aSink);
 
-  // Writes one line, unless the level is below the least one or the same event
-  // with the same first field was written too often in the present second; the
-  // count of lines left out stands in the next one, as `suppressed`.
+  // Writes one line, unless it is less severe than the minimum level or the
+  // same event with the same first field has exceeded its rate limit in the
+  // current second. The next line written has the number of omitted lines as
+  // `suppressed`.
   void Write(log_level aLevel,
              std::string_view aEvent,
              const std::vector<log_field>& aFields = {});
 
-  // Writes one line about one request, unless `kRequestLinesPerSecond` were
-  // written in the present second; the number left out stands in the next line,
-  // as `suppressed`.
+  // Writes one line about one request, unless `kRequestLinesPerSecond` lines
+  // were written in the current second. The next line written has the number of
+  // omitted lines as `suppressed`.
   void WriteRequest(log_level aLevel,
                     std::string_view aEvent,
                     const std::vector<log_field>& aFields);
 
-  // More than an instance of a quarter of a core can serve in a second of
-  // ordinary load, so that only a flood of refusals is cut.
+  // More requests than an instance with a quarter of a core can serve in a
+  // second of ordinary load, so that only a flood of refusals is suppressed.
   static constexpr std::uint32_t kRequestLinesPerSecond = 200;
 
 private:
@@ -61,7 +62,7 @@
   };
 
   using wall_clock = std::chrono::system_clock;
-  // Counts one line more against its bound; false where it is to be left out.
+  // Counts one line against its limit. Returns false if it is to be omitted.
   static bool Admit(line_counter& aCounter,
                     wall_clock::time_point aNow,
                     std::uint32_t aMaxLines);
@@ -77,7 +78,7 @@
   std::unordered_map<std::string, line_counter> mCounters;
 };
 
-// Standard error, unbuffered.
+// Writes to standard error, unbuffered.
 void
 WriteToStandardError(std::string_view aLine);
 
--- a/thornhollow/daemon/log_output.cc
+++ b/thornhollow/daemon/log_output.cc
@@ -11,8 +11,9 @@
 namespace thornhollow {
 namespace {
 
-// A pipe that can be written to takes so many bytes without blocking. The
-// descriptor isn't made non-blocking itself: it may be shared with others.
+// A pipe that polls as writable accepts this many bytes without blocking. The
+// descriptor is not set to non-blocking mode, since it may be shared with other
+// processes.
 constexpr std::size_t kMaxWriteBytes = PIPE_BUF;
 
 bool
--- a/thornhollow/daemon/log_output_test.cc
+++ b/thornhollow/daemon/log_output_test.cc
@@ -30,7 +30,7 @@
   static void Open(std::array<int, 2>& aEnds)
   {
     REQUIRE(::pipe(aEnds.data()) == 0);
-    // An empty pipe is read as nothing instead of being waited for.
+    // Makes a read of an empty pipe return instead of block.
     REQUIRE(::fcntl(aEnds[0], F_SETFL, O_NONBLOCK) == 0);
   }
 
@@ -54,15 +54,16 @@
 TEST_CASE_FIXTURE(pipe_output,
                   "log_output/reader_stops_reading/drops_and_goes_on")
 {
-  // Every request of an instance hangs: whoever collects its log has stopped
-  // reading, the pipe is full, and the instance waits in a write.
+  // Guards against a stalled instance: the log collector stops reading, the
+  // pipe fills up, and a blocking write delays every request.
   const std::string line(1023, 'x');
   for (int count = 0; count < 2000; ++count) {
     mOutput.Add(line + "\n");
     mOutput.Flush();
   }
   CHECK(mOutput.Dropped() > 0);
-  // The reader comes back: the rest and the number of dropped lines follow.
+  // The collector resumes: the remaining lines and the number of dropped lines
+  // follow.
   std::string all;
   for (int round = 0; round < 100; ++round) {
     all += Read();
--- a/thornhollow/daemon/operators_page.h
+++ b/thornhollow/daemon/operators_page.h
@@ -1,6 +1,6 @@
-// What operators read from one instance: metrics, status, readiness.
+// Pages for the operators of one instance: metrics, status, readiness.
 //
-//   const whole_reply page = OperatorsPage(request, state, counted);
+//   const whole_reply page = OperatorsPage(request, status, metrics);
 //
 #ifndef THORNHOLLOW_DAEMON_OPERATORS_PAGE_H_
 #define THORNHOLLOW_DAEMON_OPERATORS_PAGE_H_
@@ -18,56 +18,57 @@
 
 namespace thornhollow {
 
-// What an instance believes of one prefix of its source.
+// The state of an instance's mirror of one prefix of its source.
 struct held_items
 {
-  // "configuration", "endpoints".
+  // "configuration" or "endpoints".
   std::string mWhat;
-  // The source's revision up to which they are known.
+  // The source revision up to which the items are known.
   std::uint64_t mAt = 0;
   std::size_t mCount = 0;
-  // Since the source itself last answered; nothing where it never did and all
-  // that is known comes from peers.
+  // Time since the source itself last answered; unset if it never did and all
+  // items were copied from peers.
   std::optional<duration> mAge;
-  // Its last answer was a failure.
+  // Whether the last call to the source failed.
   bool mFailing = false;
 
   friend bool operator==(const held_items&, const held_items&) = default;
 };
 
-// One instance's state as `GET /status` tells it.
+// One instance's state as returned by `GET /status`.
 struct instance_status
 {
   instance_name mName;
   domain_name mDomain;
-  // Takes new work: a configuration is in force and no drain has begun.
+  // Whether new work is accepted: a configuration is in force and no drain has
+  // begun.
   bool mReady = false;
   bool mDraining = false;
   // Platform version of the manifest in force.
   std::optional<std::uint64_t> mRevision;
-  // The latest refused manifest and why.
+  // The latest refused manifest and the reasons.
   std::optional<std::uint64_t> mRefusedRevision;
   std::vector<std::string> mRefusedFaults;
   std::size_t mInProgress = 0;
   std::size_t mPeersAlive = 0;
-  // Empty where a bundle is followed.
+  // Empty if the instance follows a bundle.
   std::vector<held_items> mHeld;
 
   friend bool operator==(const instance_status&,
                          const instance_status&) = default;
 };
 
-// Bounds for listeners that only operators and balancers ask: short questions
-// on a few connections.
+// Limits for listeners that only operators and balancers use: short requests on
+// a few connections.
 server_limits
 OperatorServerLimits();
 
-// The status as JSON, in one object.
+// Returns the status as one JSON object.
 std::string
 StatusJson(const instance_status& aStatus);
 
-// Answers `/metrics`, `/status`, `/ready`; 404 for any other path, 405 for a
-// method that doesn't read.
+// Answers `/metrics`, `/status` and `/ready`; 404 for any other path, 405 for
+// methods other than GET and HEAD.
 whole_reply
 OperatorsPage(const caller_request& aRequest,
               const instance_status& aStatus,
--- a/thornhollow/daemon/relay_dispatcher.cc
+++ b/thornhollow/daemon/relay_dispatcher.cc
@@ -13,13 +13,15 @@
 namespace thornhollow {
 namespace {
 
-// Idle connections are looked through this often: their limits are seconds.
+// How often idle connections are checked. Idle limits are in the order of
+// seconds.
 constexpr duration kConnectionCheckInterval = Seconds(1);
-// Refused callers come back after between one and three of these: longer than
-// a chunk of prompts takes, shorter than most callers' patience.
+// Refused callers retry after one to three times this delay: longer than an
+// engine takes for one prefill chunk, shorter than most callers' timeouts.
 constexpr duration kMinRetryDelay = Milliseconds(150);
 
-// "target/pause: requests/s, tokens/s, open" of each kind.
+// Formats the demand as "target/pause: requests/s, tokens/s, open" for each
+// workload kind.
 std::string
 DemandText(const demand_sums& aDemand)
 {
@@ -117,8 +119,8 @@
 {
   mTable = std::move(aTable);
   mMetrics.OnConfiguration(mTable->Document().mVersion);
-  // A pool that turned out to hold engines chooses by other rules: its
-  // endpoints are put into a new one.
+  // Engine pools choose endpoints by different rules. Rebuilds each pool that
+  // the new table turns into an engine pool, or back.
   for (const auto& [name, each] : mEndpoints) {
     GetOrCreatePool(each.mEntry.mPool);
   }
@@ -362,7 +364,7 @@
   }
 }
 
-// Engines found slow, or fast again.
+// Logs an engine that became slow or recovered.
 void
 relay_dispatcher::LogSlowChange(const relay_load& aLoad)
 {
--- a/thornhollow/daemon/relay_dispatcher.h
+++ b/thornhollow/daemon/relay_dispatcher.h
@@ -1,8 +1,8 @@
-// Serves relayed requests by the routing table and the endpoints in force:
-// finds route, team and pool, chooses endpoints, and keeps the fleet's retry
-// bound. One request's life is in relay_session.h.
+// Serves relayed requests with the current routing table and endpoints: looks
+// up route, team and pool, chooses endpoints, and enforces the fleet-wide retry
+// budget. relay_session.h handles a single request.
 //
-//   relay_dispatcher dispatcher(io, settings, names, log, counted);
+//   relay_dispatcher dispatcher(io, settings, names, log, metrics);
 //   dispatcher.SetRoutingTable(table);
 //   dispatcher.Apply(rosterChanges);
 //   dispatcher.Serve(exchange);
@@ -43,7 +43,7 @@
 class relay_dispatcher
 {
 public:
-  // All outlive the dispatcher.
+  // All reference arguments must outlive the dispatcher.
   relay_dispatcher(boost::asio::io_context& aIo,
                    const relay_settings& aSettings,
                    const relay_names& aNames,
@@ -54,36 +54,38 @@
   ~relay_dispatcher();
 
   void Serve(caller_exchange_ptr aExchange);
-  // The answer to a request that could not be read.
+  // Returns the reply to a request that could not be parsed.
   whole_reply AnswerUnreadable(error_kind aKind);
 
   void SetRoutingTable(routing_table_ptr aTable);
   void Apply(const roster_changes& aChanges);
   const routing_table_ptr& Table() const { return mTable; }
 
-  // Does what falls due. To be called every 100 ms.
+  // Runs periodic work. Call every 100 ms.
   void Tick(time_point aNow);
-  // This process ends then: what can't be answered whole before is refused as
-  // not run from `aRefuseFrom` on.
+  // The process exits at `aShutdownAt`. From `aRefuseFrom` on, requests that
+  // cannot be answered completely before that are refused as not run.
   void SetShutdown(time_point aShutdownAt, time_point aRefuseFrom);
-  // Whether a request that may take `aPatience` is still taken.
+  // Whether a request that may take up to `aTimeout` is accepted.
   bool Accepts(duration aTimeout, time_point aNow) const;
-  // This process stood still.
+  // Call after this process was paused: closes kept connections and discards
+  // state that is out of date.
   void OnClockGap(time_point aNow);
 
   std::size_t InProgress() const { return mSessions; }
   std::map<pool_name, held_requests> HeldByPool() const;
 
-  // What this instance tells its peers, and what they told of a pool.
+  // The state that this instance reports to its peers, and the state received
+  // from them.
   std::map<pool_name, pool_view> LocalViews(time_point aNow);
   std::vector<relay_load> LocalLoads() const;
   void SetInstanceCount(std::size_t aInstances);
-  // By `WorkKey`.
+  // Keyed by `WorkKey`.
   void SetRemoteWork(const std::map<std::uint32_t, endpoint_work>& aWork,
                      time_point aNow);
   void SetViews(const std::map<pool_name, pool_view>& aDemand, time_point aNow);
 
-  // Another instance was heard.
+  // A message from another instance, in failure domain `aDomain`, was received.
   void OnPeerMessage(const domain_name& aDomain, time_point aNow);
 
   // For sessions.
@@ -93,13 +95,14 @@
   metrics& Metrics() { return mMetrics; }
   endpoint_connections& Connections() { return mConnections; }
   relay_pool* Pool(const pool_name& aName);
-  // An endpoint gave no sign, as if it were out of reach.
+  // An endpoint could not be connected to or stopped responding. Its failure
+  // domain may be unreachable.
   void OnUnreachable(const relay_pick& aPick, time_point aNow);
   shared_retry_budget& Retries() { return mRetries; }
   void OnSessionBegin() { ++mSessions; }
   void OnSessionEnd() { --mSessions; }
-  // What a caller that is refused now is told, with when to come back: soon
-  // where nothing better is known.
+  // Returns the error reply to a refused request, with a retry delay: a short
+  // random one unless `aRetryAfter` is given.
   whole_reply Refusal(error_kind aKind,
                       const request_id& aId,
                       std::optional<duration> aRetryAfter = std::nullopt);
@@ -113,7 +116,7 @@
   void LogSlowChange(const relay_load& aLoad);
   bool IsEnginePool(const pool_name& aName) const;
 
-  // An endpoint that takes work, and under which lifetime it is known.
+  // A listed endpoint and the number that identifies its current process.
   struct known_endpoint
   {
     listed_endpoint mEntry;
@@ -133,7 +136,7 @@
   routing_table_ptr mTable;
   std::map<pool_name, relay_pool> mPools;
   std::map<endpoint_name, known_endpoint> mEndpoints;
-  // Engines that were logged as slow and not as fast since.
+  // Engines logged as slow and not yet logged as recovered.
   std::set<endpoint_name> mSlowEngines;
   std::uint64_t mNextLifetime = 1;
   std::size_t mSessions = 0;
--- a/thornhollow/daemon/relay_gateway.cc
+++ b/thornhollow/daemon/relay_gateway.cc
@@ -24,20 +24,22 @@
 
 using boost::system::error_code;
 
-// The balancer asks once a second and notices after two misses. Until then new
-// connections come and are served; idle ones are closed after it.
+// The balancer probes once a second and removes an instance after two failed
+// probes. Until then new connections arrive and are served; after it, idle
+// connections are closed.
 constexpr duration kBalancerDetectionTime = Milliseconds(2'300);
-// From then on a stopping instance takes only what it can answer whole before
-// its end: a long answer would be cut, and another instance can give it.
+// After this delay a draining instance accepts only requests that it can answer
+// completely before it exits. A longer answer would be truncated, and another
+// instance can serve it.
 constexpr duration kRefuseAfter = Milliseconds(2'500);
-// An instance that the source didn't answer tells its peers so for this long,
-// and one more of its domain reads: longer than most refusals, short enough
-// that a site's readers are soon the same again.
+// How long an instance reports a failed source call to its peers, during which
+// one more instance of its domain reads the source. Longer than most refusals,
+// and short enough that the usual set of readers is soon restored.
 constexpr duration kFailureReportPeriod = Seconds(5);
-// Left of the drain's grace for the process's own end.
+// Reserved from the drain's grace period for process exit.
 constexpr duration kShutdownReserve = Milliseconds(400);
 
-// Whole bodies are held, so a body may take as long as this to arrive.
+// Bodies are buffered completely. A body may take this long to arrive.
 constexpr duration kBodyTimeout = Seconds(10);
 
 server_limits
@@ -53,8 +55,8 @@
   return limits;
 }
 
-// Time since the machine started, suspended time included: the steady clock
-// does not count that.
+// Returns the time since boot, including time in suspend, which the steady
+// clock does not count.
 duration
 TimeSinceBoot()
 {
@@ -142,7 +144,8 @@
                  { "domain", mSettings.mDomain.Text() },
                  { "caller_address", caller },
                  { "operator_address", operators } });
-    // The line with the addresses goes to the same output, before any log line.
+    // Deferred, because the caller writes the line with the listening addresses
+    // to the same output, and it must precede all log lines.
     boost::asio::post(mIo, [this] { Tick(); });
     return listening_addresses{ caller, operators };
   }
@@ -195,8 +198,9 @@
     return aWhich == copied_items::kConfiguration ? mDocument : mEndpoints;
   }
 
-  // What changed where that is remembered, else everything: the list of a large
-  // site is 30 KB, a change of it 300 bytes, and each reaches every instance.
+  // Returns only the changes if the mirror still has them, otherwise all items.
+  // The listing of a large site is 30 KB and a change to it 300 bytes, and each
+  // is sent to every instance.
   items_answer MakeCopy(const items_request& aRequest)
   {
     const item_mirror& mirror = LinkOf(aRequest.mWhich).Mirror();
@@ -222,7 +226,7 @@
   void ApplyCopy(const items_request& aRequest, const items_answer& aCopy)
   {
     source_link& link = LinkOf(aCopy.mWhich);
-    // Who reads the source has seen for itself whether it was away.
+    // A reader has observed the source's outages itself.
     if (aCopy.mSourceBackFor && !mReadsSource) {
       mRoster.OnToldRegained(Now() - *aCopy.mSourceBackFor);
     }
@@ -272,7 +276,7 @@
     SuspectWatches(aNow);
   }
 
-  // When the source itself last answered this instance.
+  // When the source last answered this instance.
   std::optional<time_point> SourceAnswered() const
   {
     return std::max(mDocument.LastAnswerTime(), mEndpoints.LastAnswerTime());
@@ -301,7 +305,7 @@
     }
   }
 
-  // What the other instances told of engines' work and of the demand.
+  // Applies the work and demand that other instances have reported.
   void ApplyPeerState(time_point aNow)
   {
     mDispatcher.SetInstanceCount(mPeers.Count(aNow));
@@ -368,8 +372,8 @@
     }
   }
 
-  // A document that can't be read, or an older one, leaves the present one in
-  // force.
+  // A document that cannot be parsed, or that is older than the current one,
+  // leaves the current one in force.
   void ApplyDocument(const std::string& aBytes, std::uint64_t aRevision)
   {
     boost::leaf::try_handle_all(
@@ -377,7 +381,8 @@
         BOOST_LEAF_AUTO(document, mAdapter.mReadDocument(aBytes));
         const auto& present = mDispatcher.Table();
         if (present && document.mVersion < present->Document().mVersion) {
-          return Fail(error_kind::kInternal, "older than the one in force");
+          return Fail(error_kind::kInternal,
+                      "document version is older than the one in force");
         }
         mLog.Write(
           log_level::kInfo,
@@ -419,7 +424,7 @@
     mPeers.OnItemsChanged();
   }
 
-  // An entry that can't be read names no endpoint to use, and harms no other.
+  // An entry that cannot be parsed removes that endpoint only.
   void OnEntry(const item_change& aChange)
   {
     boost::leaf::try_handle_all(
@@ -479,8 +484,8 @@
     });
   }
 
-  // After a pause, answers on their way and kept connections are as old as the
-  // pause: nothing is acted on before it is asked for again.
+  // After a pause, pending answers and kept connections are out of date by the
+  // length of the pause, so they are discarded and the source is read again.
   void CheckClockGap(time_point aNow)
   {
     const bool paused = mSteadyGap.Tick(aNow);
@@ -515,7 +520,8 @@
   clock_gap mBootGap;
   boost::asio::steady_timer mTimer;
   drain_watch mDrain;
-  // Asks the source itself; else peers tell.
+  // Whether this instance reads the source itself rather than receiving copies
+  // from peers.
   bool mReadsSource = true;
   time_point mSourceFailsUntil{};
 };
--- a/thornhollow/daemon/relay_gateway.h
+++ b/thornhollow/daemon/relay_gateway.h
@@ -1,7 +1,7 @@
-// One entry instance that relays requests as they are: listeners, the mirrored
-// configuration and endpoints, and a graceful stop.
+// One entry instance that relays requests unchanged: listeners, mirrored
+// configuration and endpoints, and graceful shutdown.
 //
-//   relay_gateway gateway(io, settings, std::move(adapter), log);
+//   relay_gateway gateway(io, settings, std::move(adapter), log, onTick);
 //   BOOST_LEAF_CHECK(gateway.Start());
 //   io.run();
 //
@@ -26,7 +26,7 @@
 class relay_gateway
 {
 public:
-  // `aLog` outlives the gateway; `aOnTick` is called every 100 ms.
+  // `aLog` must outlive the gateway. `aOnTick` is called every 100 ms.
   relay_gateway(boost::asio::io_context& aIo,
                 const relay_settings& aSettings,
                 relay_adapter aAdapter,
@@ -36,11 +36,12 @@
   relay_gateway& operator=(const relay_gateway&) = delete;
   ~relay_gateway();
 
-  // Listens and begins to follow the source.
+  // Opens the listeners and starts following the source. Fails if an address
+  // cannot be bound.
   result<listening_addresses> Start();
 
-  // Readiness off; stops the io_context once every request in progress has its
-  // answer, or when the drain's grace has passed.
+  // Reports not ready, and stops the io_context once every request in progress
+  // has been answered or the drain's grace period has passed.
   void BeginStop();
 
 private:
--- a/thornhollow/daemon/relay_peer_link.cc
+++ b/thornhollow/daemon/relay_peer_link.cc
@@ -15,14 +15,15 @@
 namespace thornhollow {
 namespace {
 
-// For the beginning of a peer's answer with its copy.
+// Timeout for the first byte of a peer's answer to a copy request.
 constexpr duration kRequestTimeout = Milliseconds(600);
-// An older answer of the source says nothing of whether it is away.
+// An answer of the source that is older than this does not show whether the
+// source is available now.
 constexpr duration kMaxAnswerAge = Seconds(10);
-// From this size on copies are sent compressed.
+// Copies of at least this size are sent compressed.
 constexpr std::size_t kMinCompressedBytes = 4'096;
-// Entries that leave a hello at 1,100 bytes at most: 18 for each, the rest for
-// addresses and demand.
+// Limits a hello to 1,100 bytes: 18 for each entry, the rest for addresses and
+// demand.
 constexpr std::size_t kMaxWorkEntries = 44;
 
 peer_transport_settings
@@ -134,7 +135,8 @@
     hello.mPeers = mPeers.SomePeers();
     hello.mWork = mCallbacks.mWork();
     if (hello.mWork.size() > kMaxWorkEntries) {
-      // Those without work take turns, or nobody would hear of their paces.
+      // Rotates the entries without queued work, so that the prefill speed of
+      // each endpoint is reported eventually.
       const auto rotation =
         static_cast<std::ptrdiff_t>(mWorkRotation++ % hello.mWork.size());
       std::rotate(
@@ -165,8 +167,9 @@
     hello.mBrief = true;
     hello.mAddress = mSettings.mPeerAddress;
     hello.mDomain = mSettings.mDomain;
-    // Where all read the source, a later answer shows those whose own is late
-    // that it has answered; where few do, it would bring questions in vain.
+    // If all instances read the source, a later revision shows instances whose
+    // own answer is late that the source has answered. If only a few read it,
+    // the later revision would only cause needless copy requests.
     hello.mKnown = mPeers.AllReadHere() ? mCallbacks.mKnownRevisions()
                                         : mCallbacks.mChangeRevisions();
     hello.mWantsAnswer = aWantAnswer;
@@ -226,7 +229,8 @@
     return bytes;
   }
 
-  // All who ask for a large copy ask for the same items.
+  // Keeps the last compressed items, since all peers that request a large copy
+  // request the same items.
   std::string EncodeAnswer(const items_request& aRequest,
                            const items_answer& aAnswer)
   {
@@ -335,12 +339,13 @@
   relay_peers mPeers;
   peer_transport mTransport;
   std::size_t mAlive = 0;
-  // Reads the source for its domain, and asks it for whatever reason.
+  // Whether this instance reads the source for its domain, and whether it reads
+  // the source for any reason.
   bool mIsReader = true;
   bool mReadsSource = true;
   copy_requests mRequests{ copy_request_settings{} };
   large_copies mLargeCopies{ CopySettings(mSettings) };
-  // The items that were packed last, and what tells whether they are the same.
+  // The last compressed items, and the versions that identify them.
   packed_items mPacked;
   std::vector<item_version> mPackedVersions;
   std::size_t mWorkRotation = 0;
--- a/thornhollow/daemon/relay_peer_link.h
+++ b/thornhollow/daemon/relay_peer_link.h
@@ -1,12 +1,13 @@
-// This instance's side of what relaying instances tell each other: hellos over
-// UDP, copies of the source's items over TCP.
+// Connects this instance to the other relaying instances: hellos over UDP,
+// copies of the source's items over TCP.
 //
-//   relay_peer_link link(io, settings, listener, log, counted);
+//   relay_peer_link link(io, settings, callbacks, log, metrics);
 //   BOOST_LEAF_CHECK(link.Open());
-//   link.Tick(now);      // every 100 ms
-//   link.OnItemsChanged();    // a copy here has become newer
+//   link.Tick(now);           // every 100 ms
+//   link.OnItemsChanged();    // a local copy has a newer revision
 //
-// What to tell whom is fleet/relay_peers.h's; here are the sockets.
+// fleet/relay_peers.h decides what to send to whom; this module has the
+// sockets.
 #ifndef THORNHOLLOW_DAEMON_RELAY_PEER_LINK_H_
 #define THORNHOLLOW_DAEMON_RELAY_PEER_LINK_H_
 
@@ -32,27 +33,28 @@
 
 struct relay_peer_callbacks
 {
-  // Up to which the copies here are complete, and of their last changes.
+  // The revisions up to which the local copies are complete, and those of their
+  // last changes.
   std::function<known_revisions()> mKnownRevisions;
   std::function<known_revisions()> mChangeRevisions;
-  // The source doesn't answer this instance.
+  // Whether the source currently fails to answer this instance.
   std::function<bool()> mSourceFails;
-  // When it last answered this instance.
+  // When the source last answered this instance.
   std::function<std::optional<time_point>()> mSourceAnswered;
   std::function<std::vector<endpoint_work>()> mWork;
   std::function<std::map<pool_name, pool_view>()> mDemand;
-  // An instance of the failure domain was heard.
+  // A message was received from an instance in the given failure domain.
   std::function<void(const domain_name&)> mOnMessage;
-  // The copy as a peer asks for it.
+  // Returns the copy that a peer requests.
   std::function<items_answer(const items_request&)> mOnItemsRequest;
-  // What a peer answered to such a request.
+  // A peer answered a request for a copy.
   std::function<void(const items_request&, const items_answer&)> mOnCopy;
 };
 
 class relay_peer_link
 {
 public:
-  // `aLog` and `aMetrics` outlive the link.
+  // `aLog` and `aMetrics` must outlive the link.
   relay_peer_link(boost::asio::io_context& aIo,
                   const relay_settings& aSettings,
                   relay_peer_callbacks aCallbacks,
@@ -65,13 +67,13 @@
   result<void> Open();
   void Tick(time_point aNow);
   void OnItemsChanged();
-  // Whether this instance is to ask the source.
+  // Whether this instance should read the source itself. Call every 100 ms.
   bool ShouldReadSource(time_point aNow);
 
   // See fleet/relay_peers.h.
   std::size_t Count(time_point aNow) const;
   std::size_t Alive() const;
-  // This instance's turn among those of its domain that ask the source.
+  // This instance's turn among those of its domain that read the source.
   watch_turn Turn(time_point aNow) const;
   bool SourceFailsElsewhere(time_point aNow) const;
   std::optional<time_point> SourceAnswered() const;
--- a/thornhollow/daemon/relay_session.cc
+++ b/thornhollow/daemon/relay_session.cc
@@ -21,48 +21,52 @@
 namespace thornhollow {
 namespace {
 
-// Endpoints are a few milliseconds away; a first packet that was lost comes
-// again only after a second, and another endpoint answers sooner.
+// Endpoints are a few milliseconds away. A lost SYN is retransmitted only after
+// one second, and another endpoint answers sooner.
 constexpr duration kConnectTimeout = Milliseconds(300);
-// A request is given up after so many connections that couldn't be made,
+// Maximum failed connection attempts for one request.
 constexpr std::uint32_t kMaxUnsent = 6;
-// or after this long in such attempts: three that nobody refuses.
+// Maximum total time spent in failed connection attempts: three attempts that
+// time out instead of being refused.
 constexpr duration kMaxUnsentTime = Milliseconds(800);
-// How long ago a kept connection may have been used last. A request that may
-// run once only isn't put on one that may be about to close, since it could not
-// be told from one that ran.
+// Maximum idle time of a kept connection that is reused. A request that must
+// run at most once is not sent on a connection that may be about to close,
+// since a close would be indistinguishable from a failure after the request
+// ran.
 constexpr duration kMaxIdleRepeatable = Seconds(30);
 constexpr duration kMaxIdleOnce = Seconds(20);
-// An endpoint whose machine doesn't answer for this long is taken for gone.
-// What may be sent to another one isn't held up: callers of streams leave after
-// two seconds without an event. What may run once only is lost with its
-// connection, while a domain that is cut off is often back within a few
-// seconds, and the answer goes on. With 2 s for all, what callers got in a half
-// minute with a domain cut off three times for 3 s was worth 0.70, so 0.71
-// (mean of three draws on two deployments, real processes); with endpoints cut
-// off 0.82 and 0.83. Longer than 8 s would leave little of the 15 s that
-// callers wait.
+// How long an endpoint's host may stay unresponsive before its connection
+// counts as lost. Repeatable requests fail over quickly: callers leave a stream
+// after two seconds without an event. An at-most-once request is lost with its
+// connection, whereas a partitioned domain is often reachable again within a
+// few seconds and the answer continues. With three 3 s partitions of a domain
+// within 30 s, the value of the answers that callers received was 0.70 with 2 s
+// for all requests and 0.71 with these values (mean of three draws on two
+// deployments, real processes); with partitioned endpoints, 0.82 and 0.83. More
+// than 8 s would leave little of the 15 s that callers wait.
 constexpr duration kPeerSilenceRepeatable = Seconds(2);
 constexpr duration kPeerSilenceOnce = Seconds(8);
-// Without a sign from the endpoint for this long a request that may be repeated
-// is sent to another one: a few times its target, and at least as long as an
-// engine takes for a prompt of middling length.
+// A repeatable request that receives no bytes for this long is sent to another
+// endpoint: a multiple of its target, and at least the time that an engine
+// needs for a prompt of medium length.
 constexpr int kSilenceTargetFactor = 4;
 constexpr duration kMinSilenceTimeout = Milliseconds(600);
 // Callers leave a stream after two seconds without an event.
 constexpr duration kStreamSilenceTimeout = Milliseconds(1'300);
-// Of a route's timeout; a caller that gives less time has spent the rest on an
-// attempt before: the least wait that one is told is a tenth of most timeouts.
+// A request whose timeout is below this fraction of its route's timeout counts
+// as a retry: the caller has spent the rest on an earlier attempt. The minimum
+// retry delay sent to callers is a tenth of most timeouts.
 constexpr double kRetryTimeoutFraction = 0.9;
-// An answer in one piece is held until it is whole.
+// Limit for answers that are not streamed, which are buffered until complete.
 constexpr std::size_t kMaxBufferedAnswerBytes = std::size_t{ 8 } << 20U;
 constexpr std::size_t kMaxEventBytes = std::size_t{ 1 } << 20U;
 constexpr unsigned kStatusOk = 200;
 constexpr unsigned kStatusRedirect = 300;
 constexpr unsigned kStatusServerError = 500;
 
-// Statuses that promise the caller that its request was not run. From an
-// endpoint that doesn't say so itself they are no such promise.
+// Whether the status implies to a caller that its request was not run. An
+// endpoint's answer has that meaning only if the endpoint also marks the
+// request as not run.
 bool
 ImpliesNotRun(unsigned aStatus)
 {
@@ -82,8 +86,8 @@
   }
 }
 
-// Requests are counted by what they are, not by their route: routes come and
-// go with each configuration.
+// Metrics are grouped by tier and kind instead of by route, since routes change
+// with each configuration.
 class_name
 MetricsClass(const route& aRoute, tier_number aTier)
 {
@@ -100,7 +104,7 @@
   profile.mEnginePriority = EngineRank(aRoute, aTier);
   profile.mTarget = aRoute.mTarget;
   profile.mPause = aRoute.mPauseTarget;
-  // The last part is the request's own.
+  // The last part is specific to this request, the others are shared.
   for (std::size_t at = 0; at + 1 < aRequest.mParts.size(); ++at) {
     const prompt_part& part = aRequest.mParts[at];
     profile.mSharedTokens += part.mTokens;
@@ -109,7 +113,7 @@
   }
   profile.mSharedTokens =
     std::min(profile.mSharedTokens, profile.mPromptTokens);
-  // With the last one two shared parts at the least.
+  // More than two parts: at least two of them are shared.
   if (aRequest.mParts.size() > 2) {
     const prompt_part& first = aRequest.mParts.front();
     profile.mFirstBlock = Hash64(first.mId);
@@ -175,8 +179,8 @@
   }
 
 private:
-  // Nothing where route, team and pool were found; else why the request is
-  // refused.
+  // Looks up route, team and pool. Returns the reason for a refusal, or nullopt
+  // on success.
   std::optional<error_kind> FindRoute()
   {
     if (!mTable) {
@@ -229,7 +233,8 @@
     ArmTimer();
   }
 
-  // Where the next attempt goes; the first one was chosen on admission.
+  // Returns the endpoint of the next attempt. The first one was chosen on
+  // admission.
   std::optional<relay_pick> NextEndpoint(relay_pool* aPool, time_point aNow)
   {
     if (aPool == nullptr) {
@@ -298,11 +303,14 @@
       return;
     }
     if (success && !aHead.mMarks.mSigned) {
-      OnFailure(attempt_failure::kGarbled, "success without a proof", true);
+      OnFailure(attempt_failure::kGarbled,
+                "success status without a signature header",
+                true);
       return;
     }
     if (!success && mAnswerBegun) {
-      OnFailure(attempt_failure::kFailed, "not continued", true);
+      OnFailure(
+        attempt_failure::kFailed, "endpoint did not resume the stream", true);
       return;
     }
     if (ImpliesNotRun(aHead.mStatus)) {
@@ -325,8 +333,8 @@
     }
   }
 
-  // Whether an endpoint's own failure may be tried elsewhere; takes the retry.
-  // Else the caller gets that failure as it is.
+  // Whether a server error may be retried at another endpoint. If so, charges
+  // the retry to the budget; otherwise the caller receives the error unchanged.
   bool TakeRetryForServerError()
   {
     const relay_pool* pool = mDispatcher.Pool(*mPool);
@@ -341,13 +349,15 @@
     if (!mStream.value_or(false)) {
       mBufferedAnswer += aBytes;
       if (mBufferedAnswer.size() > kMaxBufferedAnswerBytes) {
-        OnFailure(attempt_failure::kGarbled, "answer too long", true);
+        OnFailure(
+          attempt_failure::kGarbled, "answer exceeds the size limit", true);
       }
       return;
     }
     mEvents.Feed(aBytes);
     if (mEvents.Overflowed()) {
-      OnFailure(attempt_failure::kGarbled, "event too long", true);
+      OnFailure(
+        attempt_failure::kGarbled, "event exceeds the size limit", true);
       return;
     }
     Forward(mEvents.TakeWhole());
@@ -422,7 +432,7 @@
 
   bool Sent() const { return mAttempt && mAttempt->Sent(); }
 
-  // `aClose`: nothing more is wanted of the connection.
+  // `aClose`: close the connection instead of reading the rest of the answer.
   void OnFailure(attempt_failure aFailure,
                  const std::string& aDetail,
                  bool aClose)
@@ -447,7 +457,8 @@
     }
     mEvents.DropUnfinished();
     const relay_step step = NextStep(progress);
-    // What never arrived anywhere adds no work to any endpoint.
+    // A request that has not reached any endpoint adds no load, so it is not
+    // charged to the retry budget.
     const bool firstArrival = progress.mAttempts == 0;
     const bool retryCharged =
       std::exchange(mRetryCharged, false) || firstArrival;
@@ -462,14 +473,14 @@
     StartNextAttempt();
   }
 
-  // Guards against refusing a request within milliseconds because some of many
-  // endpoints crashed: their hosts refuse connections at once.
+  // Guards against refusing a request within milliseconds when some of many
+  // endpoints have crashed: their hosts refuse connections immediately.
   bool MayRetryUnsent() const
   {
     return mUnsent < kMaxUnsent && mUnsentTime < kMaxUnsentTime;
   }
 
-  // Settles the attempt's account with the pool, once.
+  // Reports the end of the attempt to the pool, once.
   void EndAttempt(attempt_end aEnd)
   {
     if (!std::exchange(mChargedToPool, false)) {
@@ -493,8 +504,8 @@
     });
   }
 
-  // When the present attempt counts as silent; never for what may not be
-  // repeated, since nothing could be done about it.
+  // When the current attempt counts as silent. Never for a request that must
+  // not be repeated, since it could not be sent elsewhere.
   time_point SilenceDeadline() const
   {
     if (!MayRepeat(mRoute->mKind)) {
@@ -516,11 +527,13 @@
       return;
     }
     if (now >= SilenceDeadline() && CanRetryElsewhere()) {
-      OnFailure(attempt_failure::kSilent, "no byte in time", true);
+      OnFailure(attempt_failure::kSilent,
+                "no bytes received within the silence timeout",
+                true);
       return;
     }
     if (now >= SilenceDeadline()) {
-      // Nobody else could answer it; the endpoint still may.
+      // No other endpoint can take over, and this one may still answer.
       mLastByte = now;
     }
     ArmTimer();
@@ -543,7 +556,7 @@
                : error_kind::kDeadlineUnmeetable);
   }
 
-  // Nothing more is tried.
+  // Ends the request with an error.
   void GiveUp(error_kind aKind)
   {
     if (mAnswerBegun) {
@@ -660,31 +673,31 @@
   class_name mMetricsClass;
   std::shared_ptr<const std::string> mBody;
 
-  // The present attempt.
+  // The current attempt.
   relay_attempt_ptr mAttempt;
   relay_pick mPick;
   std::optional<relay_pick> mAdmittedPick;
   time_point mSentAt{};
   time_point mLastByte{};
-  // It stands in the pool's account.
+  // Whether the attempt is counted as in flight in the pool.
   bool mChargedToPool = false;
   bool mFirstByteReceived = false;
-  // Its answer is a stream; nothing before its head.
+  // Whether the answer is a stream; unset until its head arrives.
   std::optional<bool> mStream;
   unsigned mStatus = 0;
   std::string mBufferedAnswer;
 
-  // Over all attempts.
+  // State over all attempts.
   std::vector<endpoint_name> mTriedEndpoints;
   std::uint32_t mAttempts = 0;
   std::uint32_t mUnsent = 0;
   duration mUnsentTime{};
   bool mMayHaveRun = false;
-  // The next retry is taken from the budget already.
+  // The next retry has already been charged to the budget.
   bool mRetryCharged = false;
   event_splitter mEvents;
   std::vector<header_field> mHeaders;
-  // Part of the answer is with the caller.
+  // Part of the answer has been sent to the caller.
   bool mAnswerBegun = false;
   std::optional<duration> mFirstByte;
   std::optional<time_point> mLastEvent;
--- a/thornhollow/daemon/relay_session.h
+++ b/thornhollow/daemon/relay_session.h
@@ -1,11 +1,12 @@
-// The life of one relayed request: route and team, attempts at endpoints, the
-// answer as it comes, and what the caller is told if there is none.
+// Handles one relayed request: finds its route and team, makes attempts at
+// endpoints, forwards the answer, and replies with an error if there is none.
 //
 //   StartRelaySession(dispatcher, exchange);
 //
-// The rules of what follows a failed attempt are request/relay_retry.h's; the
-// choice of the endpoint is policy/relay_pool.h's. Here are timers, events and
-// the log lines that lead from a request's identifier to its cause.
+// request/relay_retry.h decides what follows a failed attempt, and
+// policy/relay_pool.h chooses the endpoint. This module has the timers, the
+// event handling, and the log lines that trace a request identifier to the
+// cause of a failure.
 #ifndef THORNHOLLOW_DAEMON_RELAY_SESSION_H_
 #define THORNHOLLOW_DAEMON_RELAY_SESSION_H_
 
@@ -14,7 +15,8 @@
 
 namespace thornhollow {
 
-// Takes the request and answers it, now or later. `aDispatcher` outlives it.
+// Takes over the request and answers it, possibly asynchronously. `aDispatcher`
+// must outlive the session.
 void
 StartRelaySession(relay_dispatcher& aDispatcher, caller_exchange_ptr aExchange);
 
--- a/thornhollow/daemon/source_link.cc
+++ b/thornhollow/daemon/source_link.cc
@@ -63,7 +63,8 @@
                        round](const boost::system::error_code& aError) {
       const auto self = weak.lock();
       if (!aError && self && self->mRound == round) {
-        // What a peer told meanwhile need not be asked for.
+        // Chooses the call again, since a peer may have supplied changes during
+        // the pause.
         self->Send(self->mFollower.Start(self->mMirror), round);
       }
     });
@@ -128,14 +129,14 @@
   }
 
 private:
-  // A call on its way. Those of one round are beside each other: the first
-  // answer ends them all.
+  // A pending call. The calls of one round run concurrently, and the first
+  // answer ends the round.
   struct sent_call
   {
     std::uint64_t mRound = 0;
     std::uint64_t mCallNumber = 0;
     time_point mSentAt{};
-    // When the answer is due without news.
+    // When the answer is due if nothing changes.
     time_point mDueAt{};
   };
 
@@ -194,9 +195,9 @@
     Send(next, mRound);
   }
 
-  // Whether the outcome decides what comes next. The failure of a call that
-  // isn't its round's newest doesn't: it was logged when it was overdue, and
-  // another of the round may still be answered.
+  // Whether the outcome determines the next call. The failure of a call that is
+  // not the newest of its round does not: it was logged when it became overdue,
+  // and another call of the round may still be answered.
   template<class outcome>
   bool IsDecisive(const outcome& aOutcome, const sent_call& aSent) const
   {
@@ -312,8 +313,9 @@
       { { "what", mWhat }, { "at", static_cast<std::int64_t>(mMirror.At()) } });
   }
 
-  // One line for each reason in a series of failures: a line for each call of
-  // an outage pushes the seconds before it out of what is kept of a log.
+  // Writes a line only when the reason changes within a series of failures. One
+  // line for each failed call would, in an outage, push the seconds before it
+  // out of the retained log.
   void LogFailure(const source_failure& aFailure, duration aOpenFor)
   {
     ++mFailedCalls;
@@ -330,7 +332,7 @@
                  { "answer_age_ms", AnswerAgeMs() } });
   }
 
-  // Another call is made though the newest one may still be answered.
+  // Logs a call made while the newest one may still be answered.
   void LogAdditionalCall(std::string_view aWhy, time_point aNow)
   {
     mLog.Write(log_level::kInfo,
@@ -354,7 +356,7 @@
                  { "failed_calls", std::exchange(mFailedCalls, 0) } });
   }
 
-  // -1: it never answered.
+  // -1 if the source has never answered.
   std::int64_t AnswerAgeMs() const
   {
     const auto answered = mFollower.Answered();
@@ -370,18 +372,18 @@
   source_follower mFollower;
   boost::asio::steady_timer mTimer;
   bool mReadsSource = true;
-  // No call is on its way or due.
+  // No call is pending or scheduled.
   bool mIdle = false;
-  // Tells an answer that is still wanted from one that came too late.
+  // Identifies the current round; answers to earlier rounds are ignored.
   std::uint64_t mRound = 0;
   bool mInOutage = false;
-  // Of the newest call.
+  // The number of the newest call.
   std::uint64_t mCallNumber = 0;
-  // Those on their way; none while a pause lasts.
+  // The pending calls; none during a pause.
   call_round mOpenCalls;
-  // Of the answer that came last, whole or not.
+  // Size of the last answer received, complete or not.
   std::size_t mBytesReceived = 0;
-  // Calls that failed since the last answer, and why the last one did.
+  // Failed calls since the last answer, and the reason logged last.
   std::int64_t mFailedCalls = 0;
   std::string mLastDetail;
 };
--- a/thornhollow/daemon/source_link.h
+++ b/thornhollow/daemon/source_link.h
@@ -1,5 +1,5 @@
-// Keeps one prefix of a source mirrored: makes the calls that the follower
-// decides on, and hands on what changed.
+// Mirrors one prefix of a source: makes the calls that the follower chooses and
+// reports what changed.
 //
 //   source_link link(io, source, "servers/", "endpoints", onChanges, log);
 //   link.Start();
@@ -25,14 +25,15 @@
 
 namespace thornhollow {
 
-// Changes of the mirror, in order.
+// Receives changes of the mirror, in order.
 using item_change_handler =
   std::function<void(const std::vector<item_change>&)>;
 
 class source_link
 {
 public:
-  // `aSource` and `aLog` outlive the link. `aWhat` names the items in logs.
+  // `aSource` and `aLog` must outlive the link. `aWhat` names the items in
+  // logs.
   source_link(boost::asio::io_context& aIo,
               item_source& aSource,
               std::string aPrefix,
@@ -44,32 +45,33 @@
   ~source_link();
 
   void Start();
-  // An answer on its way is worth nothing any more: asks anew at once.
+  // Discards pending answers and calls the source again immediately.
   void Restart();
-  // Whether the source is asked at all; what is on its way is still taken.
-  // Peers tell of news meanwhile.
+  // Whether the source is called at all. Answers to pending calls are still
+  // applied after reading stops, and peers supply further changes.
   void SetReading(bool aReads);
-  // Asks beside the watch on its way, which may never be answered.
+  // Makes an additional call, since the pending watch may never be answered.
+  // Does nothing if another call would add no information.
   void OnWatchSuspected(watch_doubt aWhy, time_point aNow);
-  // This instance's turn among those that ask the source.
+  // Sets this instance's turn among those that read the source.
   void SetTurn(const watch_turn& aTurn);
-  // Notices overdue answers and an outage. To be called every 100 ms.
+  // Checks for overdue answers and for an outage. Call every 100 ms.
   void Tick(time_point aNow);
 
-  // What a peer holds, or what it has seen change since a revision that this
-  // copy had. Taken only where it is newer.
+  // Applies a peer's listing, or a peer's changes since a revision that the
+  // mirror had. Ignored unless newer than the mirror.
   void OnPeerListing(const std::vector<source_item>& aItems,
                      std::uint64_t aRevision);
-  // `aAsked`: the revision for which the peer was asked.
+  // `aAfter`: the revision after which changes were requested.
   void OnPeerChanges(const std::vector<item_change>& aChanges,
                      std::uint64_t aAfter,
                      std::uint64_t aRevision);
 
   const item_mirror& Mirror() const;
-  // The source's last answer was a failure.
+  // Whether the last call to the source failed.
   bool Failing() const;
-  // When the source itself last answered, and how long ago; nothing before it
-  // did.
+  // When the source itself last answered, and how long ago; nullopt before its
+  // first answer.
   std::optional<time_point> LastAnswerTime() const;
   std::optional<duration> AnswerAge(time_point aNow) const;
 
