--- a/thornhollow/daemon/relay_dispatcher.cc
+++ b/thornhollow/daemon/relay_dispatcher.cc
@@ -309,13 +309,13 @@
 std::map<pool_name, pool_view>
 relay_dispatcher::LocalViews(time_point aNow)
 {
-  std::map<pool_name, pool_view> demand;
+  std::map<pool_name, pool_view> views;
   for (auto& [name, pool] : mPools) {
     if (pool.ServesEngines()) {
-      demand[name] = pool.LocalView(aNow);
+      views[name] = pool.LocalView(aNow);
     }
   }
-  return demand;
+  return views;
 }
 
 std::vector<relay_load>
--- a/thornhollow/daemon/relay_dispatcher.h
+++ b/thornhollow/daemon/relay_dispatcher.h
@@ -83,7 +83,7 @@
   // Keyed by `WorkKey`.
   void SetRemoteWork(const std::map<std::uint32_t, endpoint_work>& aWork,
                      time_point aNow);
-  void SetViews(const std::map<pool_name, pool_view>& aDemand, time_point aNow);
+  void SetViews(const std::map<pool_name, pool_view>& aViews, time_point aNow);
 
   // A message from another instance, in failure domain `aDomain`, was received.
   void OnPeerMessage(const domain_name& aDomain, time_point aNow);
