--- a/thornhollow/listing/platform_list.h
+++ b/thornhollow/listing/platform_list.h
@@ -1,7 +1,6 @@
-// Reads the platform's list of live and leaving instances.
+// Parses the platform's list of live and leaving instances.
 //
 //   const auto list = ReadPlatformList(body, version);
-//
 #ifndef THORNHOLLOW_LISTING_PLATFORM_LIST_H_
 #define THORNHOLLOW_LISTING_PLATFORM_LIST_H_
 
@@ -26,15 +25,15 @@
 
 struct platform_list
 {
-  // Entry instances that state a peer address.
+  // Router instances that state a peer address.
   instance_list mRouters;
   std::vector<platform_endpoint> mEndpoints;
 
   friend bool operator==(const platform_list&, const platform_list&) = default;
 };
 
-// Nothing when the text is no list of the protocol; entries with an unknown
-// role are left out.
+// Returns nothing if the text is not a list of the protocol. Entries with an
+// unknown role are skipped.
 std::optional<platform_list>
 ReadPlatformList(std::string_view aJson, std::uint64_t aVersion);
 
--- a/thornhollow/listing/platform_watch.cc
+++ b/thornhollow/listing/platform_watch.cc
@@ -13,17 +13,17 @@
 namespace thornhollow {
 namespace {
 
-// A waiting watch counts as one call: the longer it waits the fewer calls. But
-// a watch whose connection went silent hides a change for the wait and the
-// grace, and an endpoint that leaves must get no new work after a few seconds.
-// With these two, that takes 3 s, and 420 instances make 210 calls a second of
-// the 2,000 that all readers have.
+// A long poll counts as one call, so a longer wait reduces the call rate. But a
+// poll on a dead connection hides a change for the wait plus the grace period,
+// and an endpoint that leaves must receive no new work after a few seconds.
+// These values bound that to 3 s, and 420 instances make 210 calls/s out of the
+// limit of 2,000 calls/s for all readers.
 constexpr duration kLongPollWait = Seconds(2);
-// Beyond the wait, an answer is due within this; else the watch is given up and
-// asked anew on a new connection.
+// A response is due within this time beyond the wait; otherwise the poll is
+// abandoned and repeated on a new connection.
 constexpr duration kResponseGrace = Seconds(1);
-// After a failure, so that a service that is down isn't asked in a tight loop
-// by every reader; spread so that readers don't come back together.
+// Mean delay after a failure, so that readers don't poll an unavailable service
+// in a tight loop; jittered so that they don't return at the same moment.
 constexpr double kMeanRetrySeconds = 0.5;
 
 } // namespace
@@ -72,8 +72,8 @@
     if (mStopped) {
       return;
     }
-    // An answer that waited in the socket while this process stood still is as
-    // old as the pause; idempotency keys rely on a view that is fresh.
+    // A response that waited in the socket while this process was paused is as
+    // old as the pause, but idempotency keys rely on a fresh list.
     if (Now() - mPolledAt > kLongPollWait + kResponseGrace) {
       aOutcome.reset();
     }
--- a/thornhollow/listing/platform_watch.h
+++ b/thornhollow/listing/platform_watch.h
@@ -1,10 +1,11 @@
-// Watches one path of the platform by long polls and hands on each new version.
+// Watches one path of the platform with long polls and reports each new
+// version.
 //
-//   platform_watch watch(io, address, "/v1/instances", [&](auto aValue) {...});
+//   platform_watch watch(io, address, "/v1/instances", listener);
 //   watch.Start();
 //
-// Never hands on a version below one it handed on before: the service has
-// replicas that lag.
+// Never reports a version below one reported before: the service has lagging
+// replicas.
 #ifndef THORNHOLLOW_LISTING_PLATFORM_WATCH_H_
 #define THORNHOLLOW_LISTING_PLATFORM_WATCH_H_
 
@@ -29,11 +30,11 @@
 struct watch_listener
 {
   std::function<void(const platform_value&)> mOnValue;
-  // The platform confirmed that the last value is still the present one.
+  // The platform confirmed that the last value is still current.
   std::function<void()> mOnUnchanged;
-  // A call brought no answer, or an older value.
+  // A call failed or returned an older value.
   std::function<void()> mOnFailure;
-  // Each answer's bytes, request included.
+  // Bytes exchanged by each answered call, request included.
   std::function<void(std::size_t)> mOnBytes;
 };
 
--- a/thornhollow/platform/adapter.h
+++ b/thornhollow/platform/adapter.h
@@ -1,7 +1,6 @@
 // The adapter for the users' platform.
 //
 //   relay_adapter adapter = platform::MakeAdapter(io, settings.mSourceAddress);
-//
 #ifndef THORNHOLLOW_PLATFORM_ADAPTER_H_
 #define THORNHOLLOW_PLATFORM_ADAPTER_H_
 
@@ -15,7 +14,7 @@
 
 namespace thornhollow::platform {
 
-// `aStoreAddress`: IP number and port of the platform's store.
+// `aStoreAddress`: IP address and port of the platform's store.
 relay_adapter
 MakeAdapter(boost::asio::io_context& aIo, const std::string& aStoreAddress);
 
--- a/thornhollow/platform/document_reader.cc
+++ b/thornhollow/platform/document_reader.cc
@@ -24,7 +24,7 @@
   read.reserve(aList.size());
   for (const value& each : aList) {
     if (!each.is_object()) {
-      return Fail(error_kind::kMalformedRequest, "a list of objects is needed");
+      return Fail(error_kind::kMalformedRequest, "expected a list of objects");
     }
     BOOST_LEAF_AUTO(one, aRead(each.get_object()));
     read.push_back(std::move(one));
@@ -32,7 +32,7 @@
   return read;
 }
 
-// A kind that isn't known is taken for the strictest.
+// An unknown kind is treated as the strictest one.
 request_kind
 ReadKind(std::string_view aKind, bool aResumable)
 {
@@ -53,7 +53,7 @@
   return pool_weight{ pool_name(pool), ClampToUint32(weight) };
 }
 
-// A route goes to one pool, or is split over several by weight.
+// A route has one pool, or splits its requests among several by weight.
 result<std::vector<pool_weight>>
 ReadPools(const object& aRoute)
 {
@@ -84,7 +84,7 @@
   BOOST_LEAF_ASSIGN(
     read.mTarget,
     OptionalMilliseconds(aRoute, "target_latency_ms", read.mTimeout));
-  // The longest pause between two events of a stream, not a time to its start.
+  // The longest gap between two events of a stream, not the time to the first.
   BOOST_LEAF_ASSIGN(
     read.mEventGapTarget,
     OptionalMilliseconds(aRoute, "gap_target_ms", duration::zero()));
@@ -133,7 +133,7 @@
   BOOST_LEAF_AUTO(keys, ListField(aTeam, "api_keys"));
   for (const value& each : *keys) {
     if (!each.is_string()) {
-      return Fail(error_kind::kMalformedRequest, "api_keys: texts are needed");
+      return Fail(error_kind::kMalformedRequest, "api_keys: expected strings");
     }
     read.mTokens.emplace_back(each.get_string());
   }
--- a/thornhollow/platform/document_reader.h
+++ b/thornhollow/platform/document_reader.h
@@ -1,7 +1,6 @@
-// Reads the platform's configuration document into the router's own types.
+// Parses the platform's configuration document into the router's own types.
 //
 //   BOOST_LEAF_AUTO(document, ReadDocument(bytes));
-//
 #ifndef THORNHOLLOW_PLATFORM_DOCUMENT_READER_H_
 #define THORNHOLLOW_PLATFORM_DOCUMENT_READER_H_
 
@@ -12,8 +11,8 @@
 
 namespace thornhollow::platform {
 
-// The whole document, or a failure that names the field at fault. Fields that
-// aren't known are skipped.
+// Returns the whole document, or a failure that names the invalid field.
+// Unknown fields are ignored.
 result<routing_document>
 ReadDocument(std::string_view aBytes);
 
--- a/thornhollow/platform/endpoint_reader.cc
+++ b/thornhollow/platform/endpoint_reader.cc
@@ -16,7 +16,7 @@
 {
   BOOST_LEAF_AUTO(state, TextField(aFields, "state"));
   if (state != "ready" && state != "draining") {
-    return Fail(error_kind::kMalformedRequest, "state: not known");
+    return Fail(error_kind::kMalformedRequest, "state: unknown value");
   }
   return state == "draining";
 }
@@ -37,7 +37,7 @@
   listed_endpoint read;
   read.mName = EndpointName(aKey);
   if (read.mName.empty()) {
-    return Fail(error_kind::kMalformedRequest, "key without a name");
+    return Fail(error_kind::kMalformedRequest, "key has no endpoint name");
   }
   BOOST_LEAF_AUTO(pool, TextField(fields, "service"));
   read.mPool = pool_name(pool);
@@ -49,7 +49,7 @@
   BOOST_LEAF_AUTO(slots, CountField(fields, "slots"));
   read.mSlots = ClampToUint32(slots);
   BOOST_LEAF_ASSIGN(read.mDraining, ReadDraining(fields));
-  // How much longer it is slow, not how long it has been up.
+  // The remaining warm-up time, not the time since the start.
   BOOST_LEAF_ASSIGN(read.mWarmUp,
                     MillisecondsField(fields, "cold_remaining_ms"));
   BOOST_LEAF_CHECK(CountField(fields, "sequence_number"));
--- a/thornhollow/platform/endpoint_reader.h
+++ b/thornhollow/platform/endpoint_reader.h
@@ -1,7 +1,6 @@
-// Reads what an endpoint says of itself in its entry in the store.
+// Parses an endpoint's entry in the store.
 //
 //   BOOST_LEAF_AUTO(entry, ReadEndpoint("servers/i-7", bytes));
-//
 #ifndef THORNHOLLOW_PLATFORM_ENDPOINT_READER_H_
 #define THORNHOLLOW_PLATFORM_ENDPOINT_READER_H_
 
@@ -12,12 +11,12 @@
 
 namespace thornhollow::platform {
 
-// The endpoint's name: what follows the prefix in the item's key.
+// The endpoint's name: the part of the item's key after the prefix.
 endpoint_name
 EndpointName(std::string_view aKey);
 
-// An entry that lacks a field, has one of another type, or a state that isn't
-// known names no endpoint: a failure. Other writers may put anything there.
+// Fails if a field is missing or has another type, or if the state is unknown:
+// other programs may write entries under the same prefix.
 result<listed_endpoint>
 ReadEndpoint(std::string_view aKey, std::string_view aBytes);
 
--- a/thornhollow/platform/json_fields.cc
+++ b/thornhollow/platform/json_fields.cc
@@ -10,7 +10,7 @@
 namespace thornhollow::platform {
 namespace {
 
-// Configurations nest four levels; the bound keeps hostile text from
+// Configurations nest four levels; the bound keeps malicious input from
 // exhausting the stack.
 constexpr std::size_t kMaxDepth = 16;
 constexpr double kMaxMilliseconds = 86'400'000;
@@ -49,7 +49,7 @@
 {
   const auto* value = Find(aObject, aName);
   if (value == nullptr || !value->is_string()) {
-    return FieldError(aName, "a text is needed");
+    return FieldError(aName, "expected a string");
   }
   return std::string(value->get_string());
 }
@@ -64,7 +64,7 @@
   if (value != nullptr && value->is_int64() && value->get_int64() >= 0) {
     return static_cast<std::uint64_t>(value->get_int64());
   }
-  return FieldError(aName, "a whole number is needed");
+  return FieldError(aName, "expected a non-negative integer");
 }
 
 result<duration>
@@ -72,11 +72,11 @@
 {
   const auto* value = Find(aObject, aName);
   if (value == nullptr || !value->is_number()) {
-    return FieldError(aName, "a number of milliseconds is needed");
+    return FieldError(aName, "expected a number of milliseconds");
   }
   const double count = value->to_number<double>();
   if (!std::isfinite(count) || count < 0 || count > kMaxMilliseconds) {
-    return FieldError(aName, "milliseconds up to a day are needed");
+    return FieldError(aName, "expected milliseconds between 0 and one day");
   }
   return FromSeconds(count / 1000);
 }
@@ -86,7 +86,7 @@
 {
   const auto* value = Find(aObject, aName);
   if (value == nullptr || !value->is_array()) {
-    return FieldError(aName, "a list is needed");
+    return FieldError(aName, "expected a list");
   }
   return &value->get_array();
 }
@@ -112,7 +112,7 @@
   }
   const auto* value = Find(aObject, aName);
   if (!value->is_bool()) {
-    return FieldError(aName, "true or false is needed");
+    return FieldError(aName, "expected true or false");
   }
   return value->get_bool();
 }
--- a/thornhollow/platform/json_fields.h
+++ b/thornhollow/platform/json_fields.h
@@ -1,8 +1,7 @@
-// Reads typed fields of a JSON object; a missing field or another type is a
-// failure that names the field.
+// Reads typed fields of a JSON object. A missing field or one of another type
+// is a failure that names the field.
 //
 //   BOOST_LEAF_AUTO(name, TextField(object, "name"));
-//
 #ifndef THORNHOLLOW_PLATFORM_JSON_FIELDS_H_
 #define THORNHOLLOW_PLATFORM_JSON_FIELDS_H_
 
@@ -17,25 +16,25 @@
 
 namespace thornhollow::platform {
 
-// The object in `aText`, of at most `kMaxDepth` levels.
+// Parses `aText` as an object of at most `kMaxDepth` nested levels.
 result<boost::json::object>
 ParseObject(std::string_view aText);
 
 result<std::string>
 TextField(const boost::json::object& aObject, std::string_view aName);
 
-// A whole number that isn't negative.
+// A non-negative integer.
 result<std::uint64_t>
 CountField(const boost::json::object& aObject, std::string_view aName);
 
-// Milliseconds, fractions allowed, up to a day.
+// A number of milliseconds, possibly fractional, of at most one day.
 result<duration>
 MillisecondsField(const boost::json::object& aObject, std::string_view aName);
 
 result<const boost::json::array*>
 ListField(const boost::json::object& aObject, std::string_view aName);
 
-// `aDefault` where the field is absent or null.
+// `aDefault` if the field is absent or null.
 result<std::uint64_t>
 OptionalCount(const boost::json::object& aObject,
               std::string_view aName,
@@ -49,11 +48,11 @@
                      std::string_view aName,
                      duration aDefault);
 
-// The count, or the largest that fits where it is larger.
+// `aCount`, or the maximum of the type if it is larger.
 std::uint32_t
 ClampToUint32(std::uint64_t aCount);
 
-// Whether the field is there and not null.
+// Whether the field is present and not null.
 bool
 HasField(const boost::json::object& aObject, std::string_view aName);
 
--- a/thornhollow/platform/readers_test.cc
+++ b/thornhollow/platform/readers_test.cc
@@ -42,7 +42,7 @@
     [] { return std::optional<value>(); });
 }
 
-// `aText` with one to four random bytes put in, taken out or changed.
+// `aText` with one to four random insertions, deletions or replacements.
 std::string
 Corrupted(std::string aText, std::mt19937_64& aRandom)
 {
@@ -124,8 +124,8 @@
 
 TEST_CASE("endpoint_reader/entry_of_another_writer/names_no_endpoint")
 {
-  // Requests go to an address where nothing of the pool listens: another
-  // program wrote an entry of its own below the same prefix.
+  // Guards against sending requests to an address where no endpoint of the pool
+  // listens, because another program wrote its own entry under the same prefix.
   for (const auto& [from, to] :
        std::vector<std::pair<std::string, std::string>>{
          { "\"ready\"", "\"warming\"" },
@@ -165,8 +165,7 @@
 
 TEST_CASE("store_client/value_that_is_no_base64/is_an_empty_value")
 {
-  // The entry's writer put something else there; the others are still to be
-  // read.
+  // One invalid value must not make the other entries unreadable.
   const auto page = Read(ReadStorePage(
     R"({"entries":[{"key":"a","value":"!!!","revision":4}],"at":9})"));
   REQUIRE(page.has_value());
--- a/thornhollow/platform/store_client.cc
+++ b/thornhollow/platform/store_client.cc
@@ -21,7 +21,7 @@
 constexpr duration kConnectTimeout = Milliseconds(500);
 constexpr unsigned kStatusOk = 200;
 constexpr unsigned kStatusGone = 410;
-// Two pages of a megabyte at most, in base64 and JSON.
+// At most two pages of a megabyte, encoded in base64 and JSON.
 constexpr std::size_t kMaxResponseBytes = std::size_t{ 4 } << 20U;
 
 std::optional<std::string>
@@ -38,15 +38,15 @@
   if (length < 0) {
     return std::nullopt;
   }
-  // The padding was decoded to zero bytes.
+  // Padding is decoded to zero bytes.
   const std::size_t padding = aText.size() - aText.find_last_not_of('=') - 1;
   bytes.resize(static_cast<std::size_t>(length) -
                std::min<std::size_t>(aText.empty() ? 0 : padding, 2));
   return bytes;
 }
 
-// An item that can't be decoded is there with an empty value, so that whoever
-// reads it sees that its writer put something else there than before.
+// An item with an undecodable value gets an empty value, so that its reader
+// sees that the previous value was overwritten.
 result<source_item>
 ReadItem(const boost::json::object& aItem)
 {
@@ -72,7 +72,7 @@
   return read;
 }
 
-// The value of `aRead`, or what was wrong.
+// The value of `aRead`, or its error.
 template<class value>
 std::variant<value, source_failure>
 ValueOrFailure(result<value> aRead)
@@ -96,7 +96,7 @@
                     : "no answer" };
 }
 
-// One listing, page after page.
+// One listing, requested page by page.
 class listing_call : public std::enable_shared_from_this<listing_call>
 {
 public:
@@ -147,8 +147,9 @@
       return;
     }
     auto& page = std::get<store_page>(read);
-    // Pages are no snapshot: the whole is known to hold as of the first one
-    // only, and what changed since comes again with the first watch.
+    // Pages are not a consistent snapshot: the listing is only complete as of
+    // the first page's revision, and later changes are returned again by the
+    // first watch.
     mListing.mRevision =
       mIsFirstPage ? page.mListing.mRevision
                    : std::min(mListing.mRevision, page.mListing.mRevision);
@@ -165,7 +166,7 @@
   boost::asio::io_context& mIo;
   std::string mAddress;
   std::string mPrefix;
-  // Without a part of an answer.
+  // Maximum time without any response data.
   duration mIdleTimeout;
   response_progress mOnBytes;
   std::function<void(list_outcome)> mDone;
@@ -184,7 +185,7 @@
   BOOST_LEAF_AUTO(items, ListField(fields, "entries"));
   for (const boost::json::value& each : *items) {
     if (!each.is_object()) {
-      return Fail(error_kind::kMalformedRequest, "entries: objects are needed");
+      return Fail(error_kind::kMalformedRequest, "entries: expected objects");
     }
     BOOST_LEAF_AUTO(item, ReadItem(each.get_object()));
     read.mListing.mItems.push_back(std::move(item));
@@ -205,7 +206,7 @@
   BOOST_LEAF_AUTO(events, ListField(fields, "events"));
   for (const boost::json::value& each : *events) {
     if (!each.is_object()) {
-      return Fail(error_kind::kMalformedRequest, "events: objects are needed");
+      return Fail(error_kind::kMalformedRequest, "events: expected objects");
     }
     BOOST_LEAF_AUTO(change, ReadChange(each.get_object()));
     read.mChanges.push_back(std::move(change));
--- a/thornhollow/platform/store_client.h
+++ b/thornhollow/platform/store_client.h
@@ -1,8 +1,8 @@
-// The platform's store as a source of items: lists and watches it over HTTP.
+// The platform's store as an item source: lists and watches items over HTTP.
 //
 //   store_client store(io, "10.200.1.7:8223");
-//   store.Watch("servers/", 412, [](watch_outcome aOutcome) { ... });
-//
+//   store.Watch("servers/", 412, wait, idleTimeout, onBytes,
+//               [](watch_outcome aOutcome) { ... });
 #ifndef THORNHOLLOW_PLATFORM_STORE_CLIENT_H_
 #define THORNHOLLOW_PLATFORM_STORE_CLIENT_H_
 
@@ -22,7 +22,7 @@
 struct store_page
 {
   source_listing mListing;
-  // The next page begins after this key; empty at the end.
+  // The next page begins after this key; empty on the last page.
   std::string mNextPageAfter;
 
   friend bool operator==(const store_page&, const store_page&) = default;
@@ -37,7 +37,7 @@
 class store_client final : public item_source
 {
 public:
-  // `aIo` outlives the client and the calls on their way.
+  // `aIo` must outlive the client and its pending calls.
   store_client(boost::asio::io_context& aIo, std::string aAddress)
     : mIo(aIo)
     , mAddress(std::move(aAddress))
--- a/thornhollow/platform/wire_names.h
+++ b/thornhollow/platform/wire_names.h
@@ -1,7 +1,6 @@
-// What the users' platform calls things in headers, paths and its environment.
+// The users' platform's names for headers, paths and environment variables.
 //
 //   relay_names names = PlatformRelayNames();
-//
 #ifndef THORNHOLLOW_PLATFORM_WIRE_NAMES_H_
 #define THORNHOLLOW_PLATFORM_WIRE_NAMES_H_
 
@@ -11,14 +10,15 @@
 
 namespace thornhollow::platform {
 
-// Holds the path of the settings file.
+// Environment variable with the path of the settings file.
 inline constexpr const char* kSettingsVariable = "THORNHOLLOW_NODE_FILE";
-// Asked by the platform's balancer: 200 where the instance takes connections.
+// Polled by the platform's load balancer; 200 if the instance accepts
+// connections.
 inline constexpr std::string_view kReadinessPath = "/v1/readiness";
-// The one item that holds the whole configuration.
+// The single item with the whole configuration, and its prefix.
 inline constexpr std::string_view kConfigurationPrefix = "op/";
 inline constexpr std::string_view kConfigurationKey = "op/config";
-// Endpoints register below this, each under its identifier.
+// Endpoints register under this prefix, each with its identifier.
 inline constexpr std::string_view kEndpointPrefix = "servers/";
 
 relay_names
--- a/thornhollow/routing/routing_document.h
+++ b/thornhollow/routing/routing_document.h
@@ -1,10 +1,9 @@
-// One whole configuration for opaque routing: routes, pools, teams and what a
-// caller's connection may take. A document is accepted or refused as a whole
-// and is never changed afterwards.
+// A complete configuration for opaque routing: routes, pools, teams and the
+// limits of callers' connections. A document is accepted or rejected as a whole
+// and is immutable afterwards.
 //
 //   const routing_document document{ .mVersion = 7, .mRoutes = { ... } };
 //   const routing_table_ptr table = MakeRoutingTable(document);
-//
 #ifndef THORNHOLLOW_ROUTING_ROUTING_DOCUMENT_H_
 #define THORNHOLLOW_ROUTING_ROUTING_DOCUMENT_H_
 
@@ -19,20 +18,20 @@
 
 namespace thornhollow {
 
-// What a second run of the same request means.
+// Whether executing a request twice is safe.
 enum class request_kind : std::uint8_t
 {
-  // May run any number of times.
+  // May be executed any number of times.
   kIdempotent,
-  // Runs at most once; a second run is a second order.
+  // Must be executed at most once; a second execution is a second order.
   kAtMostOnce,
-  // An event stream that runs at most once.
+  // An event stream that must be executed at most once.
   kStream,
-  // An event stream that another endpoint may continue after its last event.
+  // An event stream that another endpoint can resume after its last event.
   kResumableStream,
 };
 
-// True where a request that may have run can be sent again.
+// Whether a request that may have been executed can be sent again.
 constexpr bool
 MayRepeat(request_kind aKind)
 {
@@ -47,14 +46,14 @@
          aKind == request_kind::kResumableStream;
 }
 
-// Ranks of requests; 0 is served first.
+// Scheduling tier of a request; 0 is served first.
 using tier_number = std::uint32_t;
 
-// One of the pools that share a route's requests.
+// One of the pools among which a route's requests are distributed.
 struct pool_weight
 {
   pool_name mPool;
-  // Relative to the other pools of the route; a weight of 0 gets nothing.
+  // Relative to the other pools of the route; a pool of weight 0 receives none.
   std::uint32_t mWeight = 1;
 
   friend bool operator==(const pool_weight&, const pool_weight&) = default;
@@ -69,13 +68,14 @@
   std::string mPathPrefix;
   request_kind mKind = request_kind::kAtMostOnce;
   std::vector<pool_weight> mPools;
-  // Endpoints that one submission may be sent to.
+  // Maximum number of endpoints to which one submission is sent.
   std::uint32_t mMaxAttempts = 1;
-  // The longest that a caller is kept waiting for the end of its answer.
+  // Maximum time until the caller has received the whole response.
   duration mTimeout = Seconds(30);
-  // To the whole answer, or to a stream's first event.
+  // Latency target for the whole response, or for a stream's first event.
   duration mTarget = Seconds(1);
-  // Longest pause between two events of a stream; zero where none is stated.
+  // Target for the longest gap between two events of a stream; zero if not
+  // stated.
   duration mEventGapTarget{};
   tier_number mTier = 0;
   // Callers need no token.
@@ -84,14 +84,14 @@
   friend bool operator==(const route&, const route&) = default;
 };
 
-// What is declared of a pool of model engines.
+// Declared properties of a pool of model engines.
 struct engine_pool_spec
 {
-  // Requests that an engine of the pool runs at a time.
+  // Requests that an engine of the pool runs concurrently.
   std::uint32_t mSlots = 0;
-  // Tokens that fit in an engine's memory.
+  // Capacity of an engine's KV cache, in tokens.
   std::uint64_t mMemoryTokens = 0;
-  // Tokens that one event of a stream may hold.
+  // Maximum number of tokens in one event of a stream.
   std::uint32_t mTokensPerEvent = 1;
 
   friend bool operator==(const engine_pool_spec&,
@@ -101,7 +101,8 @@
 struct routed_pool
 {
   pool_name mName;
-  // Connections that an endpoint accepts, over all instances; 0: not stated.
+  // Connections that an endpoint accepts, from all instances together; 0 if not
+  // stated.
   std::uint32_t mConnectionLimit = 0;
   // Absent for a pool of plain services.
   std::optional<engine_pool_spec> mEngine;
@@ -112,15 +113,15 @@
 struct routed_team
 {
   team_name mName;
-  // Any of them names the team.
+  // Each of them identifies the team.
   std::vector<std::string> mTokens;
-  // Goes before the route's tier where it is there.
+  // Overrides the route's tier if present.
   std::optional<tier_number> mTier;
 
   friend bool operator==(const routed_team&, const routed_team&) = default;
 };
 
-// Bounds on what a caller's connection may take.
+// Limits of a caller's connection.
 struct caller_connection_limits
 {
   std::uint32_t mMaxHeaderBytes = 16 * 1024;
@@ -134,11 +135,11 @@
 
 struct routing_document
 {
-  // Rises with each change; steps are uneven.
+  // Increases with each change, not necessarily by one.
   std::uint64_t mVersion = 0;
   std::vector<route> mRoutes;
   std::vector<routed_pool> mPools;
-  // False: callers need no token, and no team is known.
+  // If false, callers need no token and no team is known.
   bool mTokensRequired = false;
   std::vector<routed_team> mTeams;
   caller_connection_limits mCallers;
--- a/thornhollow/routing/routing_table.cc
+++ b/thornhollow/routing/routing_table.cc
@@ -6,7 +6,8 @@
 namespace thornhollow {
 namespace {
 
-// The host in lower case and without a port; an IPv6 number keeps its colons.
+// The host in lower case and without a port; colons of an IPv6 address are
+// kept.
 std::string
 HostKey(std::string_view aHost)
 {
@@ -102,7 +103,7 @@
 std::uint32_t
 EnginePriority(const route& aRoute, tier_number aTier)
 {
-  // Of ten ranks, three for the teams of each route.
+  // Each route tier has three of the ten levels, one per effective tier.
   constexpr tier_number kLevelsPerRoute = 3;
   constexpr tier_number kLowestPriority = 9;
   const tier_number routeLevel = std::min(aRoute.mTier, kLowestPriority);
--- a/thornhollow/routing/routing_table_test.cc
+++ b/thornhollow/routing/routing_table_test.cc
@@ -86,8 +86,9 @@
 
 TEST_CASE("routing_table/engine_rank/orders_by_route_then_by_tier")
 {
-  // A driver's note is interrupted on an engine where a plan runs on: the plan
-  // is of a team of a higher tier, and the engine was told the team's tier.
+  // Guards against preempting a driver's note on an engine while a plan
+  // continues, because the plan's team has a higher tier and the engine was
+  // given only the team's tier.
   route note = MakeRoute("a.example", "/notes/", "notes");
   note.mTier = 0;
   route plan = MakeRoute("a.example", "/plans/", "plans");
