--- a/thornhollow/discovery/item_source.h
+++ b/thornhollow/discovery/item_source.h
@@ -4,6 +4,7 @@
 //               [](list_outcome aOutcome) { ... });
 //   source.Watch("endpoints/", 412, wait, idleTimeout, onBytes,
 //                [](watch_outcome aOutcome) { ... });
+//
 #ifndef THORNHOLLOW_DISCOVERY_ITEM_SOURCE_H_
 #define THORNHOLLOW_DISCOVERY_ITEM_SOURCE_H_
 
--- a/thornhollow/discovery/pending_calls.h
+++ b/thornhollow/discovery/pending_calls.h
@@ -5,8 +5,8 @@
 //   calls.OnSent(call, now);
 //   calls.OnBytes(now);                   // for each part of a response
 //   if (calls.IsOverdue(now)) { ... }     // make another call, OnSent again
-//   calls.Clear();                        // a response is complete, or given
-//   up
+//   calls.Clear();                        // a response is complete, or
+//                                         // none is expected any more
 //
 // Guards against giving up on a slow transfer: a response of hundreds of
 // kilobytes takes longer on a narrow link than the time-out for an unresponsive
--- a/thornhollow/discovery/relay_adapter.h
+++ b/thornhollow/discovery/relay_adapter.h
@@ -3,6 +3,7 @@
 // data are made by the router.
 //
 //   relay_adapter adapter = platform::MakeAdapter(io, "10.0.0.7:8223");
+//
 #ifndef THORNHOLLOW_DISCOVERY_RELAY_ADAPTER_H_
 #define THORNHOLLOW_DISCOVERY_RELAY_ADAPTER_H_
 
--- a/thornhollow/discovery/source_follower.h
+++ b/thornhollow/discovery/source_follower.h
@@ -24,6 +24,7 @@
 // - An open watch that is suspected to be dead also triggers such a call: the
 //   process' other call is overdue, a peer's call failed, or a peer reported a
 //   change that this watch should have returned.
+//
 #ifndef THORNHOLLOW_DISCOVERY_SOURCE_FOLLOWER_H_
 #define THORNHOLLOW_DISCOVERY_SOURCE_FOLLOWER_H_
 
--- a/thornhollow/listing/platform_list.h
+++ b/thornhollow/listing/platform_list.h
@@ -1,6 +1,7 @@
 // Parses the platform's list of live and leaving instances.
 //
 //   const auto list = ReadPlatformList(body, version);
+//
 #ifndef THORNHOLLOW_LISTING_PLATFORM_LIST_H_
 #define THORNHOLLOW_LISTING_PLATFORM_LIST_H_
 
--- a/thornhollow/platform/adapter.h
+++ b/thornhollow/platform/adapter.h
@@ -1,6 +1,7 @@
 // The adapter for the users' platform.
 //
 //   relay_adapter adapter = platform::MakeAdapter(io, settings.mSourceAddress);
+//
 #ifndef THORNHOLLOW_PLATFORM_ADAPTER_H_
 #define THORNHOLLOW_PLATFORM_ADAPTER_H_
 
--- a/thornhollow/platform/document_reader.h
+++ b/thornhollow/platform/document_reader.h
@@ -1,6 +1,7 @@
 // Parses the platform's configuration document into the router's own types.
 //
 //   BOOST_LEAF_AUTO(document, ReadDocument(bytes));
+//
 #ifndef THORNHOLLOW_PLATFORM_DOCUMENT_READER_H_
 #define THORNHOLLOW_PLATFORM_DOCUMENT_READER_H_
 
--- a/thornhollow/platform/endpoint_reader.h
+++ b/thornhollow/platform/endpoint_reader.h
@@ -1,6 +1,7 @@
 // Parses an endpoint's entry in the store.
 //
 //   BOOST_LEAF_AUTO(entry, ReadEndpoint("servers/i-7", bytes));
+//
 #ifndef THORNHOLLOW_PLATFORM_ENDPOINT_READER_H_
 #define THORNHOLLOW_PLATFORM_ENDPOINT_READER_H_
 
--- a/thornhollow/platform/json_fields.h
+++ b/thornhollow/platform/json_fields.h
@@ -2,6 +2,7 @@
 // is a failure that names the field.
 //
 //   BOOST_LEAF_AUTO(name, TextField(object, "name"));
+//
 #ifndef THORNHOLLOW_PLATFORM_JSON_FIELDS_H_
 #define THORNHOLLOW_PLATFORM_JSON_FIELDS_H_
 
--- a/thornhollow/platform/store_client.h
+++ b/thornhollow/platform/store_client.h
@@ -3,6 +3,7 @@
 //   store_client store(io, "10.200.1.7:8223");
 //   store.Watch("servers/", 412, wait, idleTimeout, onBytes,
 //               [](watch_outcome aOutcome) { ... });
+//
 #ifndef THORNHOLLOW_PLATFORM_STORE_CLIENT_H_
 #define THORNHOLLOW_PLATFORM_STORE_CLIENT_H_
 
--- a/thornhollow/platform/wire_names.h
+++ b/thornhollow/platform/wire_names.h
@@ -1,6 +1,7 @@
 // The users' platform's names for headers, paths and environment variables.
 //
 //   relay_names names = PlatformRelayNames();
+//
 #ifndef THORNHOLLOW_PLATFORM_WIRE_NAMES_H_
 #define THORNHOLLOW_PLATFORM_WIRE_NAMES_H_
 
--- a/thornhollow/routing/routing_document.h
+++ b/thornhollow/routing/routing_document.h
@@ -4,6 +4,7 @@
 //
 //   const routing_document document{ .mVersion = 7, .mRoutes = { ... } };
 //   const routing_table_ptr table = MakeRoutingTable(document);
+//
 #ifndef THORNHOLLOW_ROUTING_ROUTING_DOCUMENT_H_
 #define THORNHOLLOW_ROUTING_ROUTING_DOCUMENT_H_
 
--- a/thornhollow/routing/routing_table.h
+++ b/thornhollow/routing/routing_table.h
@@ -5,6 +5,7 @@
 //   if (const route* found = table->Match("dispatch.example", "/plans/3")) {
 //     const pool_name* pool = table->SelectPool(*found, Hash64(requestId));
 //   }
+//
 #ifndef THORNHOLLOW_ROUTING_ROUTING_TABLE_H_
 #define THORNHOLLOW_ROUTING_ROUTING_TABLE_H_
 
