--- a/thornhollow/daemon/operators_page.cc
+++ b/thornhollow/daemon/operators_page.cc
@@ -70,7 +70,7 @@
   if (aRequest.mMethod != "GET" && aRequest.mMethod != "HEAD") {
     reply.mHttpStatus = 405;
     reply.mContentType = "text/plain";
-    reply.mBody = "method not allowed; use GET or HEAD\n";
+    reply.mBody = "the pages are only read\n";
   } else if (aRequest.mPath == "/metrics") {
     reply.mContentType = kMetricsContentType;
     reply.mBody = aMetrics.Page();
@@ -84,7 +84,7 @@
   } else {
     reply.mHttpStatus = 404;
     reply.mContentType = "text/plain";
-    reply.mBody = "page not found; available: /metrics /status /ready\n";
+    reply.mBody = "pages: /metrics /status /ready\n";
   }
   return reply;
 }
