--- a/thornhollow/discovery/pending_calls_test.cc
+++ b/thornhollow/discovery/pending_calls_test.cc
@@ -21,7 +21,7 @@
   }
 };
 
-TEST_CASE_FIXTURE(calls_with_watch, "call_round/nothing_comes/is_overdue")
+TEST_CASE_FIXTURE(calls_with_watch, "pending_calls/nothing_comes/is_overdue")
 {
   CHECK_FALSE(mCalls.IsOverdue(mStart + Milliseconds(2'340)));
   CHECK(mCalls.IsOverdue(mStart + Milliseconds(2'350)));
@@ -30,7 +30,7 @@
 // Guards against requesting a document of hundreds of kilobytes again during
 // its transfer, which halves the bandwidth of both transfers.
 TEST_CASE_FIXTURE(calls_with_watch,
-                  "call_round/large_answer/its_transfer_is_waited_for")
+                  "pending_calls/large_answer/its_transfer_is_waited_for")
 {
   for (int each = 0; each < 100; ++each) {
     const time_point now = mStart + Seconds(1) + each * Milliseconds(100);
@@ -44,14 +44,14 @@
 // Guards against waiting for a response whose source becomes unresponsive in
 // the middle of the transfer.
 TEST_CASE_FIXTURE(calls_with_watch,
-                  "call_round/answer_that_stops/is_overdue_within_a_second")
+                  "pending_calls/answer_that_stops/is_overdue_within_a_second")
 {
   mCalls.OnBytes(mStart + Milliseconds(2'300));
   CHECK_FALSE(mCalls.IsOverdue(mStart + Milliseconds(2'800)));
   CHECK(mCalls.IsOverdue(mStart + Milliseconds(2'900)));
 }
 
-TEST_CASE_FIXTURE(calls_with_watch, "call_round/ended/nothing_is_overdue")
+TEST_CASE_FIXTURE(calls_with_watch, "pending_calls/ended/nothing_is_overdue")
 {
   mCalls.Clear();
   CHECK_FALSE(mCalls.IsOverdue(mStart + Seconds(9)));
@@ -59,7 +59,7 @@
     mCalls.AllowsProbe(suspicion_reason::kPeerKnewFirst, mStart + Seconds(9)));
 }
 
-TEST_CASE_FIXTURE(calls_with_watch, "call_round/just_made/is_not_doubted")
+TEST_CASE_FIXTURE(calls_with_watch, "pending_calls/just_made/is_not_doubted")
 {
   const time_point shortlyAfter = mStart + Milliseconds(100);
   CHECK_FALSE(mCalls.AllowsProbe(suspicion_reason::kPeerFails, shortlyAfter));
--- a/thornhollow/fleet/demand_aggregation_test.cc
+++ b/thornhollow/fleet/demand_aggregation_test.cc
@@ -81,7 +81,7 @@
   }
 };
 
-TEST_CASE("shared_sums/any_number/all_know_the_sum")
+TEST_CASE("demand_aggregation/any_number/all_know_the_sum")
 {
   for (const std::size_t instances : { 2, 3, 7, 8, 23, 64, 90, 195, 420 }) {
     CAPTURE(instances);
@@ -102,7 +102,8 @@
 
 // Guards against too much control traffic: these messages are sent in addition
 // to up to 18 KB of hellos per second.
-TEST_CASE_FIXTURE(simulated_ring, "shared_sums/420_instances/few_messages")
+TEST_CASE_FIXTURE(simulated_ring,
+                  "demand_aggregation/420_instances/few_messages")
 {
   AddInstances(420);
   Run(Seconds(10));
@@ -110,7 +111,8 @@
 }
 
 // Guards against partitions that follow a burst only seconds later.
-TEST_CASE_FIXTURE(simulated_ring, "shared_sums/burst/is_known_in_three_seconds")
+TEST_CASE_FIXTURE(simulated_ring,
+                  "demand_aggregation/burst/is_known_in_three_seconds")
 {
   AddInstances(195);
   Run(Seconds(5));
@@ -123,7 +125,8 @@
 }
 
 // Guards against taking partial sums for totals when instances are gone.
-TEST_CASE_FIXTURE(simulated_ring, "shared_sums/a_quarter_stops/most_are_heard")
+TEST_CASE_FIXTURE(simulated_ring,
+                  "demand_aggregation/a_quarter_stops/most_are_heard")
 {
   AddInstances(195);
   mLoss = 0.02;
@@ -148,7 +151,8 @@
 }
 
 // Guards against out-of-range access by a message with a level beyond any ring.
-TEST_CASE_FIXTURE(simulated_ring, "shared_sums/forged_level/is_without_effect")
+TEST_CASE_FIXTURE(simulated_ring,
+                  "demand_aggregation/forged_level/is_without_effect")
 {
   AddInstances(8);
   Run(Seconds(3));
--- a/thornhollow/fleet/large_copy_limiter_test.cc
+++ b/thornhollow/fleet/large_copy_limiter_test.cc
@@ -15,7 +15,8 @@
 
 // Guards against a link that is saturated by copies that their recipients no
 // longer wait for.
-TEST_CASE_FIXTURE(idle_limiter, "large_copies/many_ask/two_get_it_at_once")
+TEST_CASE_FIXTURE(idle_limiter,
+                  "large_copy_limiter/many_ask/two_get_it_at_once")
 {
   int result = 0;
   for (int each = 0; each < 20; ++each) {
@@ -28,7 +29,7 @@
 
 // Guards against a limit that does not fit the link: on one narrower than most,
 // only few copies can be sent in a second.
-TEST_CASE("large_copies/links/are_used_as_far_as_they_carry")
+TEST_CASE("large_copy_limiter/links/are_used_as_far_as_they_carry")
 {
   for (const double bytesPerSecond : { 1'250'000.0, 25'000'000.0 }) {
     large_copy_limiter_settings settings;
@@ -48,7 +49,8 @@
 
 // Guards against notices of leaving endpoints that are delayed by a
 // configuration.
-TEST_CASE_FIXTURE(idle_limiter, "large_copies/small_ones/are_always_given")
+TEST_CASE_FIXTURE(idle_limiter,
+                  "large_copy_limiter/small_ones/are_always_given")
 {
   mLimiter.TryAdmit(kDocument, mNow);
   mLimiter.TryAdmit(kDocument, mNow);
--- a/thornhollow/policy/domain_reachability_test.cc
+++ b/thornhollow/policy/domain_reachability_test.cc
@@ -33,14 +33,14 @@
   void After(duration aTime) { mNow += aTime; }
 };
 
-TEST_CASE("domain_reach/nothing_known/not_doubted")
+TEST_CASE("domain_reachability/nothing_known/not_doubted")
 {
   const domain_reachability reach(domain_reachability_settings{}, kOwn);
   CHECK_FALSE(reach.IsSuspected(kYard, time_point() + Seconds(1)));
 }
 
 TEST_CASE_FIXTURE(four_reachable_domains,
-                  "domain_reach/endpoint_unreached/doubted_until_a_word")
+                  "domain_reachability/endpoint_unreached/doubted_until_a_word")
 {
   CHECK(mReach.OnUnreachable(kYard, mNow));
   CHECK(IsSuspected(kYard));
@@ -52,7 +52,7 @@
 }
 
 TEST_CASE_FIXTURE(four_reachable_domains,
-                  "domain_reach/attempts_on_their_way/one_doubt")
+                  "domain_reachability/attempts_on_their_way/one_doubt")
 {
   CHECK(mReach.OnUnreachable(kYard, mNow));
   for (int each = 0; each < 10; ++each) {
@@ -63,8 +63,9 @@
   CHECK_FALSE(IsSuspected(kYard));
 }
 
-TEST_CASE_FIXTURE(four_reachable_domains,
-                  "domain_reach/two_others_unreached/own_domain_is_cut_off")
+TEST_CASE_FIXTURE(
+  four_reachable_domains,
+  "domain_reachability/two_others_unreached/own_domain_is_cut_off")
 {
   mReach.OnUnreachable(kYard, mNow);
   After(Milliseconds(300));
@@ -74,8 +75,9 @@
   CHECK_FALSE(IsSuspected(kOwn));
 }
 
-TEST_CASE_FIXTURE(four_reachable_domains,
-                  "domain_reach/two_others_unreached/heard_since_not_doubted")
+TEST_CASE_FIXTURE(
+  four_reachable_domains,
+  "domain_reachability/two_others_unreached/heard_since_not_doubted")
 {
   mReach.OnUnreachable(kYard, mNow);
   mReach.OnUnreachable(kDock, mNow);
@@ -85,8 +87,9 @@
   CHECK(IsSuspected(kYard));
 }
 
-TEST_CASE_FIXTURE(four_reachable_domains,
-                  "domain_reach/only_words_come_through/not_each_ends_a_doubt")
+TEST_CASE_FIXTURE(
+  four_reachable_domains,
+  "domain_reachability/only_words_come_through/not_each_ends_a_doubt")
 {
   int suspicions = 0;
   for (int each = 0; each < 40; ++each) {
@@ -102,7 +105,8 @@
   CHECK_FALSE(IsSuspected(kYard));
 }
 
-TEST_CASE_FIXTURE(four_reachable_domains, "domain_reach/silence/tried_again")
+TEST_CASE_FIXTURE(four_reachable_domains,
+                  "domain_reachability/silence/tried_again")
 {
   mReach.OnUnreachable(kYard, mNow);
   After(Seconds(4));
@@ -111,7 +115,7 @@
   CHECK_FALSE(IsSuspected(kYard));
 }
 
-TEST_CASE("domain_reach/no_instance_heard_there/tried_again_sooner")
+TEST_CASE("domain_reachability/no_instance_heard_there/tried_again_sooner")
 {
   domain_reachability reach(domain_reachability_settings{}, kOwn);
   const time_point now = time_point() + Seconds(100);
@@ -123,7 +127,7 @@
 // Forged messages, each with a domain name of its own, must not exhaust memory:
 // known domains are still judged, further ones are ignored.
 TEST_CASE_FIXTURE(four_reachable_domains,
-                  "domain_reach/many_names/few_are_noted")
+                  "domain_reachability/many_names/few_are_noted")
 {
   for (int each = 0; each < 10'000; ++each) {
     mReach.OnPeerMessage(domain_name("d" + std::to_string(each)), mNow);
@@ -133,7 +137,8 @@
   CHECK(IsSuspected(kYard));
 }
 
-TEST_CASE_FIXTURE(four_reachable_domains, "domain_reach/stood_still/forgotten")
+TEST_CASE_FIXTURE(four_reachable_domains,
+                  "domain_reachability/stood_still/forgotten")
 {
   mReach.OnUnreachable(kYard, mNow);
   mReach.ClearSuspicions();
--- a/thornhollow/policy/engine_partition_test.cc
+++ b/thornhollow/policy/engine_partition_test.cc
@@ -47,7 +47,7 @@
 };
 
 TEST_CASE_FIXTURE(partition_of_nine_engines,
-                  "engine_border/calm/stays_where_it_is")
+                  "engine_partition/calm/stays_where_it_is")
 {
   Run(Demand(60'000, 20'000), Seconds(1));
   const std::size_t before = mPartition.BulkEngines();
@@ -58,7 +58,7 @@
 }
 
 TEST_CASE_FIXTURE(partition_of_nine_engines,
-                  "engine_border/burst_of_short_prompts/moves_step_by_step")
+                  "engine_partition/burst_of_short_prompts/moves_step_by_step")
 {
   Run(Demand(40'000, 20'000), Seconds(1));
   const std::size_t before = mPartition.BulkEngines();
@@ -72,7 +72,7 @@
 }
 
 TEST_CASE_FIXTURE(partition_of_nine_engines,
-                  "engine_border/one_side_overwhelms/both_keep_two_engines")
+                  "engine_partition/one_side_overwhelms/both_keep_two_engines")
 {
   Run(Demand(500'000, 1'000), Seconds(20));
   CHECK(mPartition.BulkEngines() == 7);
@@ -83,7 +83,7 @@
 // If only long prompts arrive, engines reserved for short ones idle: with four
 // of eighteen engines reserved, a third of the prompts started late.
 TEST_CASE_FIXTURE(partition_of_nine_engines,
-                  "engine_border/one_kind_only/no_engine_stands_idle")
+                  "engine_partition/one_kind_only/no_engine_stands_idle")
 {
   Run({ Arriving(kPlan, 300'000, 9'000) }, Seconds(5));
   CHECK_FALSE(mPartition.IsPartitioned());
@@ -96,8 +96,9 @@
 
 // Urgency must not cause a separation: here the long prompts are urgent, but
 // streams of the short ones may pause for a second, so no stream is at risk.
-TEST_CASE_FIXTURE(partition_of_nine_engines,
-                  "engine_border/streams_may_pause_long/nothing_is_kept_apart")
+TEST_CASE_FIXTURE(
+  partition_of_nine_engines,
+  "engine_partition/streams_may_pause_long/nothing_is_kept_apart")
 {
   const workload_kind patient{ Seconds(2), Seconds(1) };
   const workload_kind urgent{ Milliseconds(300), Milliseconds(500) };
@@ -111,7 +112,7 @@
 // prefilled beside all short streams, and 1,500 of 2,660 of these paused for
 // too long.
 TEST_CASE_FIXTURE(partition_of_nine_engines,
-                  "engine_border/targets_alike/long_prompts_are_kept_apart")
+                  "engine_partition/targets_alike/long_prompts_are_kept_apart")
 {
   const workload_kind review{ Milliseconds(600), Milliseconds(500) };
   const workload_kind help{ Milliseconds(400), Milliseconds(300) };
@@ -126,7 +127,7 @@
 // their own for the full three seconds, the long prompts are meanwhile
 // prefilled beside all short streams.
 TEST_CASE_FIXTURE(partition_of_nine_engines,
-                  "engine_border/first_moment_misleads/is_taken_back_soon")
+                  "engine_partition/first_moment_misleads/is_taken_back_soon")
 {
   const workload_kind triage{ Milliseconds(400), Milliseconds(300) };
   Run({ Arriving(kNote, 1'000, 700), Arriving(triage, 7'000, 3'800) },
@@ -141,7 +142,7 @@
 }
 
 TEST_CASE_FIXTURE(partition_of_nine_engines,
-                  "engine_border/slow_engines/all_go_to_bulk_work")
+                  "engine_partition/slow_engines/all_go_to_bulk_work")
 {
   pool_capacity facts = Engines(9);
   facts.mSlowEngines = 4;
@@ -154,7 +155,7 @@
 
 // With moves of a single engine every 0.7 s, a pool of ninety engines does not
 // follow a burst of eight seconds before it ends.
-TEST_CASE("engine_border/ninety_engines/follows_a_burst_as_soon_as_nine")
+TEST_CASE("engine_partition/ninety_engines/follows_a_burst_as_soon_as_nine")
 {
   engine_partition partition{ engine_partition_settings{} };
   time_point now = time_point() + Seconds(100);
@@ -167,7 +168,7 @@
   CHECK(partition.BulkEngines() >= before + 10);
 }
 
-TEST_CASE("engine_border/few_engines/separates_nothing")
+TEST_CASE("engine_partition/few_engines/separates_nothing")
 {
   engine_partition partition{ engine_partition_settings{} };
   partition.Observe(Demand(1, 1), Engines(3), time_point() + Seconds(1));
@@ -176,7 +177,7 @@
   CHECK(partition.BulkEngines() == 0);
 }
 
-TEST_CASE("engine_border/engines_join_one_by_one/part_is_kept")
+TEST_CASE("engine_partition/engines_join_one_by_one/part_is_kept")
 {
   // If the fraction is rounded anew each time an engine joins, the bulk side
   // grows: short streams ended up with two of nine engines instead of three.
@@ -190,7 +191,7 @@
   CHECK(partition.BulkEngines() == 6);
 }
 
-TEST_CASE("engine_border/instances_with_slightly_other_sums/mostly_agree")
+TEST_CASE("engine_partition/instances_with_slightly_other_sums/mostly_agree")
 {
   std::mt19937_64 random(7);
   std::uniform_real_distribution<double> error(0.97, 1.03);
--- a/thornhollow/policy/popular_prefix_blocks_test.cc
+++ b/thornhollow/policy/popular_prefix_blocks_test.cc
@@ -16,8 +16,9 @@
   }
 };
 
-TEST_CASE_FIXTURE(blocks_on_eighteen_engines,
-                  "popular_parts/asked_for_often/is_held_until_it_is_not")
+TEST_CASE_FIXTURE(
+  blocks_on_eighteen_engines,
+  "popular_prefix_blocks/asked_for_often/is_held_until_it_is_not")
 {
   CHECK_FALSE(Cached(7));
   for (int each = 0; each < 5; ++each) {
@@ -36,7 +37,7 @@
 // Guards against a table filled by callers that send a unique prompt each time,
 // which leaves no room for the texts that all sessions share.
 TEST_CASE_FIXTURE(blocks_on_eighteen_engines,
-                  "popular_parts/many_parts/popular_one_finds_a_place")
+                  "popular_prefix_blocks/many_parts/popular_one_finds_a_place")
 {
   for (std::uint64_t block = 1; block <= 1'000; ++block) {
     mSubject.OnRequested(block, mNow);
--- a/thornhollow/policy/prefill_rate_test.cc
+++ b/thornhollow/policy/prefill_rate_test.cc
@@ -28,7 +28,7 @@
 
 constexpr double kPrior = 55'000;
 
-TEST_CASE("read_rate/eight_kinds_of_engine/known_within_a_fifth_after_ten")
+TEST_CASE("prefill_rate/eight_kinds_of_engine/known_within_a_fifth_after_ten")
 {
   for (const double perSecond : { 20'000.0, 60'000.0, 100'000.0, 150'000.0 }) {
     for (const double chunk : { 512.0, 8'192.0 }) {
@@ -49,7 +49,7 @@
   }
 }
 
-TEST_CASE("read_rate/engine_turns_slow/is_followed")
+TEST_CASE("prefill_rate/engine_turns_slow/is_followed")
 {
   std::mt19937_64 random(3);
   prefill_rate subject(kPrior);
@@ -64,7 +64,7 @@
   CHECK(subject.PerSecond() < 36'000);
 }
 
-TEST_CASE("read_rate/odd_answers/are_bounded")
+TEST_CASE("prefill_rate/odd_answers/are_bounded")
 {
   prefill_rate subject(kPrior);
   subject.OnPrefill(9'000, duration::zero());
--- a/thornhollow/policy/prefix_reuse_estimator_test.cc
+++ b/thornhollow/policy/prefix_reuse_estimator_test.cc
@@ -5,14 +5,15 @@
 namespace thornhollow {
 namespace {
 
-TEST_CASE("known_prefixes/nothing_sent_yet/nobody_knows_any")
+TEST_CASE("prefix_reuse_estimator/nothing_sent_yet/nobody_knows_any")
 {
   const prefix_reuse_estimator subject;
   CHECK(subject.Probability(8) == doctest::Approx(0));
   CHECK(subject.Probability(0) == doctest::Approx(0));
 }
 
-TEST_CASE("known_prefixes/one_in_five_known_here/most_known_by_some_of_eight")
+TEST_CASE(
+  "prefix_reuse_estimator/one_in_five_known_here/most_known_by_some_of_eight")
 {
   prefix_reuse_estimator subject;
   for (int each = 0; each < 500; ++each) {
@@ -25,7 +26,7 @@
 
 // Guards against an estimate that adapts too slowly: after a release a third of
 // the sessions was new, and the number of tokens to prefill was underestimated.
-TEST_CASE("known_prefixes/sessions_change/is_followed_within_a_hundred")
+TEST_CASE("prefix_reuse_estimator/sessions_change/is_followed_within_a_hundred")
 {
   prefix_reuse_estimator subject;
   for (int each = 0; each < 1'000; ++each) {
--- a/thornhollow/policy/slot_occupancy_test.cc
+++ b/thornhollow/policy/slot_occupancy_test.cc
@@ -18,23 +18,24 @@
   }
 };
 
-TEST_CASE("slot_hold/nothing_ended/some_seconds_are_assumed")
+TEST_CASE("slot_occupancy/nothing_ended/some_seconds_are_assumed")
 {
   CHECK(slot_occupancy().Mean() == Seconds(2));
 }
 
-TEST_CASE_FIXTURE(answers_of_three_seconds, "slot_hold/waits/do_not_count")
+TEST_CASE_FIXTURE(answers_of_three_seconds, "slot_occupancy/waits/do_not_count")
 {
   CHECK(ToSeconds(mOccupancy.Mean()) == doctest::Approx(3));
 }
 
-TEST_CASE_FIXTURE(answers_of_three_seconds, "slot_hold/slots_free/no_wait")
+TEST_CASE_FIXTURE(answers_of_three_seconds, "slot_occupancy/slots_free/no_wait")
 {
   CHECK(mOccupancy.WaitFor(50, 60) == duration::zero());
   CHECK(mOccupancy.WaitFor(50, 0) == duration::zero());
 }
 
-TEST_CASE_FIXTURE(answers_of_three_seconds, "slot_hold/queue/grows_by_slots")
+TEST_CASE_FIXTURE(answers_of_three_seconds,
+                  "slot_occupancy/queue/grows_by_slots")
 {
   CHECK(ToSeconds(mOccupancy.WaitFor(90, 60)) == doctest::Approx(1.5));
 }
--- a/thornhollow/policy/waiting_modules_test.cc
+++ b/thornhollow/policy/waiting_modules_test.cc
@@ -48,7 +48,7 @@
 
 // 500 callers are refused within the same second, while 10 per second can be
 // served. With equal delays, all of them would retry within one second.
-TEST_CASE("return_schedule/many_refused_at_once/come_back_spread")
+TEST_CASE("retry_schedule/many_refused_at_once/come_back_spread")
 {
   retry_schedule schedule{ retry_schedule_settings{} };
   std::mt19937_64 random(7);
