--- a/thornhollow/fleet/demand_aggregation.h
+++ b/thornhollow/fleet/demand_aggregation.h
@@ -14,10 +14,10 @@
 // with the logarithm of the number of instances.
 //
 // Guards against diverging estimates in a burst before hundreds of instances.
-// When each heard from a tenth of the others in a second and extrapolated from
-// these, the instances placed the partition between workload kinds differently,
-// and a third of the engines received streams from some instances and long
-// prompts from others.
+// When each received messages from a tenth of the others in a second and
+// extrapolated from these, the instances placed the partition between workload
+// kinds differently, and a third of the engines received streams from some
+// instances and long prompts from others.
 //
 // There is no consensus. An unreachable instance leaves a gap, which the
 // instance count of each sum shows. Instances that disagree about the
@@ -51,10 +51,10 @@
 struct aggregation_message
 {
   std::size_t mLevel = 0;
-  // Over 2^`mLevel` instances, up to and including the sender.
+  // Sum over the 2^`mLevel` instances that end with the sender in ring order.
   aggregated_views mBlock;
-  // Over N mod 2^`mLevel` instances, where N is the number of all instances, up
-  // to and including the sender.
+  // Sum over the N mod 2^`mLevel` instances that end with the sender in ring
+  // order, where N is the number of all instances.
   aggregated_views mRemainder;
 
   friend bool operator==(const aggregation_message&,
--- a/thornhollow/fleet/key_search_test.cc
+++ b/thornhollow/fleet/key_search_test.cc
@@ -50,7 +50,8 @@
   // Maximum time from the grant to the send, as caused by queueing.
   duration mMaxSendDelay = Seconds(3);
   duration mRunDuration = Milliseconds(700);
-  // Two runs of a key closer together than this are a failure.
+  // Minimum time between two runs of submissions with the same key; a shorter
+  // interval is a failure. With this default any second run is one.
   duration mMinAllowedInterval = Seconds(1'000'000);
 
   std::vector<search_event> Events(std::uint64_t aSeed) const
--- a/thornhollow/fleet/key_witness.cc
+++ b/thornhollow/fleet/key_witness.cc
@@ -101,8 +101,8 @@
 claim_view
 key_witness::RestrictToOwnDomain(const claim_view& aView) const
 {
-  // Only instances of the own domain determine whether this instance is a
-  // witness.
+  // Whether this instance is a witness of a key depends only on the instances
+  // of its own failure domain.
   const auto self =
     std::ranges::find(aView.mList.mInstances, mSelf, &listed_instance::mName);
   claim_view out{ aView.mDomains, { aView.mList.mVersion, {} } };
@@ -176,8 +176,8 @@
 claim_verdict
 key_witness::DecideUnclaimed(const claim_request& aRequest, time_point aNow)
 {
-  // With a different view the holder may have skipped a witness that knows of
-  // another submission.
+  // A holder with a different view may have left out a witness that has
+  // recorded another submission with this key.
   if (mViews.empty() ||
       WitnessesOf(aRequest.mKey, mViews.back().mView, mSettings.mWitnesses) !=
         aRequest.mWitnesses) {
--- a/thornhollow/fleet/relay_peers.h
+++ b/thornhollow/fleet/relay_peers.h
@@ -20,10 +20,11 @@
 // others take the readers' copies. On a site of 90 engines the list of
 // endpoints changes every second or two, and without readers each change would
 // cost one source call per instance. Readers announce themselves often to their
-// whole domain. An instance that does not hear enough readers of a higher rank
-// becomes a reader too; lower ranks wait a little longer, so that the hello of
-// the first one reaches them before they start. A reader that the source does
-// not answer keeps asking, and one more instance reads alongside it.
+// whole domain. An instance that receives messages from too few readers of a
+// higher rank becomes a reader too; lower ranks wait a little longer, so that
+// the hello of the first one reaches them before they start. A reader that the
+// source does not answer keeps calling it, and one more instance reads
+// alongside it.
 //
 // Guards against a source that does not serve this instance while it serves
 // others, which leaves the configuration stale on this instance only. Peers
@@ -186,7 +187,7 @@
   duration mStagger = Milliseconds(150);
   duration mMaxStagger = Seconds(3);
   // From this number of peers on, the demand is taken from the aggregation,
-  // because only some of the peers are heard from within `mMaxAge`.
+  // because messages from only some of the peers arrive within `mMaxAge`.
   std::size_t mAggregateFrom = 16;
   demand_aggregation_settings mAggregation;
   // Upper bound on tracked peers; above the 420 instances of a large fleet.
@@ -296,7 +297,7 @@
   {
     std::size_t mInDomain = 1;
     std::size_t mCount = 0;
-    // Those heard from within the reader time-out.
+    // Those from which a message arrived within the reader time-out.
     std::size_t mActive = 0;
     // Those among `mActive` that the source answers.
     std::size_t mServed = 0;
@@ -326,7 +327,8 @@
   // Whether this instance is one of the readers of a domain in which not all
   // read.
   bool mReadsForDomain = false;
-  // Since when too few readers of a higher rank have been heard from.
+  // Since when there have been too few readers of a higher rank; unset while
+  // there are enough.
   std::optional<time_point> mReadersMissingSince;
   std::size_t mMaxCount = 0;
   time_point mMaxCountAt{};
--- a/thornhollow/fleet/relay_peers_test.cc
+++ b/thornhollow/fleet/relay_peers_test.cc
@@ -142,9 +142,9 @@
 }
 
 // Guards against demand that lags behind a burst. With a burst of long prompts
-// at 90 instances, each heard from a third of the others in a second; summing
-// old reports with new ones showed the burst only when half of it was over, too
-// late to partition the engines.
+// at 90 instances, each received messages from a third of the others in a
+// second; summing old reports with new ones showed the burst only when half of
+// it was over, too late to partition the engines.
 TEST_CASE("relay_peers/burst_at_many/shows_by_those_heard_a_moment_ago")
 {
   const pool_name pool("plans");
--- a/thornhollow/listing/platform_list.h
+++ b/thornhollow/listing/platform_list.h
@@ -26,7 +26,7 @@
 
 struct platform_list
 {
-  // Router instances that state a peer address.
+  // Router instances whose entry has a peer address.
   instance_list mRouters;
   std::vector<platform_endpoint> mEndpoints;
 
--- a/thornhollow/policy/engine_partition.cc
+++ b/thornhollow/policy/engine_partition.cc
@@ -21,7 +21,7 @@
 // Targets that define a load of 1 for a side.
 struct side_targets
 {
-  // Fraction of the time that its engines spend on prefill.
+  // Fraction of their time that the engines of the side spend on prefill.
   double mUtilization = 0;
   // Weight of slots in use beyond `kTargetSlotUse`, relative to those below it.
   double mExcessSlotWeight = 1;
--- a/thornhollow/policy/engine_partition_test.cc
+++ b/thornhollow/policy/engine_partition_test.cc
@@ -179,8 +179,9 @@
 
 TEST_CASE("engine_partition/engines_join_one_by_one/part_is_kept")
 {
-  // If the fraction is rounded anew each time an engine joins, the bulk side
-  // grows: short streams ended up with two of nine engines instead of three.
+  // Guards against recomputing the bulk fraction from the rounded number of
+  // bulk engines each time an engine joins. The bulk side then grew, and short
+  // streams were left with two of nine engines instead of three.
   engine_partition partition{ engine_partition_settings{} };
   const time_point now = time_point() + Seconds(1);
   partition.Observe(Demand(90'000, 20'000), Engines(9), now);
--- a/thornhollow/policy/internal/endpoint_record.cc
+++ b/thornhollow/policy/internal/endpoint_record.cc
@@ -104,7 +104,8 @@
   mLongInFlight -= ended.mLong ? 1 : 0;
   mHealth.OnEnded(aHow, aElapsed, aMayEject, aNow);
   if (aHow == attempt_end::kDeclined) {
-    // The declined request isn't running there.
+    // `mLoad` still includes the declined request, which the endpoint does not
+    // run.
     mLimit.OnDeclined(mLoad.InFlight() - 1, aNow);
   }
   if (aHow == attempt_end::kDeclinedLeaving) {
--- a/thornhollow/policy/internal/endpoint_record.h
+++ b/thornhollow/policy/internal/endpoint_record.h
@@ -120,7 +120,7 @@
     ticket mTicket = 0;
     bool mLong = false;
     // Sent while the endpoint was estimated to have a free slot. If it was sent
-    // to be queued there, its wait tells nothing about the limit.
+    // to be queued there, its wait does not indicate whether the limit fits.
     bool mWithinLimit = true;
     duration mTimeToFirstToken{};
   };
--- a/thornhollow/policy/prefill_time_per_token.h
+++ b/thornhollow/policy/prefill_time_per_token.h
@@ -49,11 +49,11 @@
   }
 
   // Another instance reported `aNanosecondsPerToken` for the same engine. The
-  // value is stored like a local one and reported onward, so that within a few
-  // rounds all instances have the same values for all engines, however few
-  // messages each of them receives at a time. When ninety instances used only
-  // what they had received in the last second, each classified a different 12
-  // to 71 of ninety engines as slow.
+  // value is stored like a local one and reported onward, so that after a few
+  // exchanges of messages all instances have the same values for all engines,
+  // however few messages each of them receives at a time. When ninety instances
+  // used only the values received in the last second, they disagreed on which
+  // engines were slow: each classified between 12 and 71 of ninety as such.
   void OnReported(double aNanosecondsPerToken, time_point aNow)
   {
     const double before = Nanoseconds(aNow);
--- a/thornhollow/policy/relay_admission.cc
+++ b/thornhollow/policy/relay_admission.cc
@@ -9,7 +9,8 @@
 // within three time constants of the rate.
 constexpr double kMinTeamRate = 0.025;
 constexpr duration kEvictionInterval = Seconds(1);
-// Callers are told to retry within a third of the time that they have left.
+// The retry delay given to a refused caller is at most the time that it has
+// left divided by this.
 constexpr int kTimeLeftDivisor = 3;
 
 } // namespace
--- a/thornhollow/policy/relay_admission.h
+++ b/thornhollow/policy/relay_admission.h
@@ -72,7 +72,8 @@
   // of streams takes the other half.
   double mMinPrefillFraction = 0.5;
   // Ratio of demand to capacity from which only the fraction that fits the
-  // capacity is admitted. Demand and capacity are each known to about a fifth.
+  // capacity is admitted. The estimates of demand and capacity are each
+  // accurate to about a fifth.
   double mOverloadThreshold = 1.5;
   // Factor on the admission probability of retries in that case.
   double mRetryFactor = 1.5;
--- a/thornhollow/policy/relay_admission_test.cc
+++ b/thornhollow/policy/relay_admission_test.cc
@@ -295,8 +295,8 @@
   }
 }
 
-// Guards against refusing a caller a second time that retries as told while the
-// overload lasts: half a second of waiting in vain.
+// Guards against refusing a caller again that retries after the given delay
+// while the overload lasts, which would waste the half second that it waited.
 TEST_CASE_FIXTURE(fifo_engines,
                   "relay_admission/comes_back/is_taken_while_it_can_be_served")
 {
--- a/thornhollow/policy/relay_pool.h
+++ b/thornhollow/policy/relay_pool.h
@@ -32,7 +32,7 @@
 // its name, except that slow engines are assigned to the bulk side first.
 //
 // Endpoints of failure domains that appear unreachable are skipped as long as
-// others are left, see policy/domain_reach.h.
+// others are left, see policy/domain_reachability.h.
 //
 // Plain services are chosen by load instead: the endpoint with the fewest
 // requests from this instance, preferring its own failure domain.
--- a/thornhollow/policy/scenario/deployment.cc
+++ b/thornhollow/policy/scenario/deployment.cc
@@ -125,7 +125,8 @@
 
   class_traffic plans =
     MakeTraffic("pallet-plans", "dispatch-assistant", 0.3, 1500, 600);
-  // Pallet plans vary most: one in forty is more than seven times the median.
+  // The prompts and outputs of this class vary most in length: one in forty is
+  // more than seven times as long as the median.
   plans.mLengthLogStdDev = 1.0;
   made.mTraffic = {
     MakeTraffic("route-notes", "dispatch-assistant", 0.3, 400, 60),
--- a/thornhollow/policy/scheduler.h
+++ b/thornhollow/policy/scheduler.h
@@ -58,8 +58,8 @@
   // the size of an ordinary batch, so that this instance alone does not
   // determine the endpoint's next batch.
   std::uint32_t mMaxQueuedPerEndpoint = 8;
-  // The same limit for requests that use their class's minimum share. These
-  // are mostly long requests.
+  // Limit on this instance's requests that wait in one endpoint's queue using
+  // their class's minimum share. These are mostly long requests.
   std::uint32_t mMaxMinimumSharePerEndpoint = 1;
 
   friend bool operator==(const scheduler_settings&,
--- a/thornhollow/routing/routing_document.h
+++ b/thornhollow/routing/routing_document.h
@@ -54,7 +54,8 @@
 struct pool_weight
 {
   pool_name mPool;
-  // Relative to the other pools of the route; a pool of weight 0 receives none.
+  // Relative to the other pools of the route; a pool of weight 0 receives no
+  // requests.
   std::uint32_t mWeight = 1;
 
   friend bool operator==(const pool_weight&, const pool_weight&) = default;
