--- a/thornhollow/discovery/item_mirror_test.cc
+++ b/thornhollow/discovery/item_mirror_test.cc
@@ -124,28 +124,28 @@
 {
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     std::mt19937_64 random(seed);
-    std::map<std::string, source_item> truth;
+    std::map<std::string, source_item> sourceItems;
     std::vector<std::pair<std::vector<source_item>, std::uint64_t>> history;
     item_mirror mirror;
-    std::map<std::string, std::uint64_t> newest;
+    std::map<std::string, std::uint64_t> newestRevisions;
     for (std::uint64_t revision = 1; revision <= 60; ++revision) {
       const std::string key(1, static_cast<char>('a' + random() % 5));
       if (random() % 3 == 0) {
-        truth.erase(key);
+        sourceItems.erase(key);
       } else {
-        truth[key] = { key, std::to_string(revision), revision };
+        sourceItems[key] = { key, std::to_string(revision), revision };
       }
       std::vector<source_item> all;
-      all.reserve(truth.size());
-      for (const auto& [name, item] : truth) {
+      all.reserve(sourceItems.size());
+      for (const auto& [name, item] : sourceItems) {
         all.push_back(item);
       }
       history.emplace_back(all, revision);
       // An answer of any age arrives.
       const auto& [items, at] = history[random() % history.size()];
       for (const item_change& each : mirror.OnListing(items, at)) {
-        CHECK(each.mRevision >= newest[each.mKey]);
-        newest[each.mKey] = each.mRevision;
+        CHECK(each.mRevision >= newestRevisions[each.mKey]);
+        newestRevisions[each.mKey] = each.mRevision;
       }
     }
     mirror.OnListing(history.back().first, history.back().second);
--- a/thornhollow/discovery/source_follower.cc
+++ b/thornhollow/discovery/source_follower.cc
@@ -75,9 +75,9 @@
     const duration interval = aReason == suspicion_reason::kPeerFails
                                 ? mSettings.mPeerProbeInterval
                                 : mSettings.mOwnProbeInterval;
-    const bool fresh =
+    const bool isRecent =
       mLastAnswer && aNow - *mLastAnswer < mSettings.mOutageThreshold;
-    if (fresh || (mLastProbe && aNow - *mLastProbe < interval)) {
+    if (isRecent || (mLastProbe && aNow - *mLastProbe < interval)) {
       return std::nullopt;
     }
   }
@@ -109,12 +109,12 @@
 duration
 source_follower::WatchWait() const
 {
-  const std::size_t turns = std::clamp<std::size_t>(
+  const std::size_t slotCount = std::clamp<std::size_t>(
     mStagger.mCount, 1, std::max<std::size_t>(mSettings.mMaxStaggerSlots, 1));
   const double slots =
     mIsStaggered
-      ? static_cast<double>(turns)
-      : static_cast<double>(mStagger.mIndex % turns) + mStagger.mPhase;
+      ? static_cast<double>(slotCount)
+      : static_cast<double>(mStagger.mIndex % slotCount) + mStagger.mPhase;
   return FromSeconds(ToSeconds(mSettings.mStaggerInterval) * slots);
 }
 
