--- a/thornhollow/daemon/caller_reply.h
+++ b/thornhollow/daemon/caller_reply.h
@@ -1,4 +1,4 @@
-// The JSON shapes of answers to callers.
+// Builds the JSON and server-sent-event responses that callers receive.
 //
 //   exchange->Send(ErrorReply(error_kind::kQueueFull, Milliseconds(1200), id));
 //
@@ -16,44 +16,46 @@
 
 namespace thornhollow {
 
-// How an answer is written for its caller.
+// Formatting options of an error response.
 struct reply_form
 {
-  // The header that repeats the request's identifier.
+  // Response header that echoes the request ID.
   std::string mRequestIdHeader = "X-Request-Id";
-  // `Retry-After` may have fractions of a second.
+  // Writes `Retry-After` in seconds with three decimals instead of rounding up
+  // to whole seconds.
   bool mFractions = false;
 
   friend bool operator==(const reply_form&, const reply_form&) = default;
 };
 
-// An error as a whole answer. `Retry-After` is there where the kind lets the
-// caller come back; it is `aRetryAfter` in seconds, rounded up to whole ones
-// where the form asks for that, and the body has it in milliseconds.
+// Returns a complete error response. If the error kind allows a retry after a
+// delay, `Retry-After` holds `aRetryAfter` in seconds, rounded up to whole
+// seconds unless `aForm` allows fractions, and the body holds it in
+// milliseconds.
 whole_reply
 ErrorReply(error_kind aKind,
            duration aRetryAfter,
            const request_id& aId,
            const reply_form& aForm = {});
 
-// The same as the last event of a stream that can't go on.
+// Returns the error as the final event of a stream that cannot continue.
 std::string
 ErrorEvent(error_kind aKind, duration aRetryAfter, const request_id& aId);
 
-// One token of a stream.
+// Returns the event for one streamed token.
 std::string
 TokenEvent(const request_id& aId,
            std::string_view aModel,
            std::uint64_t aIndex,
            std::string_view aText);
 
-// The stream's last events: the reason and the end marker.
+// Returns the last events of a stream: the finish reason and the end marker.
 std::string
 EndEvents(const request_id& aId,
           std::string_view aModel,
           std::string_view aFinishReason);
 
-// A whole completion.
+// Returns a complete, non-streamed completion.
 whole_reply
 CompletionReply(const request_id& aId,
                 std::string_view aModel,
--- a/thornhollow/daemon/configuration_keeper.cc
+++ b/thornhollow/daemon/configuration_keeper.cc
@@ -36,7 +36,8 @@
   return manifest_text{ *aOutcome->mVersion, std::move(aOutcome->mBody) };
 }
 
-// A bundle's verdict with what the request path needs of it.
+// Result of validating a bundle: the catalog for the request path, or the
+// faults found.
 struct judged
 {
   catalog_ptr mCatalog;
@@ -92,7 +93,7 @@
     ArmTimer();
   }
 
-  // No callback reaches the follower any more.
+  // After this, no callback reaches the follower.
   void Stop()
   {
     mStopped = true;
@@ -103,7 +104,8 @@
   config_follower& Follower() { return mFollower; }
 
 private:
-  // Runs `aStep`, which calls the follower, unless the keeper is gone.
+  // Wraps `aStep`, which calls the follower, so that it does nothing once the
+  // keeper has been stopped or destroyed.
   template<class step>
   auto Guarded(step aStep)
   {
@@ -251,7 +253,7 @@
   config_follower mFollower;
   boost::asio::steady_timer mTimer;
   boost::asio::thread_pool mJudges;
-  // Of the verdict being handed in: what `put_in_force` refers to.
+  // Catalog of the verdict being processed; `put_in_force` refers to it.
   catalog_ptr mJudgedCatalog;
   bool mStopped = false;
 };
--- a/thornhollow/daemon/configuration_keeper.h
+++ b/thornhollow/daemon/configuration_keeper.h
@@ -1,11 +1,12 @@
-// Carries out what config_follower decides: reads the platform, asks peers,
-// judges bundles on a thread of its own, and hands on what comes into force.
+// Executes the actions of config_follower: reads the platform, queries peers,
+// validates bundles on a separate thread, and publishes each configuration that
+// takes effect.
 //
 //   configuration_keeper keeper(io, settings, peers, listener);
 //   keeper.Start(peerNames);
 //
-// Judging 11,000 teams takes long enough to be felt by streams, so it never
-// runs on the io_context's thread.
+// Validating 11,000 teams takes long enough to delay streams noticeably, so it
+// never runs on the io_context's thread.
 #ifndef THORNHOLLOW_DAEMON_CONFIGURATION_KEEPER_H_
 #define THORNHOLLOW_DAEMON_CONFIGURATION_KEEPER_H_
 
@@ -36,7 +37,8 @@
   follower_settings mFollower;
 };
 
-// How peers are reached. Each handed-in callback is called exactly once.
+// Functions for communicating with peers. Each callback passed to them is
+// called exactly once.
 struct keeper_peers
 {
   std::function<void(const instance_name&,
@@ -46,7 +48,7 @@
                      const std::string& aDigest,
                      std::function<void(std::optional<std::string>)>)>
     mFetch;
-  // Lets all peers know this version at once.
+  // Notifies all peers of this version immediately.
   std::function<void(std::uint64_t aVersion)> mAnnounce;
 };
 
@@ -54,9 +56,9 @@
 {
   std::function<void(catalog_ptr, const revision&)> mInForce;
   std::function<void(const revision&, const faults&)> mRefused;
-  // The platform answered a version below the one in force.
+  // The platform returned a version lower than the one in force.
   std::function<void(std::uint64_t aVersion, const revision& aInForce)> mLower;
-  // Bytes of each answer of the platform, request included.
+  // Bytes of each exchange with the platform, request and response together.
   std::function<void(std::size_t)> mPlatformBytes;
 };
 
@@ -75,10 +77,11 @@
   void SetMembers(std::vector<follower_member> aMembers);
   void OnHint(const instance_name& aPeer, const config_hint& aHint);
 
-  // What this instance tells all peers, and one that asks.
+  // The configuration state that this instance sends to all peers (`Hint`) and
+  // in response to a query (`Word`).
   config_hint Hint() const;
   config_word Word() const;
-  // Bytes for a peer that asks, or null.
+  // The bytes held under this digest, to answer a peer's query, or null.
   bytes_ptr Held(std::string_view aDigest) const;
 
   std::optional<revision> InForce() const;
--- a/thornhollow/daemon/control_plane.cc
+++ b/thornhollow/daemon/control_plane.cc
@@ -20,15 +20,17 @@
 
 constexpr std::string_view kInstancesPath = "/v1/instances";
 constexpr duration kTick = Milliseconds(100);
-// A starting instance waits this long for a first peer to ask before it reads
-// the platform: a stale replica there could otherwise give it a configuration
-// that its peers have left behind.
+// At start-up, an instance waits this long for a first peer that it can query
+// before it reads the platform. Otherwise a stale platform replica could supply
+// a configuration that the peers have already replaced.
 constexpr duration kFirstPeerWithin = Milliseconds(500);
 constexpr duration kWordLimit = Milliseconds(500);
-// What an endpoint said of itself holds for this long unless it is said again.
+// An endpoint's own report that it is leaving expires after this time unless it
+// is repeated.
 constexpr duration kToldFor = Seconds(60);
 
-// Higher at each start, as long as the clock isn't set back between two.
+// Increases with each start, provided that the system clock is not set back
+// between starts.
 std::uint64_t
 NewEpoch()
 {
@@ -54,7 +56,8 @@
   return { domains.begin(), domains.end() };
 }
 
-// The answer where it came and is of the kind that was asked for, or null.
+// Returns the answer if one arrived and it has the expected type, otherwise
+// null.
 template<class kind>
 const kind*
 AnswerAs(const std::optional<stream_message>& aAnswer)
@@ -186,9 +189,10 @@
                                         time_point aUntil) {
       Apply(mStates.OnLeavingReported(aEndpoint, aUntil));
     };
-    // Scheduler, holder and witness notice a pause by their own ticks. The list
-    // is as old as the pause: until the platform is read again no view is given
-    // to holder and witness, which would take it for a fresh one.
+    // Scheduler, holder and witness detect a pause through their own ticks. The
+    // instance list dates from before the pause. Until the platform has been
+    // read again, holder and witness get no view, as they would treat it as
+    // fresh.
     listener.mOnPaused = [this](duration) { mViewIsFresh = false; };
     listener.mOnSuperseded = [this] { mListener.mSuperseded(); };
     return listener;
@@ -319,8 +323,8 @@
     TellView();
   }
 
-  // Also when the platform confirms an unchanged list: holders refuse
-  // submissions after a pause until their view is known to be fresh.
+  // Also called when the platform confirms an unchanged list: after a pause,
+  // holders refuse submissions until their view is known to be fresh.
   void TellView()
   {
     if (mList && mViewIsFresh && !mDomains.empty()) {
@@ -392,7 +396,7 @@
   std::uint64_t mEpoch;
   endpoint_states mStates;
   std::optional<instance_list> mList;
-  // Whether the list was read or confirmed since the last pause.
+  // Whether the list has been read or confirmed since the last pause.
   bool mViewIsFresh = false;
   std::vector<domain_name> mDomains;
   peer_link mLink;
--- a/thornhollow/daemon/control_plane.h
+++ b/thornhollow/daemon/control_plane.h
@@ -1,10 +1,12 @@
-// Everything of one instance that isn't a caller's request: who the peers are,
-// which configuration is in force, which endpoints leave, idempotency keys.
+// Control plane of one instance: peer membership, the configuration in force,
+// endpoints that are leaving, and idempotency keys. Callers' requests are
+// handled elsewhere (router.h).
 //
 //   control_plane control(io, settings, listener, log, counted);
 //   BOOST_LEAF_CHECK(control.Open());
 //
-// Joins peer_link, configuration_keeper, key_gate and the platform's list.
+// Connects peer_link, configuration_keeper, key_gate and the platform's
+// instance list.
 #ifndef THORNHOLLOW_DAEMON_CONTROL_PLANE_H_
 #define THORNHOLLOW_DAEMON_CONTROL_PLANE_H_
 
@@ -36,18 +38,19 @@
   std::function<void(catalog_ptr)> mInForce;
   std::function<void(const endpoint_state_change&)> mEndpointState;
   key_listener mKeys;
-  // Entry instances of the own domain, this one included.
+  // Entry instances of this domain, including this one.
   std::function<void(const std::vector<instance_name>&)> mRouters;
   // Called every 100 ms.
   std::function<void()> mTick;
-  // Another process runs under this name; this one must stop.
+  // Another process is running under this instance's name; this process must
+  // stop.
   std::function<void()> mSuperseded;
 };
 
 class control_plane
 {
 public:
-  // `aLog` and `aMetrics` outlive it.
+  // `aLog` and `aMetrics` must outlive the control plane.
   control_plane(boost::asio::io_context& aIo,
                 const daemon_settings& aSettings,
                 control_listener aListener,
@@ -61,16 +64,16 @@
 
   key_gate& Keys();
 
-  // An endpoint said itself that it leaves.
+  // Called when an endpoint itself reports that it is leaving.
   void OnEndpointLeaving(const endpoint_name& aEndpoint);
 
   // See peer_link.h.
   void TellPressure(const std::vector<pool_pressure>& aPressures);
   std::vector<pool_pressure> PeerPressure() const;
 
-  // This instance takes no new work; it still answers peers.
+  // Announces that this instance accepts no new work. It still answers peers.
   void Drain();
-  // This process stops now.
+  // Announces to peers that this process is stopping.
   void Leave();
 
   std::optional<revision> InForce() const;
--- a/thornhollow/daemon/daemon.cc
+++ b/thornhollow/daemon/daemon.cc
@@ -21,9 +21,9 @@
 namespace thornhollow {
 namespace {
 
-// After readiness goes off, the balancer still sends requests for about as long
-// as it takes to notice; they are answered with "not run" instead of meeting a
-// closed port.
+// After readiness goes off, the load balancer keeps sending requests until it
+// detects the change. During this time they are answered with "not run" instead
+// of hitting a closed port.
 constexpr duration kBalancerNotices = Seconds(2);
 
 server_limits
@@ -40,8 +40,8 @@
   return limits;
 }
 
-// Endpoints of models, of those that this instance works with; plain services
-// publish no load.
+// Returns the model endpoints among those that this instance uses. Plain
+// services are left out because they publish no load.
 std::vector<endpoint>
 ModelEngines(const declarations& aDeclared,
              const std::vector<endpoint_status>& aWorkedWith)
--- a/thornhollow/daemon/daemon.h
+++ b/thornhollow/daemon/daemon.h
@@ -1,5 +1,5 @@
-// One entry instance: listeners, the router, the platform's watches, and a
-// graceful stop.
+// One entry instance: listeners, the router, the control plane, load polling,
+// and graceful shutdown.
 //
 //   daemon instance(io, settings, log);
 //   BOOST_LEAF_CHECK(instance.Start());
@@ -21,7 +21,8 @@
 
 namespace thornhollow {
 
-// Addresses in use, with ports that the system chose where 0 was asked for.
+// Addresses listened on. Where port 0 was configured, the port is the one that
+// the system assigned.
 struct listening_addresses
 {
   std::string mCaller;
@@ -31,7 +32,7 @@
 class daemon
 {
 public:
-  // `aLog` outlives the daemon.
+  // `aLog` must outlive the daemon.
   daemon(boost::asio::io_context& aIo,
          const daemon_settings& aSettings,
          json_log& aLog);
@@ -39,11 +40,13 @@
   daemon& operator=(const daemon&) = delete;
   ~daemon();
 
-  // Listens and begins to watch the platform.
+  // Starts listening and watching the platform. Fails if an address cannot be
+  // bound.
   result<listening_addresses> Start();
 
-  // Readiness off, no new work; stops the io_context once every request in
-  // progress has its answer, or when the drain's grace has passed.
+  // Begins a graceful shutdown: turns readiness off and refuses new requests.
+  // Stops the io_context once all requests in progress have been answered, or
+  // when the drain grace period expires.
   void BeginStop();
 
 private:
--- a/thornhollow/daemon/intake.cc
+++ b/thornhollow/daemon/intake.cc
@@ -17,12 +17,13 @@
 namespace {
 
 constexpr std::string_view kBearer = "Bearer ";
-// Leading bytes of a prompt that stand for its shareable prefix. Prompts of one
-// workload share a system text far longer than this.
+// Number of leading prompt bytes hashed to identify a shared prefix. Prompts of
+// one workload share a system prompt far longer than this.
 constexpr std::size_t kPrefixBytes = 256;
-// A key of any length would let a caller fill the witnesses' memory.
+// Without a limit, a caller could exhaust the witnesses' memory with long keys.
 constexpr std::size_t kMaxKeyBytes = 128;
-// Usual length of a token in text; only relative cost depends on it.
+// Typical token length, used to estimate prompt tokens. Only relative costs
+// depend on it.
 constexpr std::size_t kBytesPerToken = 4;
 
 const team*
@@ -36,8 +37,8 @@
   return aCatalog.TeamByTokenDigest(TokenDigest(credential));
 }
 
-// The class's deadline, shortened where the caller asks for it; nothing when
-// the header is no positive number.
+// Returns the class's deadline, shortened if the caller requests it, or nullopt
+// if the header is not a positive integer.
 std::optional<duration>
 ReadDeadline(const caller_request& aRequest, duration aDeclared)
 {
@@ -56,7 +57,7 @@
   return Milliseconds(milliseconds);
 }
 
-// The prompt's text, of all messages in a row.
+// Returns the concatenated text of all messages.
 std::string
 PromptText(const boost::json::object& aBody)
 {
@@ -93,7 +94,8 @@
   return wrong ? 0 : number;
 }
 
-// Fills in what only a completion has; nothing when all is well.
+// Fills in the fields specific to a completion. Returns the error, or nullopt
+// on success.
 std::optional<error_kind>
 ReadCompletion(const caller_request& aRequest,
                const request_class& aClass,
@@ -124,7 +126,7 @@
   aInto.mPromptTokens =
     static_cast<std::uint32_t>(prompt.size() / kBytesPerToken) + 1;
   aInto.mMaxOutputTokens = PositiveField(*body, "max_tokens");
-  // A caller can't claim a priority or an offset; the router sets both.
+  // Callers must not set priority or resume offset; the router sets both.
   for (const char* name : { "stream", "priority", "resume_from" }) {
     body->erase(name);
   }
--- a/thornhollow/daemon/intake.h
+++ b/thornhollow/daemon/intake.h
@@ -1,5 +1,6 @@
-// Reads a caller's request against the catalog in force: who asks, for what,
-// under which terms, and what is to be sent to an endpoint. No sockets.
+// Parses and authorizes a caller's request against the catalog in force: the
+// team, the class and its terms, the pool, and the data to send to an endpoint.
+// Performs no I/O.
 //
 //   const intake_verdict read = ReadIntake(request, *catalog);
 //   if (const auto* wrong = std::get_if<error_kind>(&read)) { ... }
@@ -19,10 +20,10 @@
 
 namespace thornhollow {
 
-// Where chat completions are asked for.
+// Path of the chat completion API.
 inline constexpr std::string_view kCompletionsPath = "/v1/chat/completions";
 
-// A request that may be scheduled.
+// A validated request, ready to be scheduled.
 struct intake
 {
   team_name mTeam;
@@ -30,23 +31,24 @@
   int mTier = kLowestTier;
   pool_name mPool;
   duration mFirstTokenTarget{};
-  // From arrival.
+  // Measured from the request's arrival.
   duration mDeadline{};
   bool mIdempotent = false;
-  // For a model engine; else for a plain service.
+  // True for a model engine, false for a plain service.
   bool mEngine = false;
-  // The caller reads the answer as a stream.
+  // Whether the caller asked for a streamed response.
   bool mStream = false;
   std::uint64_t mPrefix = 0;
   std::uint32_t mPromptTokens = 0;
   std::uint32_t mMaxOutputTokens = 0;
-  // The caller's Idempotency-Key; empty where it gave none.
+  // The caller's Idempotency-Key header; empty if absent.
   std::string mIdempotencyKey;
 
   std::string mMethod;
   std::string mPath;
   std::string mContentType;
-  // For an engine, a JSON object without its closing brace; see `EngineBody`.
+  // For an engine, a JSON object without its closing brace, which `EngineBody`
+  // completes.
   std::string mBody;
 };
 
@@ -55,8 +57,8 @@
 intake_verdict
 ReadIntake(const caller_request& aRequest, const catalog& aCatalog);
 
-// The body for one attempt at an engine, which serves it with `aPriority` (as a
-// tier) and goes on after `aResumeFrom` tokens.
+// Returns the request body for one attempt at an engine. The engine serves it
+// with `aPriority` (a tier) and resumes after the first `aResumeFrom` tokens.
 std::string
 EngineBody(const intake& aIntake, int aPriority, std::uint64_t aResumeFrom);
 
--- a/thornhollow/daemon/intake_test.cc
+++ b/thornhollow/daemon/intake_test.cc
@@ -102,8 +102,8 @@
 
 TEST_CASE_FIXTURE(drivers_request, "drivers_request/claimed_priority/replaced")
 {
-  // A caller writes "priority":0 into its body to overtake the drivers. The
-  // engine honours priorities, so the router must be the only one to set them.
+  // A caller puts "priority":0 into its body to overtake the drivers team.
+  // Engines honor the priority field, so only the router may set it.
   mRequest.mBody = R"({"model":"dispatch","messages":[],"priority":0,)"
                    R"("resume_from":7,"stream":false})";
   const auto body =
--- a/thornhollow/daemon/key_gate.cc
+++ b/thornhollow/daemon/key_gate.cc
@@ -54,7 +54,8 @@
   void OnOutcome(const request_grant& aAsked,
                  const std::optional<claim_answer>& aAnswer)
   {
-    // An answer in another witness's name would let one vouch for all.
+    // Answers in another witness's name are rejected: otherwise one witness
+    // could grant a claim on behalf of all of them.
     if (aAnswer && aAnswer->mWitness == aAsked.mTo) {
       Apply(mHolder.OnAnswer(*aAnswer, Now()));
     } else {
--- a/thornhollow/daemon/key_gate.h
+++ b/thornhollow/daemon/key_gate.h
@@ -1,12 +1,13 @@
-// Idempotency keys of one instance: the holder's side for its own submissions,
-// the witness's side for others', and the messages between them.
+// Idempotency keys of one instance: the holder for its own submissions, the
+// witness for those of all holders, and the messages between holders and
+// witnesses.
 //
 //   key_gate gate(settings, self, ask, listener);
 //   gate.Submit(ticket, team, key, fingerprint);   // listener: run or refuse
 //   gate.BeforeSend(ticket);                       // before each attempt
 //   gate.OnEnded(ticket, ran::kYes);
 //
-// The decisions are fleet/key_holder.h's and fleet/key_witness.h's.
+// The protocol logic is in fleet/key_holder.h and fleet/key_witness.h.
 #ifndef THORNHOLLOW_DAEMON_KEY_GATE_H_
 #define THORNHOLLOW_DAEMON_KEY_GATE_H_
 
@@ -23,8 +24,9 @@
 
 namespace thornhollow {
 
-// Sends a claim to a witness other than this instance; the callback gets its
-// answer, or nothing when it can't be reached. Called exactly once, later.
+// Sends a claim to a witness other than this instance. The callback receives
+// the witness's answer, or nullopt if it cannot be reached. It is called
+// exactly once, asynchronously.
 using ask_claim =
   std::function<void(const instance_name&,
                      const claim_request&,
@@ -32,7 +34,7 @@
 
 struct key_listener
 {
-  // The submission may be sent now. Called from within `Submit` and
+  // The submission may be sent now. May be called from within `Submit` and
   // `BeforeSend`, or later.
   std::function<void(submission_id)> mRun;
   std::function<void(submission_id, error_kind)> mRefused;
@@ -49,7 +51,7 @@
   key_gate& operator=(const key_gate&) = delete;
   ~key_gate();
 
-  // The declared domains and the platform's list of instances.
+  // Updates the declared domains and the platform's list of instances.
   void OnView(const claim_view& aView);
 
   void Submit(submission_id aSubmission,
@@ -59,10 +61,10 @@
   void BeforeSend(submission_id aSubmission);
   void OnEnded(submission_id aSubmission, ran aRan);
 
-  // A peer's claim.
+  // Handles a peer's claim as its witness and returns the answer.
   claim_answer OnPeerClaim(const claim_request& aRequest);
 
-  // To be called every 100 ms.
+  // Must be called every 100 ms.
   void Tick();
 
 private:
--- a/thornhollow/daemon/live_request.h
+++ b/thornhollow/daemon/live_request.h
@@ -1,4 +1,4 @@
-// What the router holds for one request in progress.
+// State that the router keeps for one request in progress.
 #ifndef THORNHOLLOW_DAEMON_LIVE_REQUEST_H_
 #define THORNHOLLOW_DAEMON_LIVE_REQUEST_H_
 
@@ -18,15 +18,16 @@
 
 namespace thornhollow {
 
-// How far a request with an idempotency key has come.
+// Progress of a request's idempotency key claim.
 enum class key_stage : std::uint8_t
 {
-  // It has no key.
+  // The request has no key.
   kNone,
-  // Its key is being claimed; the scheduler doesn't know it yet.
+  // The key is being claimed; the request has not been submitted to the
+  // scheduler yet.
   kClaiming,
   kHeld,
-  // The claim is looked at once more before an attempt.
+  // The claim is being confirmed again before an attempt.
   kConfirming,
 };
 
@@ -54,18 +55,18 @@
   intake mIntake;
   caller_exchange_ptr mExchange;
   boost::intrusive_ptr<endpoint_attempt> mAttempt;
-  // The present attempt takes its class's minimum share.
+  // Whether the current attempt uses its class's minimum share.
   bool mOwed = false;
-  // Where the present or last attempt went.
+  // Endpoint of the current or last attempt.
   endpoint_name mEndpoint;
   boost::asio::steady_timer mTimer;
-  // What the timer is set to; nothing while it is not running.
+  // Expiry of the running timer; nullopt while the timer is not running.
   std::optional<time_point> mTimerDue;
-  // The answer's text so far, where the caller wants it whole.
+  // Response text received so far, for callers that did not ask for a stream.
   std::string mText;
   bool mHeadSent = false;
   key_stage mKeyStage = key_stage::kNone;
-  // Where the attempt goes whose claim is being confirmed.
+  // Endpoint of the attempt whose claim is being confirmed.
   endpoint_name mConfirmedFor;
   time_point mLastToken{};
 };
--- a/thornhollow/daemon/load_poller.cc
+++ b/thornhollow/daemon/load_poller.cc
@@ -15,12 +15,12 @@
 namespace {
 
 constexpr duration kInterval = Seconds(1) / kLoadPollsPerSecond;
-// A report that takes longer is too old to be of use.
+// A report that takes longer than this is too old to be useful.
 constexpr duration kPollTimeout = Seconds(1);
 constexpr std::size_t kMaxReportBytes = 4096;
 constexpr std::string_view kLoadPath = "/v1/load";
 constexpr unsigned kOk = 200;
-// A report claiming a greater age than this is told apart from nonsense.
+// A stated age above this is implausible and is clamped to it.
 constexpr std::int64_t kOldestReportMs = 3'600'000;
 
 double
@@ -95,8 +95,8 @@
           call,
           [self = shared_from_this(), name = aEndpoint.mName, asked = Now()](
             const fetch_outcome& aOutcome) {
-            // A report that waited in the socket while this process stood
-            // still would be dated by its arrival and look fresh.
+            // A report that waited in the socket while this process was
+            // paused would be dated by its arrival and appear fresh.
             if (Now() - asked <= kPollTimeout) {
               self->OnOutcome(name, aOutcome);
             }
--- a/thornhollow/daemon/load_poller.h
+++ b/thornhollow/daemon/load_poller.h
@@ -1,15 +1,15 @@
-// Asks endpoints for their load reports, one after another, at a bounded rate.
+// Polls endpoints for load reports, in turn and at a bounded rate.
 //
 //   load_poller poll(io, [&](auto aName, auto aReport) { ... });
 //   poll.SetEndpoints(endpoints);
 //   poll.Start();
 //
-// Load pattern: 850 endpoints and 420 daemons. Were each endpoint polled by
-// each daemon at a fixed interval, the polls would grow with their product;
-// with a fixed number of polls a second a daemon's cost stays the same whatever
-// the size, and only the reports' age grows. The decisions tolerate that: an
-// old report counts for less and an older one for nothing
-// (policy/endpoint_load.h).
+// Expected scale: 850 endpoints and 420 daemons. If each daemon polled each
+// endpoint at a fixed interval, the number of polls would grow with their
+// product. With a fixed number of polls per second, a daemon's cost is
+// independent of the fleet size and only the age of the reports grows.
+// Scheduling tolerates this: a report's weight decreases with age until it is
+// ignored (policy/endpoint_load.h).
 #ifndef THORNHOLLOW_DAEMON_LOAD_POLLER_H_
 #define THORNHOLLOW_DAEMON_LOAD_POLLER_H_
 
@@ -29,8 +29,8 @@
 
 namespace thornhollow {
 
-// Polls a second. Ten visit each of today's 13 to 18 endpoints every 1.3 to
-// 1.8 s.
+// Polls per second. At 10, each of 13 to 18 endpoints (the present number) is
+// polled every 1.3 to 1.8 s.
 inline constexpr int kLoadPollsPerSecond = 10;
 
 class load_poller
@@ -39,7 +39,7 @@
   using listener =
     std::function<void(const endpoint_name&, const load_report&)>;
 
-  // `aOnBytes` gets the bytes of each exchange.
+  // `aOnBytes` receives the byte count of each exchange.
   load_poller(boost::asio::io_context& aIo,
               listener aOnReport,
               std::function<void(std::size_t)> aOnBytes);
@@ -47,7 +47,8 @@
   load_poller& operator=(const load_poller&) = delete;
   ~load_poller();
 
-  // Polls these from now on; those that don't publish reports just give none.
+  // Replaces the set of endpoints to poll. Endpoints that publish no reports
+  // are polled without effect.
   void SetEndpoints(std::vector<endpoint> aEndpoints);
 
   void Start();
@@ -57,8 +58,9 @@
   std::shared_ptr<loop> mLoop;
 };
 
-// The report in the body of `GET /v1/load`, taken at `aArrival` less its stated
-// age; nothing where it isn't one.
+// Parses the body of a `GET /v1/load` response. The measurement time is
+// `aArrival` minus the stated age. Returns nullopt if the body is not a load
+// report.
 std::optional<load_report>
 ReadLoadReport(std::string_view aJson, time_point aArrival);
 
--- a/thornhollow/daemon/load_poller_test.cc
+++ b/thornhollow/daemon/load_poller_test.cc
@@ -29,8 +29,8 @@
 
 TEST_CASE("load_report/absurd_figures/are_clamped")
 {
-  // An endpoint that publishes a negative count or an age from the future must
-  // not make the router believe in endless room there.
+  // An endpoint that publishes a negative count or a negative age must not
+  // appear to have unlimited capacity.
   const auto report = ReadLoadReport(
     R"({"running":-5,"waiting":1e30,"age_ms":-1e9,"step_ms":-1})", kArrival);
   REQUIRE(report);
--- a/thornhollow/daemon/metrics.cc
+++ b/thornhollow/daemon/metrics.cc
@@ -22,8 +22,8 @@
 using prometheus::Histogram;
 using kind_counters = std::array<Counter*, kErrorKindCount>;
 
-// Round the targets that letter 1 names: 0.97 s to the first token, 49 ms
-// between two.
+// Buckets are placed around the latency targets: 0.97 s to the first token and
+// 49 ms between tokens.
 const Histogram::BucketBoundaries kFirstTokenSeconds = {
   0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.7, 0.97, 1.5, 3, 6, 15, 60
 };
@@ -72,7 +72,8 @@
       .first->second;
   }
 
-  // Registries write counters first, so that these gauges need their own.
+  // A registry writes counters before gauges. The gauges that must come first
+  // on the page therefore need a registry of their own.
   prometheus::Registry mBeliefs;
   prometheus::Registry mRegistry;
   Family<Counter>& mRequests = BuildCounter()
@@ -147,7 +148,7 @@
   kind_counters mRefused = OneForEachKind(mRefusedFamily);
   kind_counters mRetries = OneForEachKind(mRetriesFamily);
   std::unordered_map<class_name, class_metrics> mClasses;
-  // Pools that were ever named: one that empties goes to zero.
+  // All pools seen so far, so that the gauges of an empty pool are set to zero.
   std::set<pool_name> mPools;
 };
 
--- a/thornhollow/daemon/metrics.h
+++ b/thornhollow/daemon/metrics.h
@@ -1,5 +1,5 @@
-// What one instance counts, as Prometheus metrics. Every refusal kind and every
-// reason for another attempt has its counter from the start, at zero.
+// Prometheus metrics of one instance. The counters of all refusal kinds and
+// retry reasons exist from the start, at zero.
 //
 //   metrics counted;
 //   counted.OnRefused(error_kind::kQueueFull);
@@ -22,12 +22,12 @@
 
 namespace thornhollow {
 
-// Requests of one pool that an instance holds.
+// Numbers of requests of one pool that an instance holds.
 struct held_requests
 {
-  // All that have no final answer yet.
+  // Requests without a final answer.
   std::size_t mInFlight = 0;
-  // Those of them that no endpoint works on.
+  // Those in flight that have no attempt at an endpoint.
   std::size_t mWaiting = 0;
 
   friend bool operator==(const held_requests&, const held_requests&) = default;
@@ -43,34 +43,36 @@
 
   void OnRequest(const class_name& aClass);
   void OnCompleted(const class_name& aClass, std::uint64_t aTokens);
-  // The request ended with this error as its answer.
+  // A request ended with this error as its response.
   void OnRefused(error_kind aKind);
-  // Another attempt is made because the last one ended so.
+  // Another attempt is made because the last one failed for this reason.
   void OnRetry(error_kind aReason);
   void OnFirstToken(const class_name& aClass, duration aSinceArrival);
   void OnTokenGap(const class_name& aClass, duration aSinceLast);
-  // Tokens computed for an answer that nobody received whole.
+  // Tokens generated for a response that the caller did not receive in full.
   void OnWastedTokens(std::uint64_t aTokens);
   void OnConfiguration(std::uint64_t aVersion);
   void OnConfigurationRefused();
-  // What is held of a source's items: up to which of its revisions, and how
-  // long ago the source itself last answered; nothing where it never did.
+  // Sets the source revision up to which items of the kind `aWhat` are known,
+  // and the time since the source itself last answered; nullopt if it never
+  // has.
   void SetSource(std::string_view aWhat,
                  std::uint64_t aRevision,
                  std::optional<duration> aAnswerAge);
-  // Any other event worth a count, such as "peer_datagram_refused". Names are
-  // constants of the program, so the set is bounded.
+  // Counts any other event, such as "peer_datagram_refused". Names must be
+  // constants in the program, so that the number of label values is bounded.
   void OnEvent(std::string_view aEvent);
 
-  // Bytes that this instance exchanged for control, by what for: "platform",
-  // "peers" or "load". Payload, without the transport's own bytes.
+  // Counts bytes of control traffic by purpose: "platform", "peers" or "load".
+  // Counts payload only, without transport overhead.
   void OnControlBytes(std::string_view aPath, std::size_t aBytes);
 
-  // What is held now, by pool; a pool that isn't named holds nothing.
+  // Sets the requests held now, by pool. Pools not listed are set to zero.
   void SetHeld(const std::map<pool_name, held_requests>& aByPool);
 
-  // Prometheus' text format. What the instance believes of its configuration
-  // stands first: a reader that keeps only a page's beginning has it.
+  // Returns all metrics in Prometheus text format. The configuration and source
+  // revisions come first, so that a reader that keeps only the beginning of the
+  // page still has them.
   std::string Page() const;
 
 private:
--- a/thornhollow/daemon/metrics_test.cc
+++ b/thornhollow/daemon/metrics_test.cc
@@ -30,9 +30,9 @@
     std::string::npos);
 }
 
-// An instance handled requests by an old configuration for seconds. Of its
-// metrics only the first 4 kB had been kept, and all of them were counters of
-// refusals at zero.
+// Configuration and source gauges must come first on the page. An instance had
+// used an outdated configuration for seconds; only the first 4 kB of its
+// metrics were kept, and they held nothing but refusal counters at zero.
 TEST_CASE_FIXTURE(fresh_metrics, "metrics/source_was_heard/stands_first")
 {
   mMetrics.OnConfiguration(21);
--- a/thornhollow/daemon/peer_link.cc
+++ b/thornhollow/daemon/peer_link.cc
@@ -18,14 +18,15 @@
 namespace thornhollow {
 namespace {
 
-// The state machines ask for a call this often.
+// Tick interval that the state machines require.
 constexpr duration kTick = Milliseconds(100);
-// While nobody is known, the seeds are asked this often.
+// Interval between messages to the seeds while no member is known.
 constexpr duration kSeedInterval = Milliseconds(500);
-// A leaving endpoint is told for this long; by then the platform's list has it.
+// Duration for which a leaving endpoint is reported to peers. By then the
+// platform's list includes the change.
 constexpr duration kLeavingFor = Seconds(60);
 
-// The value of a result, or nothing; the error's detail is of no interest.
+// Returns the value of a result, or nullopt on any error.
 template<class value>
 std::optional<value>
 OrNothing(result<value> aResult)
@@ -186,7 +187,8 @@
                             total - std::exchange(mCountedBytes, total));
   }
 
-  // A seed's name isn't known, so the message is sealed for whoever gets it.
+  // A seed's name is not known, so the message is sealed with an empty
+  // recipient name, which any instance can open.
   void AskSeeds()
   {
     const time_point now = Now();
@@ -236,7 +238,8 @@
     const auto opened = OpenDatagram(aBytes);
     const auto message =
       opened ? OrNothing(DecodeGossip(opened->mPayload)) : std::nullopt;
-    // A member may speak for others only inside its own, sealed message.
+    // The sender in the message must match the sealed sender: a member may
+    // report on others only in a message of its own.
     if (!message || message->mSender.mName != opened->mSender) {
       mMetrics.OnEvent("peer_datagram_refused");
       return false;
@@ -280,7 +283,7 @@
   std::optional<stream_message> Answer(const instance_name& aSender,
                                        const claim_request& aRequest)
   {
-    // Nobody may claim, use up or release a key in another's name.
+    // An instance may claim, use up or release keys only in its own name.
     if (aRequest.mHolder.mName != aSender) {
       return std::nullopt;
     }
@@ -304,7 +307,7 @@
     return config_status_exchange{ mListener.mOwnWord() };
   }
 
-  // Answers aren't requests.
+  // Answers are not valid as requests.
   static std::optional<stream_message> Answer(const instance_name&,
                                               const claim_answer&)
   {
@@ -339,7 +342,7 @@
     mListener.mOnMembers();
   }
 
-  // The hint on each datagram tells the same.
+  // No action needed: the hint on each datagram carries the same information.
   void Carry(const newer_configuration&) {}
 
   void Carry(const endpoint_leave_reported& aAction)
@@ -399,7 +402,7 @@
   membership mMembers;
   sealer mSealer;
   opener mOpener;
-  // For datagrams of instances that don't know this one's name yet.
+  // Opens datagrams from instances that do not know this instance's name yet.
   opener mSeedOpener;
   instance_list mList;
   peer_transport mTransport;
--- a/thornhollow/daemon/peer_link.h
+++ b/thornhollow/daemon/peer_link.h
@@ -1,12 +1,13 @@
-// This instance's side of everything that daemons tell each other: gossip over
-// UDP, exchanges over TCP, both sealed with the key of the settings.
+// Communication between daemons: gossip over UDP and request-response exchanges
+// over TCP, both sealed with the key from the settings.
 //
 //   peer_link link(io, settings, listener, log, counted);
 //   BOOST_LEAF_CHECK(link.Open());
 //   link.OnInstances(list);
 //   link.Ask(peer, part_request{ digest }, limit, [](auto aAnswer) { ... });
 //
-// The decisions are fleet/membership.h's; here are its sockets and timers.
+// The protocol logic is in fleet/membership.h; this module adds sockets and
+// timers.
 #ifndef THORNHOLLOW_DAEMON_PEER_LINK_H_
 #define THORNHOLLOW_DAEMON_PEER_LINK_H_
 
@@ -34,33 +35,35 @@
 {
   instance_name mName;
   domain_name mDomain;
-  // Where to listen; peers learn it from the platform's list and by gossip.
+  // Listening address. Peers learn it from the platform's list and by gossip.
   std::string mAddress;
   std::string mKey;
-  // Addresses to ask while no member is known, as when an instance starts
-  // during an outage of the platform.
+  // Addresses to contact while no member is known, for example when an instance
+  // starts during a platform outage.
   std::vector<std::string> mSeeds;
-  // Tells this process from earlier ones of the same name; higher each start.
+  // Distinguishes this process from earlier ones of the same name; increases
+  // with each start.
   std::uint64_t mEpoch = 0;
 };
 
 struct peer_listener
 {
-  // What this instance says of its configuration: on each datagram, and to one
-  // that asks.
+  // Configuration state of this instance: the hint sent with each datagram, and
+  // the status sent in response to a query.
   std::function<config_hint()> mOwnHint;
   std::function<config_word()> mOwnWord;
   std::function<void(const instance_name&, const config_hint&)> mOnHint;
   std::function<claim_answer(const claim_request&)> mOnClaim;
-  // Bytes of a part or manifest held here.
+  // Returns the bytes of a part or manifest held here, or nullopt.
   std::function<std::optional<std::string>(const std::string& aDigest)> mOnPart;
-  // A member came, went or changed.
+  // A member was added, removed or changed.
   std::function<void()> mOnMembers;
-  // No new work to this endpoint until then.
+  // The endpoint is leaving: send it no new work until the given time.
   std::function<void(const endpoint_name&, time_point)> mOnEndpointLeaves;
-  // This process stood still.
+  // This process was paused for the given time.
   std::function<void(duration)> mOnPaused;
-  // Another process runs under this name; this one must stop.
+  // Another process is running under this instance's name; this process must
+  // stop.
   std::function<void()> mOnSuperseded;
 };
 
@@ -69,7 +72,7 @@
 public:
   using answer_handler = std::function<void(std::optional<stream_message>)>;
 
-  // `aLog` and `aMetrics` outlive the link.
+  // `aLog` and `aMetrics` must outlive the link.
   peer_link(boost::asio::io_context& aIo,
             const peer_link_settings& aSettings,
             peer_listener aListener,
@@ -83,31 +86,35 @@
 
   void OnInstances(const instance_list& aList);
 
-  // Sends to a known peer and hands on its answer, or nothing where none came
-  // from it in time. `aDone` is called once, later.
+  // Sends a request to a known peer. `aDone` is called once, asynchronously,
+  // with the peer's answer, or with nullopt if no valid answer from it arrives
+  // within `aLimit`.
   void Ask(const instance_name& aPeer,
            const stream_message& aRequest,
            duration aLimit,
            answer_handler aDone);
 
-  // Tells peers that this configuration version is held here.
+  // Notifies peers that this instance holds this configuration version.
   void Announce(std::uint64_t aVersion);
-  // Tells peers that this endpoint leaves.
+  // Notifies peers that this endpoint is leaving.
   void TellLeaving(const endpoint_name& aEndpoint);
 
-  // Tells peers how tight pools are here, to be repeated while it lasts; and
-  // the tightest that peers said.
+  // `TellPressure` reports this instance's pool pressure to peers; call it
+  // repeatedly while the pressure lasts. `PeerPressure` returns the highest
+  // pressure that peers reported.
   void TellPressure(const std::vector<pool_pressure>& aPressures);
   std::vector<pool_pressure> PeerPressure() const;
 
-  // This instance takes no new work; it still answers peers.
+  // Announces that this instance accepts no new work. It still answers peers.
   void Drain();
-  // This process stops now: peers need not suspect it first.
+  // Announces that this process is stopping, so that peers remove it without
+  // suspecting it first.
   void Leave();
 
-  // Members of the own domain believed alive, this one left out.
+  // Members of this domain that are considered alive, excluding this instance.
   std::vector<member_digest> Alive() const;
-  // The instances of all domains as listed last, and members not listed yet.
+  // Instances of all domains from the latest platform list, plus members that
+  // are not listed yet.
   std::vector<listed_instance> Known() const;
 
 private:
--- a/thornhollow/daemon/router.cc
+++ b/thornhollow/daemon/router.cc
@@ -23,17 +23,17 @@
 
 using boost::system::error_code;
 
-// Where a failure has no computed wait, callers come back after this, spread
-// over half as much to either side so that they don't return together.
+// Retry delay for failures without a computed one. It is spread by up to half
+// to either side so that callers do not retry simultaneously.
 constexpr duration kComeBackAfter = Seconds(1);
 
-// The first token's time limit follows the promise: an engine that is this many
-// targets late has stopped, not slowed down.
+// The first token's timeout is this multiple of the first-token target: an
+// engine that is this late has stopped responding and is not merely slow.
 constexpr int kSilentAfterTargets = 8;
 constexpr duration kLeastFirstByteLimit = Seconds(2);
 
-// Gossip hands on the tightest statement of all peers for each pool, not whose
-// it was.
+// Name under which peer pressure is recorded: gossip provides only the highest
+// pressure of all peers for each pool, not which peer reported it.
 const instance_name kAllPeers("peers");
 
 } // namespace
@@ -168,7 +168,7 @@
   whole_reply AnswerUnreadable(error_kind aKind)
   {
     if (aKind == error_kind::kCallerLeft) {
-      // The request's own end counts and logs it.
+      // Already counted and logged when the request itself ends.
       return ErrorReply(aKind, duration{}, request_id());
     }
     return Refusal(aKind, SpreadDelay(), NewId());
@@ -241,9 +241,9 @@
     return item;
   }
 
-  // Decisions lead to actions, and those to further decisions. They are worked
-  // off one after another by the outermost call, so that no request's state
-  // changes while its own actions are being carried out.
+  // Decisions cause actions, which can cause further decisions. The outermost
+  // call processes them one after another, so that a request's state does not
+  // change while its own actions are being executed.
   template<class step>
   void Run(const step& aStep)
   {
@@ -274,8 +274,9 @@
     }
     live_request& live = *found->second;
     live.mOwed = aStart.mUsesMinimumShare;
-    // A claim may have lapsed while the request waited or this process stood
-    // still; until something was run, it is confirmed before each sending.
+    // A claim may have expired while the request waited or this process was
+    // paused. Until the request has run, the claim is confirmed before each
+    // attempt.
     if (live.mKeyStage != key_stage::kNone && live.mMachine.Ran() == ran::kNo) {
       live.mKeyStage = key_stage::kConfirming;
       live.mConfirmedFor = aStart.mEndpoint;
@@ -329,9 +330,9 @@
   void ArmTimer(const live_request_ptr& aLive)
   {
     const auto due = aLive->mMachine.NextDue();
-    // A token moves the due time further on; the running timer is left to fire
-    // early and looks again then, which is cheaper than setting it anew for
-    // each token.
+    // Each token postpones the due time. The running timer is left to fire
+    // early and is then set again, which is cheaper than resetting it for each
+    // token.
     if (!due || (aLive->mTimerDue && *aLive->mTimerDue <= *due)) {
       return;
     }
@@ -373,13 +374,14 @@
     });
   }
 
-  // ---- actions of the request's state machine
+  // ---- actions of the request state machine
 
   void Carry(live_request& aLive, const open_attempt& aAction)
   {
     const endpoint* where = mCatalog->EndpointByName(aAction.mEndpoint.Text());
     if (where == nullptr) {
-      // Withdrawn between the choice and now: nothing was sent.
+      // The endpoint was removed from the catalog after it was chosen; nothing
+      // has been sent.
       Later(aLive.mTicket, connect_failed{ aAction.mAttempt });
       return;
     }
@@ -513,7 +515,7 @@
     return aLive.mIntake.mPool.Text();
   }
 
-  // Hands an event in after the present one has been worked off.
+  // Posts an event, to be handled after the current one.
   void Later(ticket aTicket, request_event aEvent)
   {
     boost::asio::post(mIo, [this, aTicket, event = std::move(aEvent)] {
--- a/thornhollow/daemon/router.h
+++ b/thornhollow/daemon/router.h
@@ -1,8 +1,9 @@
-// Carries callers' requests through the scheduler and the request state machine
-// to endpoints and back. Single-threaded: everything runs on one io_context.
+// Routes callers' requests through the scheduler and the request state machine
+// to endpoints, and returns the responses. Single-threaded: everything runs on
+// one io_context.
 //
 //   router route(io, settings, log, counted);
-//   route.PutInForce(catalog, version);
+//   route.PutInForce(catalog);
 //   route.Serve(exchange);
 //
 #ifndef THORNHOLLOW_DAEMON_ROUTER_H_
@@ -40,7 +41,7 @@
 class router
 {
 public:
-  // `aLog` and `aMetrics` outlive the router.
+  // `aLog` and `aMetrics` must outlive the router.
   router(boost::asio::io_context& aIo,
          const router_settings& aSettings,
          json_log& aLog,
@@ -49,44 +50,50 @@
   router& operator=(const router&) = delete;
   ~router();
 
-  // Requests with an idempotency key go through `aGate`, which outlives the
-  // router and reports to `OnKeyRun` and `OnKeyRefused`.
+  // Requests with an idempotency key go through `aGate`, which must outlive the
+  // router and whose listener must call `OnKeyRun` and `OnKeyRefused`.
   void SetKeyGate(key_gate* aGate);
   void OnKeyRun(ticket aTicket);
   void OnKeyRefused(ticket aTicket, error_kind aKind);
 
-  // `aListener` hears of each endpoint that said itself that it leaves.
+  // Sets the listener to call when an endpoint itself reports that it is
+  // leaving.
   void OnEndpointLeaving(std::function<void(const endpoint_name&)> aListener);
 
-  // New requests follow this catalog; those in progress keep their terms.
+  // Applies this catalog to new requests. Requests in progress keep their
+  // terms.
   void PutInForce(catalog_ptr aCatalog);
 
-  // Answers the exchange, now or later, exactly once.
+  // Answers the exchange exactly once, either immediately or later.
   void Serve(caller_exchange_ptr aExchange);
 
   void OnLoadReport(const endpoint_name& aEndpoint, const load_report& aReport);
   void OnEndpointState(const endpoint_name& aEndpoint, endpoint_state aState);
 
-  // The endpoints that this instance works with, as it sees them.
+  // Returns the endpoints that this instance uses, with their estimated state.
   std::vector<endpoint_status> Endpoints() const;
 
-  // Entry instances of the own domain; takes effect with the next catalog.
+  // Sets the entry instances of this domain. Takes effect with the next
+  // catalog.
   void SetRouters(const instance_name& aOwn,
                   const std::vector<instance_name>& aRouters);
-  // To be called every `clock_gap::kTickEvery`.
+  // Must be called every `clock_gap::kTickEvery`.
   void Tick();
-  // How tight each pool is here, for peers; and the tightest that they said.
+  // `Pressure` returns the pressure of each pool here, to report to peers;
+  // `OnPeerPressure` takes the highest pressure that peers reported.
   std::vector<pool_pressure> Pressure() const;
   void OnPeerPressure(const std::vector<pool_pressure>& aPressures);
 
-  // From now on each new request is refused as `kDraining`.
+  // Refuses all subsequent requests with `kDraining`.
   void BeginDrain();
 
   std::size_t InProgress() const;
-  // What is held now, by pool. Looks at every request in progress.
+  // Returns the requests held now, by pool. Iterates over all requests in
+  // progress.
   std::map<pool_name, held_requests> HeldByPool() const;
 
-  // The answer to a request that could not be read; counts it.
+  // Returns the response to a request that could not be read, and counts the
+  // refusal.
   whole_reply AnswerUnreadable(error_kind aKind);
 
 private:
--- a/thornhollow/daemon/thornhollowd_main.cc
+++ b/thornhollow/daemon/thornhollowd_main.cc
@@ -1,4 +1,4 @@
-// The daemon that every entry instance runs.
+// Main program of the daemon that runs on every entry instance.
 #include <csignal>
 #include <cstdio>
 #include <cstdlib>
@@ -89,7 +89,7 @@
   }
 }
 
-// The settings, or nothing after the faults were printed.
+// Reads the settings. On failure, prints the faults and returns nullopt.
 std::optional<daemon_settings>
 LoadSettings()
 {
@@ -117,7 +117,8 @@
   return settings;
 }
 
-// Runs one instance until it has stopped; `instance` is either kind of daemon.
+// Runs one instance until it stops and returns the exit code. `instance` is
+// `daemon` or `relay_gateway`.
 template<class instance>
 int
 RunInstance(boost::asio::io_context& aIo, instance& aInstance, json_log& aLog)
@@ -174,7 +175,7 @@
   return path == nullptr ? "" : path;
 }
 
-// The settings, or nothing after the faults were printed.
+// Reads the settings. On failure, prints the faults and returns nullopt.
 std::optional<relay_settings>
 LoadRelaySettings(const std::string& aPath)
 {
@@ -191,8 +192,8 @@
   return std::get<relay_settings>(std::move(verdict));
 }
 
-// Tells at SIGHUP whether the settings as they are now would be accepted; they
-// come into force at the next start.
+// On SIGHUP, logs whether the current settings file would be accepted. Changed
+// settings take effect at the next start.
 void
 CheckSettingsOnHangUp(boost::asio::signal_set& aSignals,
                       const std::string& aPath,
