--- a/thornhollow/daemon/caller_reply.cc
+++ b/thornhollow/daemon/caller_reply.cc
@@ -12,12 +12,12 @@
 boost::json::object
 ErrorObject(error_kind aKind, duration aRetryAfter, const request_id& aId)
 {
-  const answer& told = AnswerFor(aKind);
+  const answer& kindInfo = AnswerFor(aKind);
   boost::json::object error;
-  error["kind"] = told.mName;
-  error["ran"] = Name(told.mRan);
-  error["message"] = told.mMessage;
-  if (told.mComeBack == come_back::kAfterDelay) {
+  error["kind"] = kindInfo.mName;
+  error["ran"] = Name(kindInfo.mRan);
+  error["message"] = kindInfo.mMessage;
+  if (kindInfo.mComeBack == come_back::kAfterDelay) {
     error["retry_after_ms"] = ToMilliseconds(aRetryAfter);
   }
   if (!aId.empty()) {
@@ -27,7 +27,7 @@
 }
 
 std::int64_t
-WholeSecondsUp(duration aLength)
+CeilToSeconds(duration aLength)
 {
   return (ToMilliseconds(aLength) + 999) / 1000;
 }
@@ -59,17 +59,17 @@
            const request_id& aId,
            const reply_form& aForm)
 {
-  const answer& told = AnswerFor(aKind);
+  const answer& kindInfo = AnswerFor(aKind);
   whole_reply reply;
-  reply.mHttpStatus = told.mHttpStatus;
+  reply.mHttpStatus = kindInfo.mHttpStatus;
   reply.mContentType = kJson;
   reply.mBody =
     boost::json::serialize(ErrorObject(aKind, aRetryAfter, aId)) + "\n";
-  if (told.mComeBack == come_back::kAfterDelay) {
+  if (kindInfo.mComeBack == come_back::kAfterDelay) {
     reply.mHeaders.push_back(
       { "Retry-After",
         aForm.mFractions ? fmt::format("{:.3f}", ToSeconds(aRetryAfter))
-                         : std::to_string(WholeSecondsUp(aRetryAfter)) });
+                         : std::to_string(CeilToSeconds(aRetryAfter)) });
   }
   if (!aId.empty()) {
     reply.mHeaders.push_back({ aForm.mRequestIdHeader, aId.Text() });
--- a/thornhollow/daemon/configuration_keeper.cc
+++ b/thornhollow/daemon/configuration_keeper.cc
@@ -38,14 +38,14 @@
 
 // Result of validating a bundle: the catalog for the request path, or the
 // faults found.
-struct judged
+struct bundle_validation
 {
   catalog_ptr mCatalog;
   faults mFaults;
 };
 
-judged
-Judge(const judge_bundle& aBundle)
+bundle_validation
+ValidateBundle(const judge_bundle& aBundle)
 {
   std::unordered_map<std::string_view, bytes_ptr> parts;
   for (std::size_t index = 0; index < aBundle.mParts.size(); ++index) {
@@ -57,8 +57,8 @@
     return found == parts.end() ? nullptr : &found->second->mText;
   };
   read_verdict verdict = ReadBundle(aBundle.mManifest, lookUp);
-  if (auto* wrong = std::get_if<faults>(&verdict)) {
-    return { nullptr, std::move(*wrong) };
+  if (auto* foundFaults = std::get_if<faults>(&verdict)) {
+    return { nullptr, std::move(*foundFaults) };
   }
   return { MakeCatalog(std::get<declarations>(std::move(verdict))), {} };
 }
@@ -81,14 +81,14 @@
                 mSettings.mDomain,
                 std::random_device()())
     , mTimer(aIo)
-    , mJudges(1)
+    , mValidationThread(1)
   {
   }
 
   void Apply(follower_actions aActions)
   {
     for (follower_action& each : aActions) {
-      std::visit([this](auto& aOne) { this->Carry(aOne); }, each);
+      std::visit([this](auto& aAction) { this->Execute(aAction); }, each);
     }
     ArmTimer();
   }
@@ -98,7 +98,7 @@
   {
     mStopped = true;
     mTimer.cancel();
-    mJudges.join();
+    mValidationThread.join();
   }
 
   config_follower& Follower() { return mFollower; }
@@ -128,7 +128,7 @@
     });
   }
 
-  void Carry(const read_manifest& aAction)
+  void Execute(const read_manifest& aAction)
   {
     fetch_call call;
     call.mAddress = mSettings.mPlatformAddress;
@@ -138,95 +138,98 @@
                                ToMilliseconds(aAction.mWait));
     call.mTimeout = mSettings.mFollower.mReadTimeout;
     FetchCounted(call,
-                 Guarded([number = aAction.mCall](config_follower& aFollower,
-                                                  fetch_outcome aOutcome) {
+                 Guarded([callNumber = aAction.mCall](
+                           config_follower& aFollower, fetch_outcome aOutcome) {
                    return aFollower.OnManifestRead(
-                     number, ToManifestAnswer(std::move(aOutcome)), Now());
+                     callNumber, ToManifestAnswer(std::move(aOutcome)), Now());
                  }));
   }
 
-  void Carry(const fetch_bytes& aAction)
+  void Execute(const fetch_bytes& aAction)
   {
     if (aAction.mPeer) {
-      mPeers.mFetch(
+      mPeers.mFetchPart(
         *aAction.mPeer,
         aAction.mDigest,
-        Guarded([number = aAction.mCall](config_follower& aFollower,
-                                         std::optional<std::string> aBytes) {
-          return aFollower.OnFetched(number, std::move(aBytes), Now());
-        }));
+        Guarded(
+          [callNumber = aAction.mCall](config_follower& aFollower,
+                                       std::optional<std::string> aBytes) {
+            return aFollower.OnFetched(callNumber, std::move(aBytes), Now());
+          }));
       return;
     }
     fetch_call call;
     call.mAddress = mSettings.mPlatformAddress;
     call.mTarget = "/v1/values/" + PartKey(aAction.mDigest);
     call.mTimeout = mSettings.mFollower.mFetchTimeout;
-    FetchCounted(call,
-                 Guarded([number = aAction.mCall](config_follower& aFollower,
-                                                  fetch_outcome aOutcome) {
-                   std::optional<std::string> bytes;
-                   if (aOutcome && aOutcome->mHttpStatus == kOk) {
-                     bytes = std::move(aOutcome->mBody);
-                   }
-                   return aFollower.OnFetched(number, std::move(bytes), Now());
-                 }));
+    FetchCounted(
+      call,
+      Guarded([callNumber = aAction.mCall](config_follower& aFollower,
+                                           fetch_outcome aOutcome) {
+        std::optional<std::string> bytes;
+        if (aOutcome && aOutcome->mHttpStatus == kOk) {
+          bytes = std::move(aOutcome->mBody);
+        }
+        return aFollower.OnFetched(callNumber, std::move(bytes), Now());
+      }));
   }
 
-  void Carry(const ask_peer& aAction)
+  void Execute(const ask_peer& aAction)
   {
-    mPeers.mAsk(aAction.mPeer,
-                Guarded([number = aAction.mCall](
-                          config_follower& aFollower,
-                          const std::optional<config_word>& aWord) {
-                  return aFollower.OnPeerAnswered(number, aWord, Now());
-                }));
+    mPeers.mQueryStatus(
+      aAction.mPeer,
+      Guarded([callNumber =
+                 aAction.mCall](config_follower& aFollower,
+                                const std::optional<config_word>& aStatus) {
+        return aFollower.OnPeerAnswered(callNumber, aStatus, Now());
+      }));
   }
 
-  void Carry(const announce_version& aAction)
+  void Execute(const announce_version& aAction)
   {
     mPeers.mAnnounce(aAction.mVersion);
   }
 
-  void Carry(judge_bundle& aAction)
+  void Execute(judge_bundle& aAction)
   {
     boost::asio::post(
-      mJudges,
+      mValidationThread,
       [weak = weak_from_this(), &io = mIo, bundle = std::move(aAction)] {
-        judged verdict = Judge(bundle);
+        bundle_validation verdict = ValidateBundle(bundle);
         boost::asio::post(io,
                           [weak,
                            which = bundle.mRevision,
                            verdict = std::move(verdict)]() mutable {
                             const auto self = weak.lock();
                             if (self && !self->mStopped) {
-                              self->OnJudged(which, std::move(verdict));
+                              self->OnValidated(which, std::move(verdict));
                             }
                           });
       });
   }
 
-  void OnJudged(const revision& aRevision, judged aVerdict)
+  void OnValidated(const revision& aRevision, bundle_validation aVerdict)
   {
-    mJudgedCatalog = std::move(aVerdict.mCatalog);
+    mValidatedCatalog = std::move(aVerdict.mCatalog);
     Apply(mFollower.OnVerdict(aRevision, aVerdict.mFaults, Now()));
-    mJudgedCatalog = nullptr;
+    mValidatedCatalog = nullptr;
   }
 
-  void Carry(const put_in_force& aAction)
+  void Execute(const put_in_force& aAction)
   {
-    if (mJudgedCatalog != nullptr) {
-      mListener.mInForce(mJudgedCatalog, aAction.mRevision);
+    if (mValidatedCatalog != nullptr) {
+      mListener.mInForce(mValidatedCatalog, aAction.mRevision);
     }
   }
 
-  void Carry(const report_refused& aAction)
+  void Execute(const report_refused& aAction)
   {
     mListener.mRefused(aAction.mRevision, aAction.mFaults);
   }
 
-  void Carry(const report_lower& aAction)
+  void Execute(const report_lower& aAction)
   {
-    mListener.mLower(aAction.mVersion, aAction.mInForce);
+    mListener.mLowerVersion(aAction.mVersion, aAction.mInForce);
   }
 
   void ArmTimer()
@@ -238,9 +241,9 @@
     }
     mTimer.expires_at(*due);
     mTimer.async_wait(
-      [weak = weak_from_this()](const boost::system::error_code& aWrong) {
+      [weak = weak_from_this()](const boost::system::error_code& aError) {
         const auto self = weak.lock();
-        if (!aWrong && self && !self->mStopped) {
+        if (!aError && self && !self->mStopped) {
           self->Apply(self->mFollower.Advance(Now()));
         }
       });
@@ -252,9 +255,9 @@
   keeper_listener mListener;
   config_follower mFollower;
   boost::asio::steady_timer mTimer;
-  boost::asio::thread_pool mJudges;
+  boost::asio::thread_pool mValidationThread;
   // Catalog of the verdict being processed; `put_in_force` refers to it.
-  catalog_ptr mJudgedCatalog;
+  catalog_ptr mValidatedCatalog;
   bool mStopped = false;
 };
 
@@ -300,7 +303,7 @@
 }
 
 config_word
-configuration_keeper::Word() const
+configuration_keeper::Status() const
 {
   return mCore->Follower().Word(Now());
 }
--- a/thornhollow/daemon/configuration_keeper.h
+++ b/thornhollow/daemon/configuration_keeper.h
@@ -43,11 +43,11 @@
 {
   std::function<void(const instance_name&,
                      std::function<void(std::optional<config_word>)>)>
-    mAsk;
+    mQueryStatus;
   std::function<void(const instance_name&,
                      const std::string& aDigest,
                      std::function<void(std::optional<std::string>)>)>
-    mFetch;
+    mFetchPart;
   // Notifies all peers of this version immediately.
   std::function<void(std::uint64_t aVersion)> mAnnounce;
 };
@@ -57,7 +57,8 @@
   std::function<void(catalog_ptr, const revision&)> mInForce;
   std::function<void(const revision&, const faults&)> mRefused;
   // The platform returned a version lower than the one in force.
-  std::function<void(std::uint64_t aVersion, const revision& aInForce)> mLower;
+  std::function<void(std::uint64_t aVersion, const revision& aInForce)>
+    mLowerVersion;
   // Bytes of each exchange with the platform, request and response together.
   std::function<void(std::size_t)> mPlatformBytes;
 };
@@ -78,9 +79,9 @@
   void OnHint(const instance_name& aPeer, const config_hint& aHint);
 
   // The configuration state that this instance sends to all peers (`Hint`) and
-  // in response to a query (`Word`).
+  // in response to a query (`Status`).
   config_hint Hint() const;
-  config_word Word() const;
+  config_word Status() const;
   // The bytes held under this digest, to answer a peer's query, or null.
   bytes_ptr Held(std::string_view aDigest) const;
 
--- a/thornhollow/daemon/control_plane.cc
+++ b/thornhollow/daemon/control_plane.cc
@@ -19,15 +19,15 @@
 namespace {
 
 constexpr std::string_view kInstancesPath = "/v1/instances";
-constexpr duration kTick = Milliseconds(100);
+constexpr duration kTickInterval = Milliseconds(100);
 // At start-up, an instance waits this long for a first peer that it can query
 // before it reads the platform. Otherwise a stale platform replica could supply
 // a configuration that the peers have already replaced.
-constexpr duration kFirstPeerWithin = Milliseconds(500);
-constexpr duration kWordLimit = Milliseconds(500);
+constexpr duration kFirstPeerTimeout = Milliseconds(500);
+constexpr duration kStatusTimeout = Milliseconds(500);
 // An endpoint's own report that it is leaving expires after this time unless it
 // is repeated.
-constexpr duration kToldFor = Seconds(60);
+constexpr duration kLeavingReportLifetime = Seconds(60);
 
 // Increases with each start, provided that the system clock is not set back
 // between starts.
@@ -107,7 +107,7 @@
         [this](const instance_name& aPeer,
                const claim_request& aRequest,
                std::function<void(std::optional<claim_answer>)> aDone) {
-          AskClaim(aPeer, aRequest, std::move(aDone));
+          SendClaim(aPeer, aRequest, std::move(aDone));
         },
         mListener.mKeys)
     , mInstances(aIo,
@@ -116,7 +116,7 @@
                  { [this](const platform_value& aValue) { OnList(aValue); },
                    [this] {
                      mViewIsFresh = true;
-                     TellView();
+                     PublishView();
                    },
                    [this] { mMetrics.OnEvent("platform_list_unanswered"); },
                    [this](std::size_t aBytes) {
@@ -130,7 +130,7 @@
   {
     BOOST_LEAF_CHECK(mLink.Open());
     mInstances.Start();
-    mOpened = Now();
+    mOpenedAt = Now();
     Tick();
     return {};
   }
@@ -140,16 +140,16 @@
   void OnEndpointLeaving(const endpoint_name& aEndpoint)
   {
     const endpoint_state_changes changes =
-      mStates.OnLeavingReported(aEndpoint, Now() + kToldFor);
+      mStates.OnLeavingReported(aEndpoint, Now() + kLeavingReportLifetime);
     if (!changes.empty()) {
-      mLink.TellLeaving(aEndpoint);
+      mLink.ReportEndpointLeaving(aEndpoint);
     }
     Apply(changes);
   }
 
-  void TellPressure(const std::vector<pool_pressure>& aPressures)
+  void ReportPressure(const std::vector<pool_pressure>& aPressures)
   {
-    mLink.TellPressure(aPressures);
+    mLink.ReportPressure(aPressures);
   }
   std::vector<pool_pressure> PeerPressure() const
   {
@@ -170,7 +170,7 @@
   peer_listener PeerListener()
   {
     peer_listener listener;
-    listener.mOwnWord = [this] { return mKeeper.Word(); };
+    listener.mOwnStatus = [this] { return mKeeper.Status(); };
     listener.mOwnHint = [this] { return mKeeper.Hint(); };
     listener.mOnHint = [this](const instance_name& aPeer,
                               const config_hint& aHint) {
@@ -185,8 +185,8 @@
       return held == nullptr ? std::nullopt : std::optional(held->mText);
     };
     listener.mOnMembers = [this] { OnMembers(); };
-    listener.mOnEndpointLeaves = [this](const endpoint_name& aEndpoint,
-                                        time_point aUntil) {
+    listener.mOnEndpointLeaving = [this](const endpoint_name& aEndpoint,
+                                         time_point aUntil) {
       Apply(mStates.OnLeavingReported(aEndpoint, aUntil));
     };
     // Scheduler, holder and witness detect a pause through their own ticks. The
@@ -201,15 +201,16 @@
   keeper_peers KeeperPeers()
   {
     keeper_peers peers;
-    peers.mAsk = [this](const instance_name& aPeer,
-                        std::function<void(std::optional<config_word>)> aDone) {
-      AskWord(aPeer, std::move(aDone));
-    };
-    peers.mFetch =
+    peers.mQueryStatus =
+      [this](const instance_name& aPeer,
+             std::function<void(std::optional<config_word>)> aDone) {
+        QueryStatus(aPeer, std::move(aDone));
+      };
+    peers.mFetchPart =
       [this](const instance_name& aPeer,
              const std::string& aDigest,
              std::function<void(std::optional<std::string>)> aDone) {
-        AskPart(aPeer, aDigest, std::move(aDone));
+        FetchPart(aPeer, aDigest, std::move(aDone));
       };
     peers.mAnnounce = [this](std::uint64_t aVersion) {
       mLink.Announce(aVersion);
@@ -234,7 +235,8 @@
           { "revision", static_cast<std::int64_t>(aRevision.mVersion) },
           { "faults", static_cast<std::int64_t>(aFaults.size()) } });
     };
-    listener.mLower = [this](std::uint64_t aVersion, const revision& aInForce) {
+    listener.mLowerVersion = [this](std::uint64_t aVersion,
+                                    const revision& aInForce) {
       mMetrics.OnEvent("configuration_lower_version_ignored");
       mLog.Write(
         log_level::kWarning,
@@ -258,27 +260,27 @@
       { { "digest", aRevision.mDigest },
         { "revision", static_cast<std::int64_t>(aRevision.mVersion) } });
     mListener.mInForce(aCatalog);
-    TellView();
+    PublishView();
   }
 
-  void AskWord(const instance_name& aPeer,
-               std::function<void(std::optional<config_word>)> aDone)
+  void QueryStatus(const instance_name& aPeer,
+                   std::function<void(std::optional<config_word>)> aDone)
   {
-    mLink.Ask(
+    mLink.Exchange(
       aPeer,
-      config_status_exchange{ mKeeper.Word() },
-      kWordLimit,
+      config_status_exchange{ mKeeper.Status() },
+      kStatusTimeout,
       [done = std::move(aDone)](const std::optional<stream_message>& aAnswer) {
-        const auto* word = AnswerAs<config_status_exchange>(aAnswer);
-        done(word == nullptr ? std::nullopt : std::optional(word->mStatus));
+        const auto* status = AnswerAs<config_status_exchange>(aAnswer);
+        done(status == nullptr ? std::nullopt : std::optional(status->mStatus));
       });
   }
 
-  void AskPart(const instance_name& aPeer,
-               const std::string& aDigest,
-               std::function<void(std::optional<std::string>)> aDone)
+  void FetchPart(const instance_name& aPeer,
+                 const std::string& aDigest,
+                 std::function<void(std::optional<std::string>)> aDone)
   {
-    mLink.Ask(
+    mLink.Exchange(
       aPeer,
       part_request{ aDigest },
       follower_settings{}.mFetchTimeout,
@@ -289,11 +291,11 @@
       });
   }
 
-  void AskClaim(const instance_name& aPeer,
-                const claim_request& aRequest,
-                std::function<void(std::optional<claim_answer>)> aDone)
+  void SendClaim(const instance_name& aPeer,
+                 const claim_request& aRequest,
+                 std::function<void(std::optional<claim_answer>)> aDone)
   {
-    mLink.Ask(
+    mLink.Exchange(
       aPeer,
       aRequest,
       key_claim_settings{}.mRequestTimeout,
@@ -320,12 +322,12 @@
     mList = std::move(list->mRouters);
     mViewIsFresh = true;
     mLink.OnInstances(*mList);
-    TellView();
+    PublishView();
   }
 
   // Also called when the platform confirms an unchanged list: after a pause,
   // holders refuse submissions until their view is known to be fresh.
-  void TellView()
+  void PublishView()
   {
     if (mList && mViewIsFresh && !mDomains.empty()) {
       mKeys.OnView({ mDomains, *mList });
@@ -355,9 +357,9 @@
     mKeys.Tick();
     Apply(mStates.Advance(Now()));
     mListener.mTick();
-    mTimer.expires_after(kTick);
-    mTimer.async_wait([this](const boost::system::error_code& aWrong) {
-      if (!aWrong) {
+    mTimer.expires_after(kTickInterval);
+    mTimer.async_wait([this](const boost::system::error_code& aError) {
+      if (!aError) {
         Tick();
       }
     });
@@ -374,7 +376,7 @@
         peers.push_back(each.mName);
       }
     }
-    if (peers.empty() && Now() < mOpened + kFirstPeerWithin) {
+    if (peers.empty() && Now() < mOpenedAt + kFirstPeerTimeout) {
       return;
     }
     mKeeperStarted = true;
@@ -404,7 +406,7 @@
   key_gate mKeys;
   platform_watch mInstances;
   boost::asio::steady_timer mTimer;
-  time_point mOpened{};
+  time_point mOpenedAt{};
   bool mKeeperStarted = false;
 };
 
@@ -442,9 +444,9 @@
 }
 
 void
-control_plane::TellPressure(const std::vector<pool_pressure>& aPressures)
+control_plane::ReportPressure(const std::vector<pool_pressure>& aPressures)
 {
-  mCore->TellPressure(aPressures);
+  mCore->ReportPressure(aPressures);
 }
 
 std::vector<pool_pressure>
--- a/thornhollow/daemon/control_plane.h
+++ b/thornhollow/daemon/control_plane.h
@@ -68,7 +68,7 @@
   void OnEndpointLeaving(const endpoint_name& aEndpoint);
 
   // See peer_link.h.
-  void TellPressure(const std::vector<pool_pressure>& aPressures);
+  void ReportPressure(const std::vector<pool_pressure>& aPressures);
   std::vector<pool_pressure> PeerPressure() const;
 
   // Announces that this instance accepts no new work. It still answers peers.
--- a/thornhollow/daemon/daemon.cc
+++ b/thornhollow/daemon/daemon.cc
@@ -24,7 +24,7 @@
 // After readiness goes off, the load balancer keeps sending requests until it
 // detects the change. During this time they are answered with "not run" instead
 // of hitting a closed port.
-constexpr duration kBalancerNotices = Seconds(2);
+constexpr duration kBalancerDetectionTime = Seconds(2);
 
 server_limits
 CallerServerLimits(const daemon_settings& aSettings)
@@ -44,11 +44,11 @@
 // services are left out because they publish no load.
 std::vector<endpoint>
 ModelEngines(const declarations& aDeclared,
-             const std::vector<endpoint_status>& aWorkedWith)
+             const std::vector<endpoint_status>& aUsed)
 {
-  std::set<endpoint_name> worked;
-  for (const endpoint_status& each : aWorkedWith) {
-    worked.insert(each.mName);
+  std::set<endpoint_name> used;
+  for (const endpoint_status& each : aUsed) {
+    used.insert(each.mName);
   }
   std::set<pool_name> models;
   for (const model& each : aDeclared.mModels) {
@@ -60,7 +60,7 @@
       std::ranges::any_of(each.mPools, [&](const pool_name& aPool) {
         return models.contains(aPool);
       });
-    if (isEngine && worked.contains(each.mName)) {
+    if (isEngine && used.contains(each.mName)) {
       engines.push_back(each);
     }
   }
@@ -91,14 +91,17 @@
     , mCallers(
         aIo,
         CallerServerLimits(aSettings),
-        [this](caller_exchange_ptr aOne) { mRouter.Serve(std::move(aOne)); },
+        [this](caller_exchange_ptr aExchange) {
+          mRouter.Serve(std::move(aExchange));
+        },
         [this](error_kind aKind) { return mRouter.AnswerUnreadable(aKind); })
     , mOperators(
         aIo,
         OperatorServerLimits(),
-        [this](const caller_exchange_ptr& aOne) {
+        [this](const caller_exchange_ptr& aExchange) {
           mMetrics.SetHeld(mRouter.HeldByPool());
-          aOne->Send(OperatorsPage(aOne->Request(), Status(), mMetrics));
+          aExchange->Send(
+            OperatorsPage(aExchange->Request(), Status(), mMetrics));
         },
         [this](error_kind aKind) { return mRouter.AnswerUnreadable(aKind); })
     , mControl(aIo, aSettings, ControlListener(), aLog, mMetrics)
@@ -137,7 +140,7 @@
       return;
     }
     mDrain.Begin(
-      { .mBalancerDetectionTime = kBalancerNotices,
+      { .mBalancerDetectionTime = kBalancerDetectionTime,
         .mGrace = mSettings.mDrainGrace },
       [this] { return mRouter.InProgress(); },
       [this] {
@@ -160,18 +163,19 @@
     listener.mEndpointState = [this](const endpoint_state_change& aChange) {
       mRouter.OnEndpointState(aChange.mEndpoint, aChange.mState);
     };
-    listener.mKeys.mRun = [this](submission_id aOne) {
-      mRouter.OnKeyRun(aOne);
+    listener.mKeys.mRun = [this](submission_id aSubmission) {
+      mRouter.OnKeyRun(aSubmission);
     };
-    listener.mKeys.mRefused = [this](submission_id aOne, error_kind aKind) {
-      mRouter.OnKeyRefused(aOne, aKind);
+    listener.mKeys.mRefused = [this](submission_id aSubmission,
+                                     error_kind aKind) {
+      mRouter.OnKeyRefused(aSubmission, aKind);
     };
     listener.mRouters = [this](const std::vector<instance_name>& aRouters) {
       mRouter.SetRouters(mSettings.mName, aRouters);
     };
     listener.mTick = [this] {
       mRouter.Tick();
-      mControl.TellPressure(mRouter.Pressure());
+      mControl.ReportPressure(mRouter.Pressure());
       mRouter.OnPeerPressure(mControl.PeerPressure());
     };
     listener.mSuperseded = [this] { BeginStop(); };
--- a/thornhollow/daemon/intake.cc
+++ b/thornhollow/daemon/intake.cc
@@ -48,10 +48,10 @@
   }
   std::int64_t milliseconds = 0;
   const char* last = text.data() + text.size();
-  const auto [end, wrong] = std::from_chars(text.data(), last, milliseconds);
-  if (wrong != std::errc() || end != last || milliseconds <= 0 ||
+  const auto [end, error] = std::from_chars(text.data(), last, milliseconds);
+  if (error != std::errc() || end != last || milliseconds <= 0 ||
       milliseconds > ToMilliseconds(aDeclared)) {
-    const bool longer = wrong == std::errc() && end == last && milliseconds > 0;
+    const bool longer = error == std::errc() && end == last && milliseconds > 0;
     return longer ? std::optional(aDeclared) : std::nullopt;
   }
   return Milliseconds(milliseconds);
@@ -89,9 +89,9 @@
   if (found == nullptr) {
     return 0;
   }
-  boost::system::error_code wrong;
-  const auto number = found->to_number<std::uint32_t>(wrong);
-  return wrong ? 0 : number;
+  boost::system::error_code error;
+  const auto number = found->to_number<std::uint32_t>(error);
+  return error ? 0 : number;
 }
 
 // Fills in the fields specific to a completion. Returns the error, or nullopt
@@ -101,10 +101,10 @@
                const request_class& aClass,
                intake& aInto)
 {
-  boost::system::error_code wrong;
-  boost::json::value parsed = boost::json::parse(aRequest.mBody, wrong);
+  boost::system::error_code error;
+  boost::json::value parsed = boost::json::parse(aRequest.mBody, error);
   boost::json::object* body = parsed.if_object();
-  if (wrong || body == nullptr) {
+  if (error || body == nullptr) {
     return error_kind::kMalformedRequest;
   }
   const boost::json::value* messages = body->if_contains("messages");
@@ -169,8 +169,8 @@
   if (terms.mClass == nullptr) {
     return error_kind::kClassNotAllowed;
   }
-  if (const auto wrong = ApplyTerms(aRequest, terms, aInto)) {
-    return *wrong;
+  if (const auto error = ApplyTerms(aRequest, terms, aInto)) {
+    return *error;
   }
   aInto.mIdempotent = aInto.mIdempotent && aService.mIdempotent;
   aInto.mPool = PoolOf(aService.mName);
@@ -214,11 +214,11 @@
   if (terms.mClass == nullptr) {
     return error_kind::kClassNotAllowed;
   }
-  if (const auto wrong = ApplyTerms(aRequest, terms, read)) {
-    return *wrong;
+  if (const auto error = ApplyTerms(aRequest, terms, read)) {
+    return *error;
   }
-  if (const auto wrong = ReadCompletion(aRequest, *terms.mClass, read)) {
-    return *wrong;
+  if (const auto error = ReadCompletion(aRequest, *terms.mClass, read)) {
+    return *error;
   }
   return read;
 }
--- a/thornhollow/daemon/intake.h
+++ b/thornhollow/daemon/intake.h
@@ -3,7 +3,7 @@
 // Performs no I/O.
 //
 //   const intake_verdict read = ReadIntake(request, *catalog);
-//   if (const auto* wrong = std::get_if<error_kind>(&read)) { ... }
+//   if (const auto* error = std::get_if<error_kind>(&read)) { ... }
 //
 #ifndef THORNHOLLOW_DAEMON_INTAKE_H_
 #define THORNHOLLOW_DAEMON_INTAKE_H_
--- a/thornhollow/daemon/key_gate.cc
+++ b/thornhollow/daemon/key_gate.cc
@@ -11,10 +11,10 @@
 public:
   core(const key_claim_settings& aSettings,
        const claim_holder& aSelf,
-       ask_claim aAsk,
+       claim_sender aSendClaim,
        key_listener aListener)
     : mSelf(aSelf.mName)
-    , mAsk(std::move(aAsk))
+    , mSendClaim(std::move(aSendClaim))
     , mListener(std::move(aListener))
     , mHolder(aSettings, aSelf)
     , mWitness(aSettings, aSelf.mName, Now())
@@ -24,7 +24,7 @@
   void Apply(const key_actions& aActions)
   {
     for (const key_action& each : aActions) {
-      std::visit([this](const auto& aOne) { this->Carry(aOne); }, each);
+      std::visit([this](const auto& aAction) { this->Execute(aAction); }, each);
     }
   }
 
@@ -34,66 +34,67 @@
   void Stop() { mStopped = true; }
 
 private:
-  void Carry(const request_grant& aAction)
+  void Execute(const request_grant& aAction)
   {
     if (aAction.mTo == mSelf) {
       Apply(
         mHolder.OnAnswer(mWitness.OnRequest(aAction.mRequest, Now()), Now()));
       return;
     }
-    mAsk(aAction.mTo,
-         aAction.mRequest,
-         [weak = weak_from_this(),
-          asked = aAction](const std::optional<claim_answer>& aAnswer) {
-           if (const auto self = weak.lock(); self && !self->mStopped) {
-             self->OnOutcome(asked, aAnswer);
-           }
-         });
+    mSendClaim(aAction.mTo,
+               aAction.mRequest,
+               [weak = weak_from_this(),
+                grant = aAction](const std::optional<claim_answer>& aAnswer) {
+                 if (const auto self = weak.lock(); self && !self->mStopped) {
+                   self->OnOutcome(grant, aAnswer);
+                 }
+               });
   }
 
-  void OnOutcome(const request_grant& aAsked,
+  void OnOutcome(const request_grant& aGrant,
                  const std::optional<claim_answer>& aAnswer)
   {
     // Answers in another witness's name are rejected: otherwise one witness
     // could grant a claim on behalf of all of them.
-    if (aAnswer && aAnswer->mWitness == aAsked.mTo) {
+    if (aAnswer && aAnswer->mWitness == aGrant.mTo) {
       Apply(mHolder.OnAnswer(*aAnswer, Now()));
     } else {
-      Apply(mHolder.OnUnreachable(aAsked.mTo, aAsked.mRequest, Now()));
+      Apply(mHolder.OnUnreachable(aGrant.mTo, aGrant.mRequest, Now()));
     }
   }
 
-  void Carry(const notify_witness& aAction)
+  void Execute(const notify_witness& aAction)
   {
     if (aAction.mTo == mSelf) {
       mWitness.OnRequest(aAction.mRequest, Now());
       mHolder.OnNotified(mSelf, aAction.mRequest);
       return;
     }
-    mAsk(aAction.mTo,
-         aAction.mRequest,
-         [weak = weak_from_this(),
-          told = aAction](const std::optional<claim_answer>& aAnswer) {
-           const auto self = weak.lock();
-           if (self && !self->mStopped && aAnswer &&
-               aAnswer->mWitness == told.mTo) {
-             self->mHolder.OnNotified(told.mTo, told.mRequest);
-           }
-         });
+    mSendClaim(aAction.mTo,
+               aAction.mRequest,
+               [weak = weak_from_this(), notification = aAction](
+                 const std::optional<claim_answer>& aAnswer) {
+                 const auto self = weak.lock();
+                 if (self && !self->mStopped && aAnswer &&
+                     aAnswer->mWitness == notification.mTo) {
+                   self->mHolder.OnNotified(notification.mTo,
+                                            notification.mRequest);
+                 }
+               });
   }
 
-  void Carry(const run_submission& aAction)
+  void Execute(const run_submission& aAction)
   {
     mListener.mRun(aAction.mSubmission);
   }
 
-  void Carry(const refuse_submission& aAction)
+  void Execute(const refuse_submission& aAction)
   {
     mListener.mRefused(aAction.mSubmission, aAction.mKind);
   }
 
   instance_name mSelf;
-  ask_claim mAsk;
+  claim_sender mSendClaim;
   key_listener mListener;
   key_holder mHolder;
   key_witness mWitness;
@@ -102,11 +103,11 @@
 
 key_gate::key_gate(const key_claim_settings& aSettings,
                    const claim_holder& aSelf,
-                   ask_claim aAsk,
+                   claim_sender aSendClaim,
                    key_listener aListener)
   : mCore(std::make_shared<core>(aSettings,
                                  aSelf,
-                                 std::move(aAsk),
+                                 std::move(aSendClaim),
                                  std::move(aListener)))
 {
 }
--- a/thornhollow/daemon/key_gate.h
+++ b/thornhollow/daemon/key_gate.h
@@ -27,7 +27,7 @@
 // Sends a claim to a witness other than this instance. The callback receives
 // the witness's answer, or nullopt if it cannot be reached. It is called
 // exactly once, asynchronously.
-using ask_claim =
+using claim_sender =
   std::function<void(const instance_name&,
                      const claim_request&,
                      std::function<void(std::optional<claim_answer>)>)>;
@@ -45,7 +45,7 @@
 public:
   key_gate(const key_claim_settings& aSettings,
            const claim_holder& aSelf,
-           ask_claim aAsk,
+           claim_sender aSendClaim,
            key_listener aListener);
   key_gate(const key_gate&) = delete;
   key_gate& operator=(const key_gate&) = delete;
--- a/thornhollow/daemon/live_request.h
+++ b/thornhollow/daemon/live_request.h
@@ -56,7 +56,7 @@
   caller_exchange_ptr mExchange;
   boost::intrusive_ptr<endpoint_attempt> mAttempt;
   // Whether the current attempt uses its class's minimum share.
-  bool mOwed = false;
+  bool mUsesMinimumShare = false;
   // Endpoint of the current or last attempt.
   endpoint_name mEndpoint;
   boost::asio::steady_timer mTimer;
@@ -67,7 +67,7 @@
   bool mHeadSent = false;
   key_stage mKeyStage = key_stage::kNone;
   // Endpoint of the attempt whose claim is being confirmed.
-  endpoint_name mConfirmedFor;
+  endpoint_name mConfirmingEndpoint;
   time_point mLastToken{};
 };
 
--- a/thornhollow/daemon/load_poller.cc
+++ b/thornhollow/daemon/load_poller.cc
@@ -21,7 +21,7 @@
 constexpr std::string_view kLoadPath = "/v1/load";
 constexpr unsigned kOk = 200;
 // A stated age above this is implausible and is clamped to it.
-constexpr std::int64_t kOldestReportMs = 3'600'000;
+constexpr std::int64_t kMaxReportAgeMs = 3'600'000;
 
 double
 NumberField(const boost::json::object& aObject, std::string_view aName)
@@ -36,9 +36,9 @@
 std::uint32_t
 CountField(const boost::json::object& aObject, std::string_view aName)
 {
-  constexpr double kMost = 1e6;
+  constexpr double kMaxCount = 1e6;
   return static_cast<std::uint32_t>(
-    std::clamp(NumberField(aObject, aName), 0.0, kMost));
+    std::clamp(NumberField(aObject, aName), 0.0, kMaxCount));
 }
 
 } // namespace
@@ -59,20 +59,20 @@
   void SetEndpoints(std::vector<endpoint> aEndpoints)
   {
     mEndpoints = std::move(aEndpoints);
-    mNext = 0;
+    mNextIndex = 0;
   }
 
-  void Next()
+  void PollNext()
   {
     if (!mEndpoints.empty()) {
-      mNext = (mNext + 1) % mEndpoints.size();
-      Poll(mEndpoints[mNext]);
+      mNextIndex = (mNextIndex + 1) % mEndpoints.size();
+      Poll(mEndpoints[mNextIndex]);
     }
     mTimer.expires_after(kInterval);
     mTimer.async_wait(
-      [self = shared_from_this()](const boost::system::error_code& aWrong) {
-        if (!aWrong) {
-          self->Next();
+      [self = shared_from_this()](const boost::system::error_code& aError) {
+        if (!aError) {
+          self->PollNext();
         }
       });
   }
@@ -93,11 +93,11 @@
     call.mMaxBytes = kMaxReportBytes;
     Fetch(mIo,
           call,
-          [self = shared_from_this(), name = aEndpoint.mName, asked = Now()](
+          [self = shared_from_this(), name = aEndpoint.mName, sentAt = Now()](
             const fetch_outcome& aOutcome) {
             // A report that waited in the socket while this process was
             // paused would be dated by its arrival and appear fresh.
-            if (Now() - asked <= kPollTimeout) {
+            if (Now() - sentAt <= kPollTimeout) {
               self->OnOutcome(name, aOutcome);
             }
           });
@@ -122,7 +122,7 @@
   std::function<void(std::size_t)> mOnBytes;
   boost::asio::steady_timer mTimer;
   std::vector<endpoint> mEndpoints;
-  std::size_t mNext = 0;
+  std::size_t mNextIndex = 0;
 };
 
 load_poller::load_poller(boost::asio::io_context& aIo,
@@ -147,16 +147,16 @@
 void
 load_poller::Start()
 {
-  mLoop->Next();
+  mLoop->PollNext();
 }
 
 std::optional<load_report>
 ReadLoadReport(std::string_view aJson, time_point aArrival)
 {
-  boost::system::error_code wrong;
-  const boost::json::value parsed = boost::json::parse(aJson, wrong);
+  boost::system::error_code error;
+  const boost::json::value parsed = boost::json::parse(aJson, error);
   const boost::json::object* object = parsed.if_object();
-  if (wrong || object == nullptr || !object->contains("running")) {
+  if (error || object == nullptr || !object->contains("running")) {
     return std::nullopt;
   }
   load_report report;
@@ -172,7 +172,7 @@
   const auto age =
     std::clamp(static_cast<std::int64_t>(NumberField(*object, "age_ms")),
                std::int64_t{ 0 },
-               kOldestReportMs);
+               kMaxReportAgeMs);
   report.mMeasuredAt = aArrival - Milliseconds(age);
   return report;
 }
--- a/thornhollow/daemon/metrics.cc
+++ b/thornhollow/daemon/metrics.cc
@@ -32,7 +32,7 @@
                                                   0.15,  0.3,    1,     5 };
 
 kind_counters
-OneForEachKind(Family<Counter>& aFamily)
+AddForEachKind(Family<Counter>& aFamily)
 {
   kind_counters counters{};
   for (const error_kind kind : AllErrorKinds()) {
@@ -55,7 +55,7 @@
     Histogram* mGap;
   };
 
-  class_metrics& Of(const class_name& aClass)
+  class_metrics& ForClass(const class_name& aClass)
   {
     const auto found = mClasses.find(aClass);
     if (found != mClasses.end()) {
@@ -74,7 +74,7 @@
 
   // A registry writes counters before gauges. The gauges that must come first
   // on the page therefore need a registry of their own.
-  prometheus::Registry mBeliefs;
+  prometheus::Registry mLeadingRegistry;
   prometheus::Registry mRegistry;
   Family<Counter>& mRequests = BuildCounter()
                                  .Name("thornhollow_requests_total")
@@ -120,33 +120,33 @@
                        .Help("Tokens of answers that nobody received whole")
                        .Register(mRegistry)
                        .Add({});
-  Family<Gauge>& mGauges = BuildGauge()
-                             .Name("thornhollow_requests")
-                             .Help("Requests held now, by pool and state")
-                             .Register(mRegistry);
+  Family<Gauge>& mHeldRequests = BuildGauge()
+                                   .Name("thornhollow_requests")
+                                   .Help("Requests held now, by pool and state")
+                                   .Register(mRegistry);
   Gauge& mVersion = BuildGauge()
                       .Name("thornhollow_configuration_version")
                       .Help("Platform version of the manifest in force")
-                      .Register(mBeliefs)
+                      .Register(mLeadingRegistry)
                       .Add({});
   Family<Gauge>& mSourceRevisions =
     BuildGauge()
       .Name("thornhollow_source_revision")
       .Help("Source revision up to which items are known, by what they are")
-      .Register(mBeliefs);
+      .Register(mLeadingRegistry);
   Family<Gauge>& mSourceAges =
     BuildGauge()
       .Name("thornhollow_source_answer_age_seconds")
       .Help("Since the source itself last answered, by what was asked for")
-      .Register(mBeliefs);
+      .Register(mLeadingRegistry);
   Counter& mConfigurationRefused =
     BuildCounter()
       .Name("thornhollow_configuration_refused_total")
       .Help("Configurations refused")
       .Register(mRegistry)
       .Add({});
-  kind_counters mRefused = OneForEachKind(mRefusedFamily);
-  kind_counters mRetries = OneForEachKind(mRetriesFamily);
+  kind_counters mRefused = AddForEachKind(mRefusedFamily);
+  kind_counters mRetries = AddForEachKind(mRetriesFamily);
   std::unordered_map<class_name, class_metrics> mClasses;
   // All pools seen so far, so that the gauges of an empty pool are set to zero.
   std::set<pool_name> mPools;
@@ -162,15 +162,15 @@
 void
 metrics::OnRequest(const class_name& aClass)
 {
-  mFamilies->Of(aClass).mRequests->Increment();
+  mFamilies->ForClass(aClass).mRequests->Increment();
 }
 
 void
 metrics::OnCompleted(const class_name& aClass, std::uint64_t aTokens)
 {
-  auto& one = mFamilies->Of(aClass);
-  one.mCompleted->Increment();
-  one.mTokens->Increment(static_cast<double>(aTokens));
+  auto& classMetrics = mFamilies->ForClass(aClass);
+  classMetrics.mCompleted->Increment();
+  classMetrics.mTokens->Increment(static_cast<double>(aTokens));
 }
 
 void
@@ -188,13 +188,13 @@
 void
 metrics::OnFirstToken(const class_name& aClass, duration aSinceArrival)
 {
-  mFamilies->Of(aClass).mFirstToken->Observe(ToSeconds(aSinceArrival));
+  mFamilies->ForClass(aClass).mFirstToken->Observe(ToSeconds(aSinceArrival));
 }
 
 void
 metrics::OnTokenGap(const class_name& aClass, duration aSinceLast)
 {
-  mFamilies->Of(aClass).mGap->Observe(ToSeconds(aSinceLast));
+  mFamilies->ForClass(aClass).mGap->Observe(ToSeconds(aSinceLast));
 }
 
 void
@@ -252,7 +252,8 @@
     const held_requests held =
       found == aByPool.end() ? held_requests{} : found->second;
     const auto set = [&](const char* aState, std::size_t aCount) {
-      mFamilies->mGauges.Add({ { "pool", pool.Text() }, { "state", aState } })
+      mFamilies->mHeldRequests
+        .Add({ { "pool", pool.Text() }, { "state", aState } })
         .Set(static_cast<double>(aCount));
     };
     set("in_flight", held.mInFlight);
@@ -264,7 +265,7 @@
 metrics::Page() const
 {
   const prometheus::TextSerializer text;
-  return text.Serialize(mFamilies->mBeliefs.Collect()) +
+  return text.Serialize(mFamilies->mLeadingRegistry.Collect()) +
          text.Serialize(mFamilies->mRegistry.Collect());
 }
 
--- a/thornhollow/daemon/peer_link.cc
+++ b/thornhollow/daemon/peer_link.cc
@@ -19,17 +19,17 @@
 namespace {
 
 // Tick interval that the state machines require.
-constexpr duration kTick = Milliseconds(100);
+constexpr duration kTickInterval = Milliseconds(100);
 // Interval between messages to the seeds while no member is known.
 constexpr duration kSeedInterval = Milliseconds(500);
 // Duration for which a leaving endpoint is reported to peers. By then the
 // platform's list includes the change.
-constexpr duration kLeavingFor = Seconds(60);
+constexpr duration kLeavingGossipDuration = Seconds(60);
 
 // Returns the value of a result, or nullopt on any error.
 template<class value>
 std::optional<value>
-OrNothing(result<value> aResult)
+ValueOrNullopt(result<value> aResult)
 {
   return boost::leaf::try_handle_all(
     [&]() -> result<std::optional<value>> {
@@ -92,16 +92,16 @@
     mListener.mOnMembers();
   }
 
-  void Ask(const instance_name& aPeer,
-           const stream_message& aRequest,
-           duration aLimit,
-           answer_handler aDone)
+  void Exchange(const instance_name& aPeer,
+                const stream_message& aRequest,
+                duration aTimeout,
+                answer_handler aDone)
   {
     const auto address = AddressOf(aPeer);
     mTransport.Exchange(
       address.value_or(std::string()),
       mSealer.Seal(aPeer, EncodeStream(aRequest)),
-      { .mTimeout = aLimit },
+      { .mTimeout = aTimeout },
       [weak = weak_from_this(), aPeer, done = std::move(aDone)](
         const std::optional<std::string>& aBytes) {
         const auto self = weak.lock();
@@ -116,12 +116,12 @@
     Apply(mMembers.OnConfiguration(aVersion, Now()));
   }
 
-  void TellLeaving(const endpoint_name& aEndpoint)
+  void ReportEndpointLeaving(const endpoint_name& aEndpoint)
   {
-    Apply(mMembers.OnEndpointLeaving(aEndpoint, kLeavingFor, Now()));
+    Apply(mMembers.OnEndpointLeaving(aEndpoint, kLeavingGossipDuration, Now()));
   }
 
-  void TellPressure(const std::vector<pool_pressure>& aPressures)
+  void ReportPressure(const std::vector<pool_pressure>& aPressures)
   {
     for (const pool_pressure& each : aPressures) {
       mMembers.OnPressure(each, Now());
@@ -167,13 +167,13 @@
       return;
     }
     Apply(mMembers.Tick(Now()));
-    AskSeeds();
+    PingSeeds();
     CountBytes();
-    mTimer.expires_after(kTick);
+    mTimer.expires_after(kTickInterval);
     mTimer.async_wait(
-      [weak = weak_from_this()](const boost::system::error_code& aWrong) {
+      [weak = weak_from_this()](const boost::system::error_code& aError) {
         const auto self = weak.lock();
-        if (!aWrong && self) {
+        if (!aError && self) {
           self->Tick();
         }
       });
@@ -189,13 +189,13 @@
 
   // A seed's name is not known, so the message is sealed with an empty
   // recipient name, which any instance can open.
-  void AskSeeds()
+  void PingSeeds()
   {
     const time_point now = Now();
-    if (now < mNextSeeds || !mMembers.Alive().empty()) {
+    if (now < mNextSeedPing || !mMembers.Alive().empty()) {
       return;
     }
-    mNextSeeds = now + kSeedInterval;
+    mNextSeedPing = now + kSeedInterval;
     gossip_message ping;
     ping.mKind = gossip_kind::kPing;
     ping.mDomain = mSettings.mDomain;
@@ -227,17 +227,17 @@
 
   std::optional<opened_message> OpenDatagram(std::string_view aBytes)
   {
-    if (auto opened = OrNothing(mOpener.Open(aBytes))) {
+    if (auto opened = ValueOrNullopt(mOpener.Open(aBytes))) {
       return opened;
     }
-    return OrNothing(mSeedOpener.Open(aBytes));
+    return ValueOrNullopt(mSeedOpener.Open(aBytes));
   }
 
   bool OnDatagram(std::string_view aBytes)
   {
     const auto opened = OpenDatagram(aBytes);
     const auto message =
-      opened ? OrNothing(DecodeGossip(opened->mPayload)) : std::nullopt;
+      opened ? ValueOrNullopt(DecodeGossip(opened->mPayload)) : std::nullopt;
     // The sender in the message must match the sealed sender: a member may
     // report on others only in a message of its own.
     if (!message || message->mSender.mName != opened->mSender) {
@@ -253,15 +253,15 @@
 
   std::optional<std::string> OnRequest(std::string_view aBytes)
   {
-    const auto opened = OrNothing(mOpener.Open(aBytes));
+    const auto opened = ValueOrNullopt(mOpener.Open(aBytes));
     const auto request =
-      opened ? OrNothing(DecodeStream(opened->mPayload)) : std::nullopt;
-    auto answer =
-      request
-        ? std::visit(
-            [&](const auto& aOne) { return Answer(opened->mSender, aOne); },
-            *request)
-        : std::nullopt;
+      opened ? ValueOrNullopt(DecodeStream(opened->mPayload)) : std::nullopt;
+    auto answer = request ? std::visit(
+                              [&](const auto& aMessage) {
+                                return Answer(opened->mSender, aMessage);
+                              },
+                              *request)
+                          : std::nullopt;
     if (!answer) {
       mMetrics.OnEvent("peer_request_refused");
       return std::nullopt;
@@ -272,12 +272,12 @@
   std::optional<stream_message> ReadAnswer(const instance_name& aPeer,
                                            const std::string& aBytes)
   {
-    const auto opened = OrNothing(mOpener.Open(aBytes));
+    const auto opened = ValueOrNullopt(mOpener.Open(aBytes));
     if (!opened || opened->mSender != aPeer) {
       mMetrics.OnEvent("peer_answer_refused");
       return std::nullopt;
     }
-    return OrNothing(DecodeStream(opened->mPayload));
+    return ValueOrNullopt(DecodeStream(opened->mPayload));
   }
 
   std::optional<stream_message> Answer(const instance_name& aSender,
@@ -304,7 +304,7 @@
     const instance_name& /*aSender*/,
     const config_status_exchange& /*aRequest*/)
   {
-    return config_status_exchange{ mListener.mOwnWord() };
+    return config_status_exchange{ mListener.mOwnStatus() };
   }
 
   // Answers are not valid as requests.
@@ -322,16 +322,16 @@
   void Apply(membership_actions aActions)
   {
     for (membership_action& each : aActions) {
-      std::visit([this](auto& aOne) { this->Carry(aOne); }, each);
+      std::visit([this](auto& aAction) { this->Execute(aAction); }, each);
     }
   }
 
-  void Carry(send_datagram& aAction)
+  void Execute(send_datagram& aAction)
   {
     SendGossip(aAction.mTo, aAction.mAddress, std::move(aAction.mMessage));
   }
 
-  void Carry(const member_changed& aAction)
+  void Execute(const member_changed& aAction)
   {
     mLog.Write(log_level::kInfo,
                "member",
@@ -343,14 +343,14 @@
   }
 
   // No action needed: the hint on each datagram carries the same information.
-  void Carry(const newer_configuration&) {}
+  void Execute(const newer_configuration&) {}
 
-  void Carry(const endpoint_leave_reported& aAction)
+  void Execute(const endpoint_leave_reported& aAction)
   {
-    mListener.mOnEndpointLeaves(aAction.mEndpoint, aAction.mUntil);
+    mListener.mOnEndpointLeaving(aAction.mEndpoint, aAction.mUntil);
   }
 
-  void Carry(const process_paused& aAction)
+  void Execute(const process_paused& aAction)
   {
     mLog.Write(log_level::kWarning,
                "paused",
@@ -359,7 +359,7 @@
     mListener.mOnPaused(aAction.mLength);
   }
 
-  void Carry(const refresh_finished& aAction)
+  void Execute(const refresh_finished& aAction)
   {
     mLog.Write(log_level::kInfo,
                "refreshed",
@@ -367,7 +367,7 @@
                    std::string(aAction.mPeerResponded ? "yes" : "no") } });
   }
 
-  void Carry(const superseded&)
+  void Execute(const superseded&)
   {
     mLog.Write(log_level::kError, "superseded");
     mMetrics.OnEvent("superseded");
@@ -407,7 +407,7 @@
   instance_list mList;
   peer_transport mTransport;
   boost::asio::steady_timer mTimer;
-  time_point mNextSeeds{};
+  time_point mNextSeedPing{};
   std::uint64_t mCountedBytes = 0;
   bool mStopped = false;
 };
@@ -443,12 +443,12 @@
 }
 
 void
-peer_link::Ask(const instance_name& aPeer,
-               const stream_message& aRequest,
-               duration aLimit,
-               answer_handler aDone)
+peer_link::Exchange(const instance_name& aPeer,
+                    const stream_message& aRequest,
+                    duration aTimeout,
+                    answer_handler aDone)
 {
-  mCore->Ask(aPeer, aRequest, aLimit, std::move(aDone));
+  mCore->Exchange(aPeer, aRequest, aTimeout, std::move(aDone));
 }
 
 void
@@ -458,15 +458,15 @@
 }
 
 void
-peer_link::TellLeaving(const endpoint_name& aEndpoint)
+peer_link::ReportEndpointLeaving(const endpoint_name& aEndpoint)
 {
-  mCore->TellLeaving(aEndpoint);
+  mCore->ReportEndpointLeaving(aEndpoint);
 }
 
 void
-peer_link::TellPressure(const std::vector<pool_pressure>& aPressures)
+peer_link::ReportPressure(const std::vector<pool_pressure>& aPressures)
 {
-  mCore->TellPressure(aPressures);
+  mCore->ReportPressure(aPressures);
 }
 
 std::vector<pool_pressure>
--- a/thornhollow/daemon/peer_link.h
+++ b/thornhollow/daemon/peer_link.h
@@ -4,7 +4,7 @@
 //   peer_link link(io, settings, listener, log, counted);
 //   BOOST_LEAF_CHECK(link.Open());
 //   link.OnInstances(list);
-//   link.Ask(peer, part_request{ digest }, limit, [](auto aAnswer) { ... });
+//   link.Exchange(peer, part_request{ digest }, timeout, onAnswer);
 //
 // The protocol logic is in fleet/membership.h; this module adds sockets and
 // timers.
@@ -51,7 +51,7 @@
   // Configuration state of this instance: the hint sent with each datagram, and
   // the status sent in response to a query.
   std::function<config_hint()> mOwnHint;
-  std::function<config_word()> mOwnWord;
+  std::function<config_word()> mOwnStatus;
   std::function<void(const instance_name&, const config_hint&)> mOnHint;
   std::function<claim_answer(const claim_request&)> mOnClaim;
   // Returns the bytes of a part or manifest held here, or nullopt.
@@ -59,7 +59,7 @@
   // A member was added, removed or changed.
   std::function<void()> mOnMembers;
   // The endpoint is leaving: send it no new work until the given time.
-  std::function<void(const endpoint_name&, time_point)> mOnEndpointLeaves;
+  std::function<void(const endpoint_name&, time_point)> mOnEndpointLeaving;
   // This process was paused for the given time.
   std::function<void(duration)> mOnPaused;
   // Another process is running under this instance's name; this process must
@@ -88,21 +88,21 @@
 
   // Sends a request to a known peer. `aDone` is called once, asynchronously,
   // with the peer's answer, or with nullopt if no valid answer from it arrives
-  // within `aLimit`.
-  void Ask(const instance_name& aPeer,
-           const stream_message& aRequest,
-           duration aLimit,
-           answer_handler aDone);
+  // within `aTimeout`.
+  void Exchange(const instance_name& aPeer,
+                const stream_message& aRequest,
+                duration aTimeout,
+                answer_handler aDone);
 
   // Notifies peers that this instance holds this configuration version.
   void Announce(std::uint64_t aVersion);
   // Notifies peers that this endpoint is leaving.
-  void TellLeaving(const endpoint_name& aEndpoint);
+  void ReportEndpointLeaving(const endpoint_name& aEndpoint);
 
-  // `TellPressure` reports this instance's pool pressure to peers; call it
+  // `ReportPressure` reports this instance's pool pressure to peers; call it
   // repeatedly while the pressure lasts. `PeerPressure` returns the highest
   // pressure that peers reported.
-  void TellPressure(const std::vector<pool_pressure>& aPressures);
+  void ReportPressure(const std::vector<pool_pressure>& aPressures);
   std::vector<pool_pressure> PeerPressure() const;
 
   // Announces that this instance accepts no new work. It still answers peers.
--- a/thornhollow/daemon/router.cc
+++ b/thornhollow/daemon/router.cc
@@ -25,12 +25,12 @@
 
 // Retry delay for failures without a computed one. It is spread by up to half
 // to either side so that callers do not retry simultaneously.
-constexpr duration kComeBackAfter = Seconds(1);
+constexpr duration kRetryDelay = Seconds(1);
 
 // The first token's timeout is this multiple of the first-token target: an
 // engine that is this late has stopped responding and is not merely slow.
-constexpr int kSilentAfterTargets = 8;
-constexpr duration kLeastFirstByteLimit = Seconds(2);
+constexpr int kFirstByteTargetMultiple = 8;
+constexpr duration kMinFirstByteTimeout = Seconds(2);
 
 // Name under which peer pressure is recorded: gossip provides only the highest
 // pressure of all peers for each pool, not which peer reported it.
@@ -70,8 +70,8 @@
       return;
     }
     intake_verdict read = ReadIntake(aExchange->Request(), *mCatalog);
-    if (const auto* wrong = std::get_if<error_kind>(&read)) {
-      RefuseEarly(*aExchange, *wrong);
+    if (const auto* error = std::get_if<error_kind>(&read)) {
+      RefuseEarly(*aExchange, *error);
       return;
     }
     Admit(std::move(aExchange), std::get<intake>(std::move(read)));
@@ -104,11 +104,12 @@
       return;
     }
     live_request& live = *found->second;
-    const key_stage before = std::exchange(live.mKeyStage, key_stage::kHeld);
-    if (before == key_stage::kClaiming) {
+    const key_stage previousStage =
+      std::exchange(live.mKeyStage, key_stage::kHeld);
+    if (previousStage == key_stage::kClaiming) {
       Apply(mScheduler.Submit(ItemFor(live), Now()));
-    } else if (before == key_stage::kConfirming) {
-      FeedTicket(aTicket, attempt_granted{ live.mConfirmedFor });
+    } else if (previousStage == key_stage::kConfirming) {
+      DispatchEvent(aTicket, attempt_granted{ live.mConfirmingEndpoint });
     }
   }
 
@@ -122,7 +123,7 @@
       Apply(
         mScheduler.OnAttemptEnded(aTicket, attempt_end::kCancelled, 0, Now()));
     }
-    FeedTicket(aTicket, schedule_refused{ aKind, duration{} });
+    DispatchEvent(aTicket, schedule_refused{ aKind, duration{} });
   }
 
   std::vector<endpoint_status> Endpoints() const
@@ -171,7 +172,7 @@
       // Already counted and logged when the request itself ends.
       return ErrorReply(aKind, duration{}, request_id());
     }
-    return Refusal(aKind, SpreadDelay(), NewId());
+    return Refusal(aKind, JitteredRetryDelay(), NewId());
   }
 
 private:
@@ -189,7 +190,8 @@
       mIo, number, std::move(facts), std::move(aIntake), std::move(aExchange)));
     mLive.emplace(number, live);
     mMetrics.OnRequest(live->mIntake.mClass);
-    live->mExchange->OnLeft([this, number] { Later(number, caller_left{}); });
+    live->mExchange->OnLeft(
+      [this, number] { PostEvent(number, caller_left{}); });
     if (live->mIntake.mIdempotencyKey.empty()) {
       Apply(mScheduler.Submit(ItemFor(*live), Now()));
     } else {
@@ -201,8 +203,8 @@
   {
     const intake& read = aLive.mIntake;
     if (mKeys == nullptr) {
-      FeedTicket(aLive.mTicket,
-                 schedule_refused{ error_kind::kKeyWitnessUnreachable, {} });
+      DispatchEvent(aLive.mTicket,
+                    schedule_refused{ error_kind::kKeyWitnessUnreachable, {} });
       return;
     }
     aLive.mKeyStage = key_stage::kClaiming;
@@ -218,8 +220,8 @@
     limits.mBetweenTokens = mSettings.mTimeouts.mBetweenTokens;
     limits.mFirstByte =
       std::min(mSettings.mTimeouts.mFirstByte,
-               std::max(kLeastFirstByteLimit,
-                        kSilentAfterTargets * aIntake.mFirstTokenTarget));
+               std::max(kMinFirstByteTimeout,
+                        kFirstByteTargetMultiple * aIntake.mFirstTokenTarget));
     return limits;
   }
 
@@ -252,10 +254,10 @@
       return;
     }
     aStep();
-    while (!mPending.empty()) {
-      const decision next = std::move(mPending.front());
-      mPending.pop_front();
-      std::visit([this](const auto& aOne) { this->Carry(aOne); }, next);
+    while (!mPendingDecisions.empty()) {
+      const decision next = std::move(mPendingDecisions.front());
+      mPendingDecisions.pop_front();
+      std::visit([this](const auto& aAction) { this->Execute(aAction); }, next);
     }
     mRunning = false;
     ArmSchedulerTimer();
@@ -263,41 +265,43 @@
 
   void Apply(decisions aDecisions)
   {
-    Run([&] { std::ranges::move(aDecisions, std::back_inserter(mPending)); });
+    Run([&] {
+      std::ranges::move(aDecisions, std::back_inserter(mPendingDecisions));
+    });
   }
 
-  void Carry(const start& aStart)
+  void Execute(const start& aStart)
   {
     const auto found = mLive.find(aStart.mTicket);
     if (found == mLive.end()) {
       return;
     }
     live_request& live = *found->second;
-    live.mOwed = aStart.mUsesMinimumShare;
+    live.mUsesMinimumShare = aStart.mUsesMinimumShare;
     // A claim may have expired while the request waited or this process was
     // paused. Until the request has run, the claim is confirmed before each
     // attempt.
     if (live.mKeyStage != key_stage::kNone && live.mMachine.Ran() == ran::kNo) {
       live.mKeyStage = key_stage::kConfirming;
-      live.mConfirmedFor = aStart.mEndpoint;
+      live.mConfirmingEndpoint = aStart.mEndpoint;
       mKeys->BeforeSend(aStart.mTicket);
       return;
     }
-    FeedTicket(aStart.mTicket, attempt_granted{ aStart.mEndpoint });
+    DispatchEvent(aStart.mTicket, attempt_granted{ aStart.mEndpoint });
   }
 
-  void Carry(const refuse& aRefuse)
+  void Execute(const refuse& aRefuse)
   {
-    FeedTicket(aRefuse.mTicket,
-               schedule_refused{ aRefuse.mKind, aRefuse.mRetryAfter });
+    DispatchEvent(aRefuse.mTicket,
+                  schedule_refused{ aRefuse.mKind, aRefuse.mRetryAfter });
   }
 
-  void FeedTicket(ticket aTicket, const request_event& aEvent)
+  void DispatchEvent(ticket aTicket, const request_event& aEvent)
   {
-    Run([&] { Feed(aTicket, aEvent); });
+    Run([&] { HandleEvent(aTicket, aEvent); });
   }
 
-  void Feed(ticket aTicket, const request_event& aEvent)
+  void HandleEvent(ticket aTicket, const request_event& aEvent)
   {
     const auto found = mLive.find(aTicket);
     if (found == mLive.end()) {
@@ -306,7 +310,7 @@
     const live_request_ptr live = found->second;
     const request_actions actions = live->mMachine.Handle(aEvent, Now());
     for (const request_action& each : actions) {
-      std::visit([&](const auto& aOne) { Carry(*live, aOne); }, each);
+      std::visit([&](const auto& aAction) { Execute(*live, aAction); }, each);
     }
     if (live->mMachine.Ended()) {
       End(*live);
@@ -339,8 +343,8 @@
     aLive->mTimerDue = due;
     aLive->mTimer.expires_at(*due);
     aLive->mTimer.async_wait(
-      [this, number = aLive->mTicket](const error_code& aWrong) {
-        if (!aWrong) {
+      [this, number = aLive->mTicket](const error_code& aError) {
+        if (!aError) {
           OnTimer(number);
         }
       });
@@ -350,7 +354,7 @@
   {
     if (const auto found = mLive.find(aTicket); found != mLive.end()) {
       found->second->mTimerDue.reset();
-      FeedTicket(aTicket, time_passed{});
+      DispatchEvent(aTicket, time_passed{});
     }
   }
 
@@ -366,8 +370,8 @@
       return;
     }
     mSchedulerTimer.expires_at(*due);
-    mSchedulerTimer.async_wait([this](const error_code& aWrong) {
-      if (!aWrong) {
+    mSchedulerTimer.async_wait([this](const error_code& aError) {
+      if (!aError) {
         mSchedulerDue.reset();
         Apply(mScheduler.Advance(Now()));
       }
@@ -376,13 +380,13 @@
 
   // ---- actions of the request state machine
 
-  void Carry(live_request& aLive, const open_attempt& aAction)
+  void Execute(live_request& aLive, const open_attempt& aAction)
   {
     const endpoint* where = mCatalog->EndpointByName(aAction.mEndpoint.Text());
     if (where == nullptr) {
       // The endpoint was removed from the catalog after it was chosen; nothing
       // has been sent.
-      Later(aLive.mTicket, connect_failed{ aAction.mAttempt });
+      PostEvent(aLive.mTicket, connect_failed{ aAction.mAttempt });
       return;
     }
     aLive.mEndpoint = aAction.mEndpoint;
@@ -394,20 +398,21 @@
     call.mPath = aLive.mIntake.mPath;
     call.mContentType = aLive.mIntake.mContentType;
     call.mEngine = aLive.mIntake.mEngine;
-    call.mBody = call.mEngine ? EngineBody(aLive.mIntake,
-                                           aLive.mOwed ? kHighestTier
-                                                       : aLive.mIntake.mTier,
-                                           aAction.mResumeFrom)
-                              : aLive.mIntake.mBody;
+    call.mBody = call.mEngine
+                   ? EngineBody(aLive.mIntake,
+                                aLive.mUsesMinimumShare ? kHighestTier
+                                                        : aLive.mIntake.mTier,
+                                aAction.mResumeFrom)
+                   : aLive.mIntake.mBody;
     aLive.mAttempt =
       StartAttempt(mIo,
                    std::move(call),
                    [this, number = aLive.mTicket](const request_event& aEvent) {
-                     FeedTicket(number, aEvent);
+                     DispatchEvent(number, aEvent);
                    });
   }
 
-  void Carry(live_request& aLive, const close_attempt& /*aAction*/)
+  void Execute(live_request& aLive, const close_attempt& /*aAction*/)
   {
     if (aLive.mAttempt != nullptr) {
       aLive.mAttempt->Close();
@@ -415,12 +420,12 @@
     }
   }
 
-  void Carry(live_request& aLive, const report_first_token& /*aAction*/)
+  void Execute(live_request& aLive, const report_first_token& /*aAction*/)
   {
     mScheduler.OnFirstToken(aLive.mTicket, Now());
   }
 
-  void Carry(live_request& aLive, const report_attempt_ended& aAction)
+  void Execute(live_request& aLive, const report_attempt_ended& aAction)
   {
     if (aAction.mHow == attempt_end::kDeclinedLeaving && mOnLeaving) {
       mOnLeaving(aLive.mEndpoint);
@@ -429,7 +434,7 @@
       aLive.mTicket, aAction.mHow, aAction.mTokens, Now()));
   }
 
-  void Carry(live_request& aLive, const ask_again& aAction)
+  void Execute(live_request& aLive, const ask_again& aAction)
   {
     mMetrics.OnRetry(aAction.mReason);
     mLog.Write(log_level::kWarning,
@@ -440,7 +445,7 @@
     Apply(mScheduler.Resubmit(aLive.mTicket, Now()));
   }
 
-  void Carry(live_request& aLive, const deliver_token& aAction)
+  void Execute(live_request& aLive, const deliver_token& aAction)
   {
     const time_point now = Now();
     const class_name& name = aLive.mIntake.mClass;
@@ -459,7 +464,7 @@
       TokenEvent(aLive.mId, ModelOf(aLive), aAction.mIndex, aAction.mText) });
   }
 
-  void Carry(live_request& aLive, const deliver_end& aAction)
+  void Execute(live_request& aLive, const deliver_end& aAction)
   {
     const std::uint64_t tokens = aLive.mMachine.DeliveredTokens();
     mMetrics.OnCompleted(aLive.mIntake.mClass, tokens);
@@ -478,7 +483,7 @@
     aLive.mExchange->Send(stream_end{});
   }
 
-  void Carry(live_request& aLive, const deliver_answer& aAction)
+  void Execute(live_request& aLive, const deliver_answer& aAction)
   {
     mMetrics.OnCompleted(aLive.mIntake.mClass, 0);
     aLive.mExchange->Send(whole_reply{ aAction.mHttpStatus,
@@ -487,18 +492,19 @@
                                        aAction.mBody });
   }
 
-  void Carry(live_request& aLive, const deliver_error& aAction)
+  void Execute(live_request& aLive, const deliver_error& aAction)
   {
     mMetrics.OnWastedTokens(aLive.mMachine.DeliveredTokens());
-    const duration comeBack =
-      aAction.mRetryAfter > duration{} ? aAction.mRetryAfter : SpreadDelay();
-    const whole_reply reply = Refusal(aAction.mKind, comeBack, aLive.mId);
+    const duration retryDelay = aAction.mRetryAfter > duration{}
+                                  ? aAction.mRetryAfter
+                                  : JitteredRetryDelay();
+    const whole_reply reply = Refusal(aAction.mKind, retryDelay, aLive.mId);
     if (!aLive.mHeadSent) {
       aLive.mExchange->Send(reply);
       return;
     }
     aLive.mExchange->Send(
-      stream_text{ ErrorEvent(aAction.mKind, comeBack, aLive.mId) });
+      stream_text{ ErrorEvent(aAction.mKind, retryDelay, aLive.mId) });
     aLive.mExchange->Send(stream_end{});
   }
 
@@ -516,16 +522,16 @@
   }
 
   // Posts an event, to be handled after the current one.
-  void Later(ticket aTicket, request_event aEvent)
+  void PostEvent(ticket aTicket, request_event aEvent)
   {
     boost::asio::post(mIo, [this, aTicket, event = std::move(aEvent)] {
-      FeedTicket(aTicket, event);
+      DispatchEvent(aTicket, event);
     });
   }
 
   void RefuseEarly(caller_exchange& aExchange, error_kind aKind)
   {
-    aExchange.Send(Refusal(aKind, SpreadDelay(), NewId()));
+    aExchange.Send(Refusal(aKind, JitteredRetryDelay(), NewId()));
   }
 
   whole_reply Refusal(error_kind aKind,
@@ -541,12 +547,12 @@
     return ErrorReply(aKind, aRetryAfter, aId);
   }
 
-  request_id NewId() { return request_id(to_string(mMakeId())); }
+  request_id NewId() { return request_id(to_string(mIdGenerator())); }
 
-  duration SpreadDelay()
+  duration JitteredRetryDelay()
   {
     std::uniform_real_distribution<double> factor(0.5, 1.5);
-    return FromSeconds(ToSeconds(kComeBackAfter) * factor(mRandom));
+    return FromSeconds(ToSeconds(kRetryDelay) * factor(mRandom));
   }
 
   boost::asio::io_context& mIo;
@@ -554,7 +560,7 @@
   json_log& mLog;
   metrics& mMetrics;
   std::mt19937_64 mRandom;
-  boost::uuids::random_generator mMakeId;
+  boost::uuids::random_generator mIdGenerator;
   scheduler mScheduler;
   boost::asio::steady_timer mSchedulerTimer;
   std::optional<time_point> mSchedulerDue;
@@ -563,7 +569,7 @@
   catalog_ptr mCatalog;
   std::unordered_map<ticket, live_request_ptr> mLive;
   ticket mLastTicket = 0;
-  std::deque<decision> mPending;
+  std::deque<decision> mPendingDecisions;
   bool mRunning = false;
   bool mDraining = false;
 };
--- a/thornhollow/daemon/thornhollowd_main.cc
+++ b/thornhollow/daemon/thornhollowd_main.cc
@@ -43,7 +43,7 @@
 constexpr int kExitSettingsRefused = 1;
 constexpr int kExitUsage = 2;
 constexpr int kExitCannotListen = 3;
-constexpr int kExitCutShort = 4;
+constexpr int kExitForced = 4;
 
 constexpr const char* kUsage =
   "thornhollowd: routes callers' requests to model engines and services.\n"
@@ -100,16 +100,16 @@
   }
   settings_verdict verdict =
     ReadSettings({ FLAGS_settings, *text }, OverridesFromFlags());
-  if (const auto* wrong = std::get_if<faults>(&verdict)) {
-    Print(*wrong);
+  if (const auto* error = std::get_if<faults>(&verdict)) {
+    Print(*error);
     return std::nullopt;
   }
   auto settings = std::get<daemon_settings>(std::move(verdict));
   if (settings.mPeerKey.empty() && !settings.mPeerKeyFile.empty()) {
     const auto keyText = ReadFile(settings.mPeerKeyFile);
     auto key = ReadPeerKey({ settings.mPeerKeyFile, keyText.value_or("") });
-    if (const auto* wrong = std::get_if<fault>(&key)) {
-      Print({ *wrong });
+    if (const auto* error = std::get_if<fault>(&key)) {
+      Print({ *error });
       return std::nullopt;
     }
     settings.mPeerKey = std::get<std::string>(std::move(key));
@@ -125,25 +125,25 @@
 {
   int exitCode = kExitStopped;
   boost::asio::signal_set signals(aIo, SIGTERM, SIGINT);
-  signals.async_wait([&](const boost::system::error_code& aWrong, int) {
-    if (aWrong) {
+  signals.async_wait([&](const boost::system::error_code& aError, int) {
+    if (aError) {
       return;
     }
     aInstance.BeginStop();
-    signals.async_wait([&](const boost::system::error_code& aAgain, int) {
-      if (!aAgain) {
-        exitCode = kExitCutShort;
+    signals.async_wait([&](const boost::system::error_code& aSecondError, int) {
+      if (!aSecondError) {
+        exitCode = kExitForced;
         aIo.stop();
       }
     });
   });
   return boost::leaf::try_handle_all(
     [&]() -> result<int> {
-      BOOST_LEAF_AUTO(where, aInstance.Start());
+      BOOST_LEAF_AUTO(addresses, aInstance.Start());
       fmt::print(R"({{"listening":"{}","operators":"{}"}})"
                  "\n",
-                 where.mCaller,
-                 where.mOperator);
+                 addresses.mCaller,
+                 addresses.mOperator);
       std::fflush(stdout);
       aIo.run();
       return exitCode;
@@ -185,8 +185,8 @@
     return std::nullopt;
   }
   auto verdict = ReadRelaySettings({ aPath, *text });
-  if (const auto* wrong = std::get_if<faults>(&verdict)) {
-    Print(*wrong);
+  if (const auto* error = std::get_if<faults>(&verdict)) {
+    Print(*error);
     return std::nullopt;
   }
   return std::get<relay_settings>(std::move(verdict));
@@ -200,8 +200,8 @@
                       json_log& aLog)
 {
   aSignals.async_wait(
-    [&aSignals, aPath, &aLog](const boost::system::error_code& aWrong, int) {
-      if (aWrong) {
+    [&aSignals, aPath, &aLog](const boost::system::error_code& aError, int) {
+      if (aError) {
         return;
       }
       const bool accepted = LoadRelaySettings(aPath).has_value();
