--- a/thornhollow/daemon/intake.cc
+++ b/thornhollow/daemon/intake.cc
@@ -17,12 +17,13 @@
 namespace {
 
 constexpr std::string_view kBearer = "Bearer ";
-// Leading bytes of a prompt that stand for its shareable prefix. Prompts of one
-// workload share a system text far longer than this.
+// Number of leading prompt bytes hashed to identify a shared prefix. Prompts of
+// one workload share a system prompt far longer than this.
 constexpr std::size_t kPrefixBytes = 256;
-// A key of any length would let a caller fill the witnesses' memory.
+// Without a limit, a caller could exhaust the witnesses' memory with long keys.
 constexpr std::size_t kMaxKeyBytes = 128;
-// Usual length of a token in text; only relative cost depends on it.
+// Typical token length, used to estimate prompt tokens. Only relative costs
+// depend on it.
 constexpr std::size_t kBytesPerToken = 4;
 
 const team*
@@ -36,8 +37,8 @@
   return aCatalog.TeamByTokenDigest(TokenDigest(credential));
 }
 
-// The class's deadline, shortened where the caller asks for it; nothing when
-// the header is no positive number.
+// Returns the class's deadline, shortened if the caller requests it, or nullopt
+// if the header is not a positive integer.
 std::optional<duration>
 ReadDeadline(const caller_request& aRequest, duration aDeclared)
 {
@@ -47,16 +48,16 @@
   }
   std::int64_t milliseconds = 0;
   const char* last = text.data() + text.size();
-  const auto [end, wrong] = std::from_chars(text.data(), last, milliseconds);
-  if (wrong != std::errc() || end != last || milliseconds <= 0 ||
+  const auto [end, error] = std::from_chars(text.data(), last, milliseconds);
+  if (error != std::errc() || end != last || milliseconds <= 0 ||
       milliseconds > ToMilliseconds(aDeclared)) {
-    const bool longer = wrong == std::errc() && end == last && milliseconds > 0;
+    const bool longer = error == std::errc() && end == last && milliseconds > 0;
     return longer ? std::optional(aDeclared) : std::nullopt;
   }
   return Milliseconds(milliseconds);
 }
 
-// The prompt's text, of all messages in a row.
+// Returns the concatenated text of all messages.
 std::string
 PromptText(const boost::json::object& aBody)
 {
@@ -88,21 +89,22 @@
   if (found == nullptr) {
     return 0;
   }
-  boost::system::error_code wrong;
-  const auto number = found->to_number<std::uint32_t>(wrong);
-  return wrong ? 0 : number;
+  boost::system::error_code error;
+  const auto number = found->to_number<std::uint32_t>(error);
+  return error ? 0 : number;
 }
 
-// Fills in what only a completion has; nothing when all is well.
+// Fills in the fields specific to a completion. Returns the error, or nullopt
+// on success.
 std::optional<error_kind>
 ReadCompletion(const caller_request& aRequest,
                const request_class& aClass,
                intake& aInto)
 {
-  boost::system::error_code wrong;
-  boost::json::value parsed = boost::json::parse(aRequest.mBody, wrong);
+  boost::system::error_code error;
+  boost::json::value parsed = boost::json::parse(aRequest.mBody, error);
   boost::json::object* body = parsed.if_object();
-  if (wrong || body == nullptr) {
+  if (error || body == nullptr) {
     return error_kind::kMalformedRequest;
   }
   const boost::json::value* messages = body->if_contains("messages");
@@ -124,7 +126,7 @@
   aInto.mPromptTokens =
     static_cast<std::uint32_t>(prompt.size() / kBytesPerToken) + 1;
   aInto.mMaxOutputTokens = PositiveField(*body, "max_tokens");
-  // A caller can't claim a priority or an offset; the router sets both.
+  // Callers must not set priority or resume offset; the router sets both.
   for (const char* name : { "stream", "priority", "resume_from" }) {
     body->erase(name);
   }
@@ -167,8 +169,8 @@
   if (terms.mClass == nullptr) {
     return error_kind::kClassNotAllowed;
   }
-  if (const auto wrong = ApplyTerms(aRequest, terms, aInto)) {
-    return *wrong;
+  if (const auto error = ApplyTerms(aRequest, terms, aInto)) {
+    return *error;
   }
   aInto.mIdempotent = aInto.mIdempotent && aService.mIdempotent;
   aInto.mPool = PoolOf(aService.mName);
@@ -212,11 +214,11 @@
   if (terms.mClass == nullptr) {
     return error_kind::kClassNotAllowed;
   }
-  if (const auto wrong = ApplyTerms(aRequest, terms, read)) {
-    return *wrong;
+  if (const auto error = ApplyTerms(aRequest, terms, read)) {
+    return *error;
   }
-  if (const auto wrong = ReadCompletion(aRequest, *terms.mClass, read)) {
-    return *wrong;
+  if (const auto error = ReadCompletion(aRequest, *terms.mClass, read)) {
+    return *error;
   }
   return read;
 }
