--- a/thornhollow/policy/relay_admission.cc
+++ b/thornhollow/policy/relay_admission.cc
@@ -64,7 +64,8 @@
     ToSeconds(observed) < maxWait * mSettings.mMinObservedFraction;
   const bool soon = aRequest.mIsRetry || ToSeconds(wait) <= maxWait;
   const bool fits = calm || (meetsDeadline && soon);
-  // A route without a target makes no promise that a queue could break.
+  // A request without a target time has no maximum wait that a queue could
+  // exceed.
   const bool promised = aRequest.mTarget > duration::zero();
   if (!mSettings.mAdmit || !promised ||
       (fits && !ExceedsCapacity(aRequest, aRandom, aNow))) {
@@ -83,8 +84,9 @@
   };
 }
 
-// The limit is stricter for a team above its fair share, whose burst alone
-// could occupy all slots.
+// The mean wait up to which a tier counts as served soon is lower for a team
+// above its fair share, because a burst of that team alone could occupy all
+// slots.
 bool
 relay_admission::OvertakesQueue(const admission_request& aRequest,
                                 time_point aNow) const
--- a/thornhollow/policy/relay_admission.h
+++ b/thornhollow/policy/relay_admission.h
@@ -1,5 +1,5 @@
-// Admission control for prompts that may be queued for a short time, based on
-// the waits of prompts admitted before.
+// Admission control for prompts that may wait at engines for a short time. It
+// decides by the waits of prompts that were admitted earlier.
 //
 //   relay_admission admission(relay_admission_settings{});
 //   if (const auto refusal = admission.Decide(request, random, now)) {
@@ -9,39 +9,43 @@
 //   admission.OnStarted(prompt, wait, now);   // or OnAborted(prompt)
 //
 // Load pattern: for ten seconds, twice as many long prompts arrive as engines
-// can prefill. Engines that accept them all serve them in order: after a few
-// seconds every response starts late, and a third of the callers leave before
-// theirs starts, when most of the work for it is done. Admission therefore
-// accepts only as many prompts as can start in time and tells the other callers
-// at once when to retry. In such half minutes with ninety engines of 16 slots
-// each, responses reached 0.37 of their maximum value to callers instead of
-// 0.26, and 0.31 instead of 0.18 in a second one (real processes, one run
-// each).
+// can prefill. Engines that accept them all serve them in order of arrival:
+// after a few seconds every response starts late, and a third of the callers
+// disconnect before their response starts, when most of its prefill is done.
+// Admission therefore accepts only as many prompts as can start in time and
+// tells the other callers at once when to retry. In a run of half a minute with
+// such an overload, with ninety engines of 16 slots each, responses reached
+// 0.37 of their maximum value to callers with admission and 0.26 without; in a
+// second run, 0.31 and 0.18. Both were measured with real processes, one run
+// each.
 //
-// The wait is the one that placement expects for the best engine, from what
-// this and other instances have sent there. It is used only while responses
-// were observed to start late, because data about the prompts of other
-// instances is stale. Retries of refused requests are admitted as long as they
-// can be served before their deadline, except in a clear overload.
+// The wait of a new request is predicted by placement for the engine that it
+// chose, from the prompts that this and other instances have sent there. The
+// prediction is used only while responses are observed to start late, because
+// data about the prompts of other instances is stale. Retries of refused
+// requests are admitted as long as they can be served before their deadline;
+// while the demand exceeds `mOverloadThreshold`, only a part of them is.
 //
-// Data about the prompts of other instances is too stale when ninety instances
-// send thousands of prompts per second: each saw free engines, and of 2,000
-// prompts per second 30 started in time, where engines could prefill 460 to
-// 1,450. Therefore, once the demand summed over all instances exceeds
-// `mOverloadThreshold` times the prefill capacity, only the fraction of it that
-// fits the capacity is admitted.
+// With ninety instances that send thousands of prompts per second in total,
+// predictions from stale data fail: every instance saw free engines, and of
+// 2,000 prompts per second only 30 started in time, although engines could
+// prefill 460 to 1,450 per second. Therefore, once the demand summed over all
+// instances exceeds `mOverloadThreshold` times the prefill capacity, each
+// instance admits at random only the fraction of its requests that fits the
+// capacity.
 //
-// Tiers: while there is demand in a lower tier, a tier whose own responses
-// start soon is admitted regardless of the wait in lower tiers, since engines
-// serve it first. Otherwise it would be refused because of a queue that it
-// overtakes.
+// Tiers: while lower tiers have demand, requests of a tier whose own responses
+// start soon are admitted however long lower tiers wait, since engines serve
+// the higher tier first. Without this rule they would be refused because of
+// queued requests that engines serve after them.
 //
-// Teams: a team that exceeds its fair share is refused at half of the maximum
-// wait, one below its share at a quarter more than it. A team that sends many
-// times its usual load thus queues behind itself. Shares are counted in
-// requests rather than tokens: with tokens, any team that sent a prompt from
-// the largest tenth counted as exceeding its share, and the value of those
-// prompts was 0.25 instead of 0.34.
+// Teams: for a team that exceeds its fair share of the requests, the maximum
+// wait is halved; for a team below its share it is a quarter longer. A team
+// that sends many times its usual load is thus refused before it delays the
+// others. Shares are counted in requests rather than tokens: with tokens, any
+// team that sent one of the largest tenth of prompts counted as exceeding its
+// share, and the responses to those prompts reached 0.25 of their maximum value
+// instead of 0.34.
 #ifndef THORNHOLLOW_POLICY_RELAY_ADMISSION_H_
 #define THORNHOLLOW_POLICY_RELAY_ADMISSION_H_
 
@@ -64,28 +68,31 @@
 {
   // False: all requests are admitted.
   bool mAdmit = true;
-  // Nothing is refused while the mean observed wait is below this fraction of
-  // the maximum wait. The queue of one instance consists of a few prompts of
-  // very different lengths and is too noisy a signal on its own.
+  // While the mean observed wait is below this fraction of the maximum wait,
+  // requests are not refused for their predicted wait. The few prompts that one
+  // instance has waiting differ too much in length for the prediction alone to
+  // be reliable.
   double mMinObservedFraction = 0.4;
-  // Minimum fraction of their time that engines spend on prefill: a full batch
-  // of streams takes the other half.
+  // Lower bound for the fraction of an engine's time that is spent on prefill:
+  // the decoding steps of a full batch of streams take the other half.
   double mMinPrefillFraction = 0.5;
-  // Ratio of demand to capacity from which only the fraction that fits the
-  // capacity is admitted. The estimates of demand and capacity are each
-  // accurate to about a fifth.
+  // Ratio of demand to prefill capacity from which only the fraction that fits
+  // the capacity is admitted. It is well above 1 because the estimates of
+  // demand and capacity may each be off by about 20%.
   double mOverloadThreshold = 1.5;
-  // Factor on the admission probability of retries in that case.
+  // Factor on the probability that a retry is admitted while
+  // `mOverloadThreshold` is exceeded.
   double mRetryFactor = 1.5;
-  // Factors on the maximum wait for teams above and below their fair share, far
-  // enough apart that the queue of one team does not reach the limit of others.
+  // Factors on the maximum wait for teams above and below their fair share.
+  // They are far enough apart that the queue caused by one team does not reach
+  // the maximum wait of the others.
   double mAboveShareFactor = 0.5;
   double mBelowShareFactor = 1.25;
-  // Multiple of the fair share above which a team counts as exceeding it: two
-  // requests where others have one are within chance.
+  // Multiple of the fair share above which a team counts as exceeding it. A
+  // team often sends twice as many requests as others by chance.
   double mAboveShareThreshold = 2;
-  // From the prefill time of a few prompts to a third of the 15 s for which
-  // callers wait.
+  // Retry delays range from 0.5 s, the prefill time of a few prompts, to 5 s, a
+  // third of the 15 s for which callers wait.
   retry_schedule_settings mRetrySchedule = { .mMinDelay = Milliseconds(500),
                                              .mMaxDelay = Seconds(5) };
 
@@ -108,7 +115,7 @@
   duration mExpectedWait{};
   // The caller has been refused before.
   bool mIsRetry = false;
-  // Ratio of the demand over all instances to the prefill capacity.
+  // Ratio of the demand, summed over all instances, to the prefill capacity.
   double mOverload = 0;
 
   friend bool operator==(const admission_request&,
@@ -130,7 +137,7 @@
   error_kind mKind = error_kind::kQueueFull;
   duration mRetryAfter{};
   // Inputs of the decision: the predicted wait, the mean wait of responses that
-  // started lately, and the maximum wait allowed for this team.
+  // started recently, and the maximum wait allowed for this team.
   duration mWait{};
   duration mObservedWait{};
   duration mMaxWait{};
@@ -144,8 +151,9 @@
 public:
   explicit relay_admission(const relay_admission_settings& aSettings);
 
-  // This instance's fraction of the prefill capacity of the engines for this
-  // work, in prompt tokens per second at full speed.
+  // Sets this instance's part of the engines' prefill capacity for the requests
+  // passed to `Decide`, in prompt tokens per second when engines do nothing but
+  // prefill.
   void SetCapacity(double aTokensPerSecond);
 
   // Returns nothing if the request is admitted, and the reason otherwise. The
@@ -162,16 +170,18 @@
   // The request ended before its response started.
   void OnAborted(const admitted_prompt& aPrompt);
 
-  // Mean wait of responses that started lately; zero once no prompt is waiting.
+  // Mean wait of responses that started recently; zero once no admitted prompt
+  // waits for its response.
   duration ObservedWait(time_point aNow) const;
 
 private:
   double PrefillTokensPerSecond(time_point aNow) const;
-  // Whether engines serve the request before the queued ones of lower tiers.
+  // Whether the request's tier is served soon although requests of lower tiers
+  // are queued, because engines serve it first.
   bool OvertakesQueue(const admission_request& aRequest, time_point aNow) const;
   void ReduceUnstarted(std::uint32_t aTokens);
-  // Whether the request falls, by chance, into the fraction of an overload that
-  // exceeds the prefill capacity.
+  // Whether the request is refused, at random, as part of the demand that
+  // exceeds the prefill capacity in an overload.
   bool ExceedsCapacity(const admission_request& aRequest,
                        std::mt19937_64& aRandom,
                        time_point aNow) const;
@@ -183,11 +193,12 @@
   double mCapacity = 0;
   std::uint64_t mUnstartedTokens = 0;
   decaying_rate mStartedTokens;
-  // Responses that started, and their waits in seconds.
+  // Rates of the responses that started and of their summed waits in seconds.
   decaying_rate mAnswers;
   decaying_rate mWaits;
   tier_waits mTiers;
-  // Requests received, admitted or not; by team for recently active teams.
+  // Rate of requests received, whether admitted or not: over all teams, and for
+  // each recently active team.
   decaying_rate mRequests;
   std::map<team_name, decaying_rate> mRequestsByTeam;
   time_point mNextEviction{};
--- a/thornhollow/policy/relay_admission_test.cc
+++ b/thornhollow/policy/relay_admission_test.cc
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr std::uint32_t kPrompt = 8'000;
-// Prompt tokens per second that engines prefill for this instance.
+// Prompt tokens per second that all engines together prefill for this instance.
 constexpr double kRate = 40'000;
 
 // Engines that prefill one prompt after another, in virtual time.
@@ -88,8 +88,8 @@
 
 // Guards against admitting all prompts when twice as many arrive as engines can
 // prefill: after four seconds every response started later than promised, and
-// work was done for callers that had left. Without admission 19 of 100 started
-// in time.
+// engines prefilled prompts whose callers had disconnected. Without admission
+// control, 19 of 100 responses started in time.
 TEST_CASE_FIXTURE(fifo_engines,
                   "relay_admission/twice_the_capacity/most_taken_begin_in_time")
 {
@@ -107,9 +107,9 @@
   CHECK(mRefused == 0);
 }
 
-// Guards against counting shares in tokens: each occasional large prompt put
-// its team above its fair share, and was refused where small ones were
-// admitted.
+// Guards against counting a team's share in tokens: each occasional large
+// prompt put its team above its fair share and was refused, while small prompts
+// were admitted.
 TEST_CASE_FIXTURE(fifo_engines,
                   "relay_admission/large_prompts/are_taken_as_often_as_small")
 {
@@ -134,9 +134,9 @@
   CHECK(largeTaken * small * 10 >= smallTaken * large * 8);
 }
 
-// Guards against refusals by idle engines: three prompts arrived within a tick
-// after an idle minute, and one was refused because the recent rate was close
-// to zero.
+// Guards against refusing requests while engines are idle: three prompts
+// arrived within a tick after an idle minute, and one was refused because the
+// recent prefill rate was close to zero.
 TEST_CASE_FIXTURE(fifo_engines, "relay_admission/burst_after_silence/is_taken")
 {
   Load(1, Seconds(3));
@@ -148,7 +148,7 @@
 }
 
 // Guards against remembering the queue of an overload for too long: capacity
-// had recovered, but callers were still refused by idle engines.
+// had recovered and engines were idle, but callers were still refused.
 TEST_CASE_FIXTURE(fifo_engines,
                   "relay_admission/overload_ends/all_are_taken_soon")
 {
@@ -159,9 +159,9 @@
   CHECK(mRefused == 0);
 }
 
-// Guards against a stale mean wait: it is the ratio of two rates that decay
-// alike, so a minute after an overload it was still seconds, and idle engines
-// refused the next burst.
+// Guards against a stale mean wait. The mean is the ratio of two rates that
+// decay alike, so it was still several seconds a minute after an overload, and
+// the next burst was refused although engines were idle.
 TEST_CASE_FIXTURE(fifo_engines,
                   "relay_admission/overload_long_over/nothing_is_remembered")
 {
@@ -252,9 +252,9 @@
 }
 
 // Guards against overload caused by stale data: ninety instances each saw free
-// engines, as data about the prompts of others was seconds old, and admitted
-// four times the prefill capacity. Of 2,000 prompts per second 30 started in
-// time.
+// engines, as their data about the prompts of the others was seconds old, and
+// together admitted four times the prefill capacity. Of 2,000 prompts per
+// second, 30 started in time.
 TEST_CASE_FIXTURE(fifo_engines,
                   "relay_admission/clear_overload/only_what_fits_is_taken")
 {
@@ -295,8 +295,9 @@
   }
 }
 
-// Guards against refusing a caller again that retries after the given delay
-// while the overload lasts, which would waste the half second that it waited.
+// Guards against refusing a caller for a second time when it retries after the
+// given delay while the overload lasts: the half second that it waited would be
+// wasted.
 TEST_CASE_FIXTURE(fifo_engines,
                   "relay_admission/comes_back/is_taken_while_it_can_be_served")
 {
@@ -389,8 +390,8 @@
   }
 };
 
-// Guards against refusing the first tier because of a queue of the second,
-// which it overtakes at the engines: the higher tier was shed before the lower
+// Guards against refusing the first tier because of queued requests of the
+// second, which engines serve later: the higher tier was shed before the lower
 // one.
 TEST_CASE_FIXTURE(two_tier_engines,
                   "relay_admission/twice_the_capacity/lower_tier_is_shed_first")
@@ -401,8 +402,9 @@
   CHECK(mCounts[1].mRefused >= 20);
 }
 
-// Guards against admitting the whole first tier when engines ignore tiers: it
-// then waits as well, and its responses start late.
+// Guards against admitting all requests of the first tier when engines ignore
+// tiers: the first tier then waits like the second, and its responses start
+// late.
 TEST_CASE_FIXTURE(two_tier_engines,
                   "relay_admission/tiers_not_heeded/first_is_refused_as_well")
 {
--- a/thornhollow/policy/relay_pool.cc
+++ b/thornhollow/policy/relay_pool.cc
@@ -12,9 +12,9 @@
 namespace thornhollow {
 namespace {
 
-// Plain services regularly answer some requests with errors of their own (14 in
-// 100 for the users' inventory), so they are ejected only after more failures
-// than engines, which answer without failures while they are healthy.
+// Plain services answer some requests with errors even while they are healthy
+// (14% at one inventory service). They are therefore ejected only after more
+// failures than engines, which do not fail while they are healthy.
 endpoint_health_settings
 HealthSettings(bool aEngines)
 {
@@ -26,17 +26,19 @@
   return settings;
 }
 
-// Number of engines whose rank in a session's order affects the penalty: with
-// the default steps, the full penalty applies from the third on.
+// Number of engines at the front of a session's order whose rank determines the
+// penalty. With the default settings, the third and all later engines are
+// charged the full penalty.
 constexpr std::size_t kPreferredRanks = 4;
 
-// Cost of prefilling `aUncached` tokens after `aCached` cached ones, in units
-// of tokens prefilled without context: an overhead for the step of each chunk,
-// plus attention to all preceding tokens. The two constants are those of two
-// makes of engine, and each adds about an eighth to the cost of usual prompts.
-// Without them, the value of responses on days with faults at a site with other
-// engines was 0.759 instead of 0.770, because differences in prompt length were
-// taken for differences in engine speed.
+// Cost of prefilling `aUncached` tokens that follow `aCached` cached ones. The
+// unit is the cost of one token without overhead and attention. Added are an
+// overhead for each chunk of tokens and the attention to all preceding tokens.
+// Their two constants were taken from two makes of engine, and each adds about
+// an eighth to the cost of usual prompts. Without them, the value of responses
+// on days with faults was 0.759 instead of 0.770 at a site with different
+// engines, because differences in prompt length were taken for differences in
+// engine speed.
 double
 PrefillCost(double aUncached, double aCached)
 {
@@ -47,12 +49,12 @@
 }
 
 // Nothing is refused while the demand is below this fraction of the prefill
-// capacity: a queue below it is a short cluster of arrivals, which is gone
-// before a refused caller would retry.
+// capacity and slots are free. A queue at such low demand comes from a short
+// cluster of arrivals and is served before a refused caller would retry.
 constexpr double kSaturationThreshold = 0.85;
 
-// Maximum ratio between the speed of an engine and the mean of its pool. Larger
-// measured ratios stem from small samples.
+// Maximum ratio assumed between the speed of an engine and the mean of its
+// pool. Larger measured ratios result from small samples.
 constexpr double kMaxSpeedRatio = 2.5;
 
 } // namespace
@@ -128,8 +130,9 @@
   if (!pick->mBulk || !saturated) {
     return pick;
   }
-  // While slots are short, retries get no preference: most of them have missed
-  // their target already, and others would miss theirs, too.
+  // While requests wait for slots, retries get no preference: most of them have
+  // already missed their target, and serving them first would make other
+  // requests miss theirs.
   const auto refused = mAdmission.Decide(
     { .mTeam = aRequest.mTeam,
       .mTier = aRequest.mTier,
@@ -192,8 +195,8 @@
     }
     (TakesNewWork(each, aNow) ? healthy : unhealthy).push_back(&each);
   }
-  // If no healthy endpoint is left, an unhealthy one is worth the attempt,
-  // since refusing the request is certain to fail.
+  // If no healthy endpoint is left, unhealthy ones are tried: an attempt there
+  // may succeed, while a refusal is certain to fail the request.
   if (healthy.empty()) {
     return unhealthy;
   }
@@ -248,9 +251,9 @@
     aNow);
 }
 
-// Returns the engines on the request's side of the partition, or all if that
-// leaves none. Bulk work avoids engines that still serve interactive streams as
-// long as the others have capacity for it.
+// Returns the engines on the request's side of the partition, or all engines if
+// that side has none. Bulk work avoids engines that still serve interactive
+// streams as long as the other bulk engines have capacity for it.
 std::vector<relay_pool::record*>
 relay_pool::OnSide(const request_profile& aRequest,
                    const std::vector<record*>& aHealthy,
@@ -359,7 +362,8 @@
 }
 
 // Probability that a session's shared prefix blocks are not cached on an
-// engine.
+// engine. `aSentHere` says whether this instance has sent them there, `aRank`
+// is the engine's position in the session's order.
 double
 relay_pool::MissProbability(bool aSentHere, std::size_t aRank) const
 {
@@ -369,11 +373,11 @@
   return aRank == 0 ? 1 - mPrefixReuse.Probability(mInstances) : 1;
 }
 
-// Cost that an engine's requests in flight add for one more: each delays the
-// events of all others, and once all slots are occupied a request waits until
-// another has ended. Without this cost, a burst of short prompts all goes to
-// the engine on which most of their sessions are cached: its slots fill up
-// while others stay free, and the last requests wait.
+// Cost of the requests that an engine has in flight, in seconds: each delays
+// the events of all others, and once all slots are occupied a new request waits
+// until another has ended. Without this cost, a burst of short prompts would go
+// to the one engine on which most of their sessions are cached. Its slots would
+// fill up and the last requests wait, while slots of other engines stay free.
 double
 relay_pool::OccupancySeconds(const record& aRecord,
                              const request_profile& aRequest) const
@@ -388,8 +392,9 @@
          taken;
 }
 
-// Expected wait of bulk work for a slot, from the requests in flight over all
-// instances: too little is known about single engines.
+// Expected wait of bulk work for a slot, from the requests in flight at all
+// bulk engines over all instances. The data about a single engine is too
+// inaccurate for an expectation per engine.
 duration
 relay_pool::SlotWait() const
 {
@@ -418,8 +423,8 @@
   return previous == &aChosen ? nullptr : previous;
 }
 
-// Returns the engine to which all instances sent the session before engines
-// recently changed sides.
+// Returns the engine that was the preferred one of the session before engines
+// recently changed sides of the partition.
 const relay_pool::record*
 relay_pool::PreviousPreferredEngine(const request_profile& aRequest,
                                     time_point aNow) const
@@ -440,7 +445,7 @@
 }
 
 // A failing engine may not answer the engine that requests a copy, and the
-// request would wait until that engine gives up.
+// request would wait until the requesting engine times out.
 bool
 relay_pool::CanServeCopy(const record& aRecord)
 {
@@ -516,9 +521,10 @@
     found->mPrefillTokens -=
       std::min<std::uint64_t>(found->mPrefillTokens, aPick.mPrefillTokens);
     found->mHealth.OnFirstToken(aWait, aNow);
-    // A prefix that was counted as missing may have been cached already by
-    // another instance's requests. Such a sample would show too short a time
-    // for the tokens counted, so only requests with a cached prefix are used.
+    // A prefix that was estimated as not cached may in fact be cached because
+    // of another instance's requests. The measured time would then be too short
+    // for the estimated number of tokens, so only requests with a cached prefix
+    // are used as samples.
     if (mEngines && aPick.mPrefixCached) {
       const double prefilled =
         PrefillCost(aRequest.mPromptTokens - aRequest.mSharedTokens,
@@ -559,8 +565,8 @@
     found->mPrefillTokens -=
       std::min<std::uint64_t>(found->mPrefillTokens, aPick.mPrefillTokens);
   }
-  // At most half of the pool is ejected for failures; if more endpoints fail,
-  // the cause lies elsewhere.
+  // At most half of the pool's endpoints are ejected for failures. If more
+  // fail, the endpoints themselves are unlikely to be the cause.
   const auto failing = static_cast<std::size_t>(
     std::ranges::count_if(mRecords, [](const auto& aEntry) {
       return aEntry.second.mHealth.State() == health_state::kFailing;
--- a/thornhollow/policy/relay_pool.h
+++ b/thornhollow/policy/relay_pool.h
@@ -6,36 +6,40 @@
 //     pool.OnSent(*pick, request, now);
 //   }
 //
-// Load pattern: engines that prefill at a fixed rate, between the decoding
-// steps of their streams; sessions whose prompts share a prefix that is
-// expensive to prefill again; several instances that send to the same engines
-// and learn about each other's work with a delay.
+// Load pattern: engines prefill at a fixed rate, between the decoding steps of
+// their streams. The prompts of a session share a prefix that is expensive to
+// prefill again. Several instances send to the same engines and learn about
+// each other's requests with a delay.
 //
-// The cost of an engine for a request is the time to its first event: the
-// prompt tokens waiting there, by this instance's count and by what others
-// reported to have sent lately, plus the tokens to prefill for the request
-// itself. The prefix blocks of a prompt are cached on the engine that was sent
-// them before. As all instances rank the engines alike by the hash of the
-// blocks, that is most likely the first engine in this order. Prefilling them
-// on another engine is charged `mMissPenalty` times its duration, since it also
-// takes time from all other requests. That alone would overload the engine of a
-// popular session while others idle, so the penalty is lower for the next
-// engines in the session's order.
+// The cost of an engine for a request is mainly the expected time to the first
+// event: the prefill time of the prompt tokens that already wait at the engine,
+// by this instance's count and by what other instances reported, plus that of
+// the request's own tokens.
+//
+// The prefix blocks of a prompt are cached on the engine to which earlier
+// prompts with the same blocks were sent. All instances rank the engines in the
+// same order by a hash of the blocks, so this is most likely the first engine
+// in the session's order. On another engine, the prefill time of the blocks is
+// multiplied by up to `mMissPenalty`, since prefilling them again also takes
+// time from all other requests. That factor alone would overload the engine of
+// a popular session while others idle, so it is lower for the next engines in
+// the session's order.
 //
 // Engines that run few requests at a time run out of slots before they are busy
-// with prefill. Long prompts are then refused by the expected wait for a slot,
-// derived from the requests in flight over all instances and the time that a
-// response takes. Otherwise they would wait at engines until their callers time
-// out.
+// with prefill. Long prompts are then refused if the expected wait for a slot
+// is too long; otherwise they would wait at engines until their callers time
+// out. The expected wait is derived from the requests in flight over all
+// instances and the mean time for which a request occupies a slot.
 //
 // The side of the partition to which an engine belongs follows from the hash of
 // its name, except that slow engines are assigned to the bulk side first.
 //
-// Endpoints of failure domains that appear unreachable are skipped as long as
-// others are left, see policy/domain_reachability.h.
+// Endpoints in failure domains that are suspected to be unreachable are skipped
+// as long as others are left, see policy/domain_reachability.h.
 //
-// Plain services are chosen by load instead: the endpoint with the fewest
-// requests from this instance, preferring its own failure domain.
+// Endpoints of plain services are chosen by load instead: the one with the
+// fewest requests in flight from this instance, and at equal load one in the
+// instance's own failure domain.
 #ifndef THORNHOLLOW_POLICY_RELAY_POOL_H_
 #define THORNHOLLOW_POLICY_RELAY_POOL_H_
 
@@ -68,44 +72,48 @@
 
 struct relay_pool_settings
 {
-  // Prefill rate of an engine in tokens per second until one is measured: the
-  // middle of the 20,000 to 150,000 of present engines.
+  // Prefill rate of an engine in tokens per second until one is measured: a
+  // middle value of the 20,000 to 150,000 that current engines reach.
   double mPrefillTokensPerSecond = 55'000;
   // Time from a request's arrival at an idle engine to its first event,
   // excluding the prefill.
   duration mFirstEventOverhead = Milliseconds(20);
-  // Factor on the prefill time of prefix blocks that are not cached on an
-  // engine, see above.
+  // Maximum factor on the prefill time of prefix blocks that are not cached on
+  // an engine, see the top of this file.
   double mMissPenalty = 16;
-  // Penalty of the second engine in the session's order, twice as much for the
-  // third, up to `mMissPenalty`. A session that exceeds one engine's capacity
-  // thus spreads over the same few engines on every instance.
+  // Factor for the second engine in the session's order; twice as much for the
+  // third, and so on up to `mMissPenalty`. The requests of a session that
+  // exceeds one engine's capacity are thus spread over the same few engines by
+  // all instances.
   double mMissPenaltyStep = 8;
-  // Cost of an engine whose slots are all occupied, as a fraction of the
-  // request's target.
+  // Cost that is added for an engine whose slots are all occupied, as a
+  // fraction of the request's target time.
   double mOccupancyFraction = 0.1;
-  // Queues for slots are uneven: when the mean engine has a short one, a
-  // request waits this many times as long at the engine to which it is sent.
+  // Factor on the expected wait for a slot. The expectation is a mean over the
+  // engines, but their queues differ in length: when the mean queue is short, a
+  // request may wait this many times as long at the engine to which it is sent.
   double mQueueImbalance = 4;
-  // Minimum tokens of shared prefix blocks that are copied from another engine
-  // on which they are estimated to be cached, if they are not on the chosen
-  // one; 0: never copy. A copy is faster than a prefill and does not delay
-  // streams; shorter blocks are prefilled in a few milliseconds.
+  // Minimum number of tokens in shared prefix blocks for which the chosen
+  // engine, if it does not have the blocks cached, copies them from an engine
+  // that is estimated to have them; 0: never copy. A copy is faster than a
+  // prefill and does not delay streams. Fewer tokens are prefilled in a few
+  // milliseconds.
   std::uint32_t mCopyFromTokens = 256;
-  // Bulk work avoids engines that changed to the bulk side and still serve
-  // interactive streams, while it would keep the other bulk engines busy with
-  // prefill for less than this fraction of the time. A saturated site needs the
-  // capacity.
+  // Bulk work is not placed on engines that changed to the bulk side and still
+  // serve interactive streams, as long as its demand is below this fraction of
+  // the prefill capacity of the other bulk engines. At a higher demand the
+  // capacity of all bulk engines is needed.
   double mAvoidClearingBelow = 0.6;
-  // An engine counts as slow above the first multiple of the pool's minimum
-  // prefill time per token, until it falls to the second: engines differ
-  // by 1.3.
+  // An engine counts as slow from when its prefill time per token exceeds
+  // `mSlowThreshold` times the pool's minimum until it falls below
+  // `mSlowExitThreshold` times the minimum. The prefill times of slow and fast
+  // engines differ by a factor of about 1.3.
   double mSlowThreshold = 1.17;
   double mSlowExitThreshold = 1.10;
-  // Time after an engine's first prefill sample before its speed is used, as
-  // the first few waits include the time of other prompts. Not longer, because
-  // until then slow engines serve interactive streams and exceed the promised
-  // time between events.
+  // Time after an engine's first prefill sample before its measured speed is
+  // used, because the first few samples include the time of other prompts. It
+  // is short because slow engines serve interactive streams until then and
+  // exceed the promised time between events.
   duration mWarmup = Seconds(6);
   engine_partition_settings mPartition;
   engine_sides_settings mSides;
@@ -131,7 +139,8 @@
                          const relay_endpoint&) = default;
 };
 
-// Load that an instance has placed on an endpoint.
+// Load that one instance has placed on an endpoint, or the sum over several
+// instances.
 struct relay_load
 {
   endpoint_name mName;
@@ -162,11 +171,11 @@
   // Whether the endpoints are engines rather than plain services.
   bool ServesEngines() const { return mEngines; }
 
-  // Admits or refuses `aRequest`, whose caller waits for `aTimeLeft` more. To
-  // be called before the first attempt. Returns the endpoint for that attempt,
-  // since choosing a second time would double the work per request. Only bulk
-  // work on engines can be refused; nothing is chosen if no endpoint is
-  // available.
+  // Admits or refuses `aRequest`, whose caller times out after `aTimeLeft`. To
+  // be called before the first attempt. If the request is admitted, returns the
+  // endpoint for that attempt, so that the choice need not be computed again
+  // with `Choose`, or nullopt if no endpoint is available. Only bulk requests
+  // to engines can be refused.
   std::variant<std::optional<relay_pick>, admission_refusal>
   Admit(const request_profile& aRequest, duration aTimeLeft, time_point aNow);
 
@@ -185,7 +194,8 @@
                    const request_profile& aRequest,
                    duration aWait,
                    time_point aNow);
-  // The attempt ended. `aStarted`: its first byte had arrived.
+  // The attempt ended `aLength` after the request was sent. `aStarted` says
+  // whether the first byte of the response had arrived.
   void OnEnded(const relay_pick& aPick,
                const request_profile& aRequest,
                attempt_end aHow,
@@ -193,26 +203,31 @@
                duration aLength,
                time_point aNow);
 
-  // The endpoint did not answer at all, as if unreachable; `OnEnded` is called
-  // as well. Returns whether its failure domain became suspect by this.
+  // The endpoint did not answer at all and may be unreachable. The caller also
+  // calls `OnEnded` for the attempt. Returns whether the endpoint's failure
+  // domain is newly suspected to be unreachable.
   bool OnUnreachable(const relay_pick& aPick, time_point aNow);
-  // A message from another instance in the failure domain was received.
+  // A message was received from another instance, located in failure domain
+  // `aDomain`.
   void OnPeerMessage(const domain_name& aDomain, time_point aNow);
 
-  // Sets the load reported by other instances: sums over them, and the minimum
-  // of their prefill times per token, 0 if none was reported.
+  // Sets the load that other instances reported for one endpoint: the sums of
+  // their counts and the minimum of their prefill times per token, which is 0
+  // if none was reported.
   void SetRemoteLoad(const relay_load& aLoad, time_point aNow);
-  // Sets the totals over all instances, this one included. To be called every
+  // Sets the sums over all instances, including this one. To be called every
   // 100 ms.
   void SetView(const pool_view& aView, time_point aNow);
-  // Requests that an engine runs concurrently; 0: not configured.
+  // Sets the number of requests that an engine runs concurrently; 0: not
+  // configured.
   void SetSlots(std::size_t aSlots) { mSlots = aSlots; }
-  // Number of instances that send to these endpoints, this one included.
+  // Sets the number of instances that send requests to these endpoints,
+  // including this one.
   void SetInstances(std::size_t aInstances) { mInstances = aInstances; }
   // This process was paused.
   void OnClockGap(time_point aNow);
 
-  // This instance's contribution to the view.
+  // This instance's own values, for the sums that `SetView` receives.
   pool_view LocalView(time_point aNow) const;
   std::vector<relay_load> Loads(time_point aNow) const;
   std::size_t BulkEngines() const { return mPartition.BulkEngines(); }
@@ -224,8 +239,8 @@
   {
     relay_endpoint mEndpoint;
     std::uint32_t mNumber = 0;
-    // Hash that orders engines for the partition and for sessions; the same on
-    // every instance.
+    // Hash that determines the order of engines for the partition and for
+    // sessions; every instance computes the same value.
     std::uint64_t mRank = 0;
     endpoint_health mHealth;
     std::uint32_t mInFlight = 0;
@@ -235,7 +250,8 @@
     prefill_time_per_token mPrefillTime = {};
     // Time of the first known prefill time per token.
     std::optional<time_point> mPrefillTimeKnownSince = std::nullopt;
-    // Prefills so slowly that it is assigned to the bulk side first.
+    // The engine counts as slow and is therefore assigned to the bulk side
+    // first.
     bool mSlow = false;
   };
 
@@ -288,11 +304,11 @@
   engine_sides mSides;
   relay_admission mAdmission;
   std::size_t mInstances = 1;
-  // Prompt tokens per second of bulk work, over all instances.
+  // Demand of bulk work over all instances, in prompt tokens per second.
   double mBulkDemand = 0;
   // Healthy engines on the bulk side.
   std::size_t mHealthyBulkEngines = 0;
-  // Bulk requests at engines, over all instances.
+  // Number of bulk requests at engines, over all instances.
   double mBulkInFlight = 0;
   slot_occupancy mBulkOccupancy;
   // Mean prefill time per token over engines, in nanoseconds; 0: not known.
@@ -300,7 +316,8 @@
   prefix_reuse_estimator mPrefixReuse;
   popular_prefix_blocks mPopularBlocks;
   prefill_rate mPrefillRate;
-  // Mean prefill rate over all instances, in tokens per second.
+  // Mean of the prefill rates that all instances measured, in tokens per
+  // second.
   double mPrefillTokensPerSecond;
   std::size_t mSlots = 0;
   workload_meter mMeter;
--- a/thornhollow/policy/relay_pool_benchmark.cc
+++ b/thornhollow/policy/relay_pool_benchmark.cc
@@ -8,8 +8,9 @@
 namespace thornhollow {
 namespace {
 
-// One decision with the sessions and load of a busy hour, over the given number
-// of engines: a small site, a larger one, and a deployment of 850 engines.
+// One choice of an engine with the sessions and load of a busy hour, over the
+// given number of engines: those of a small site, of a larger one, and of a
+// deployment of 850 engines.
 void
 ChooseEngine(benchmark::State& aState)
 {
--- a/thornhollow/policy/relay_pool_test.cc
+++ b/thornhollow/policy/relay_pool_test.cc
@@ -36,7 +36,7 @@
   return work;
 }
 
-// Demand in prompt tokens per second of long and of short prompts.
+// Demand of long and of short prompts, in prompt tokens per second.
 pool_view
 View(double aLong, double aShort)
 {
@@ -88,8 +88,9 @@
 TEST_CASE_FIXTURE(pool_of_nine_engines,
                   "relay_pool/long_and_short_prompts/never_meet")
 {
-  // Guards against gaps in the streams of drivers' notes, whose words came in
-  // bursts while the engine prefilled a plan's prompt of many pages.
+  // Guards against gaps in interactive streams: the words of drivers' notes
+  // came in bursts while the engine prefilled the prompt of a plan, which has
+  // many pages.
   std::map<endpoint_name, std::pair<int, int>> seen;
   for (std::uint64_t each = 1; each <= 400; ++each) {
     const bool isLong = each % 3 == 0;
@@ -154,9 +155,10 @@
 TEST_CASE_FIXTURE(pool_of_nine_engines,
                   "relay_pool/slow_engine/is_left_to_bulk_work")
 {
-  // Guards against placing notes on an engine that prefills a third more
-  // slowly: five of its steps exceed the promised time between events, so every
-  // note is late there even under low load.
+  // Guards against placing drivers' notes, which are interactive streams, on an
+  // engine that prefills a third more slowly: five of its steps take longer
+  // than the promised time between events, so every note is late there even
+  // under low load.
   const auto before = mPool.Choose(Work(3, false), {}, mNow);
   for (const relay_load& each : mPool.Loads(mNow)) {
     const bool slow = each.mName == before->mEndpoint;
@@ -173,10 +175,11 @@
   }
 }
 
-// Guards against using only recently reported prefill times: each of ninety
+// Guards against using only the last reported prefill times: each of ninety
 // instances received messages from a third of the others per second and used
-// the minimum among those. It changed every time, so engines alternated between
-// slow and fast, and no two instances agreed on them.
+// the minimum of those. The minimum changed with every message, so engines
+// alternated between slow and fast, and no two instances agreed on which were
+// slow.
 TEST_CASE_FIXTURE(pool_of_nine_engines,
                   "relay_pool/pace_told_once/is_kept_and_told_on")
 {
@@ -251,9 +254,9 @@
   }
 }
 
-// Guards against a repeated prefill when a session's engine is full and its
-// next prompt goes to another one: prefilling the shared prefix blocks again
-// takes time from all other requests.
+// Guards against prefilling a session's shared prefix blocks again when its
+// engine is full and its next prompt goes to another one, which takes time from
+// all other requests.
 TEST_CASE_FIXTURE(pool_of_nine_engines,
                   "relay_pool/session_goes_elsewhere/its_parts_are_copied")
 {
@@ -265,13 +268,13 @@
   REQUIRE(result.has_value());
   CHECK(result->mEndpoint != first.mEndpoint);
   CHECK(result->mCopyFrom == AddressOf(first.mEndpoint));
-  // Once sent there, the blocks are cached on that engine, too.
+  // After the prompt was sent to that engine, the blocks are cached there, too.
   mPool.OnSent(*result, work, mNow);
   CHECK(mPool.Choose(work, { first.mEndpoint }, mNow)->mCopyFrom.empty());
 }
 
 // Guards against copying prefix blocks from a crashed engine: the request
-// waited for an engine that no longer existed.
+// waited for a source that no longer existed.
 TEST_CASE_FIXTURE(pool_of_nine_engines,
                   "relay_pool/holder_fails/nothing_is_copied_from_it")
 {
@@ -289,8 +292,8 @@
   CHECK(result->mCopyFrom.empty());
 }
 
-// Guards against losing track of cached blocks when the partition moves and the
-// preferred engine of a session no longer takes such work: an instance that had
+// Guards against losing track of cached blocks when the partition moves and a
+// session's preferred engine changes to the other side: an instance that had
 // not sent the session itself did not know where its blocks were cached.
 TEST_CASE_FIXTURE(pool_of_nine_engines,
                   "relay_pool/border_moved/parts_are_copied_from_earlier_home")
@@ -320,8 +323,8 @@
   CHECK(moved > 0);
 }
 
-// Guards against refusals at low load: a cluster of prompts was queued at
-// engines that were half idle and finished it within a second.
+// Guards against refusals at low load: a cluster of prompts arrived at engines
+// that were half idle and would have finished it within a second.
 TEST_CASE_FIXTURE(pool_of_nine_engines,
                   "relay_pool/clump_on_a_calm_day/nothing_is_refused")
 {
@@ -349,7 +352,7 @@
       continue;
     }
     const relay_pick pick = Send(work);
-    // One in ten starts late in the meantime.
+    // Meanwhile, one response in ten starts, and it starts late.
     if (session % 10 == 0) {
       mPool.OnFirstByte(pick, work, Seconds(2), mNow);
     }
@@ -359,9 +362,9 @@
   CHECK_FALSE(Refused(Work(7, false)));
 }
 
-// Guards against assuming cached prefix blocks after a restart of the whole
-// site, when no instance has sent a session yet: the first prompts were
-// expected to start after a third of the time that they took.
+// Guards against assuming that prefix blocks are cached after a restart of the
+// whole site, when no instance has sent a session yet: the predicted wait of
+// the first prompts was a third of their actual wait.
 TEST_CASE_FIXTURE(pool_of_nine_engines,
                   "relay_pool/all_engines_empty/first_reads_are_counted")
 {
--- a/thornhollow/policy/request_profile.h
+++ b/thornhollow/policy/request_profile.h
@@ -26,22 +26,25 @@
   std::uint32_t mEnginePriority = 0;
   // The whole prompt, shared prefix blocks included; 0 for a plain service.
   std::uint32_t mPromptTokens = 0;
-  // Tokens in prefix blocks that other requests begin with as well.
+  // Prompt tokens in the shared prefix blocks, with which other requests begin
+  // as well.
   std::uint32_t mSharedTokens = 0;
   // Hash of the shared prefix blocks; 0 if there are none.
   std::uint64_t mSharedPrefix = 0;
-  // Hash of the first shared block if there are several; other sessions may
-  // begin with it too. 0 if there is none.
+  // Hash of the first shared prefix block if there are several, because other
+  // sessions may have only that block in common; 0 otherwise.
   std::uint64_t mFirstBlock = 0;
   std::uint32_t mFirstBlockTokens = 0;
-  // Target time to the first event or to the whole response.
+  // Target declared by the route: time to the first event or to the complete
+  // response.
   duration mTarget{};
-  // Maximum time between two events; zero if no limit is promised.
+  // Maximum time between two events that the route declares; zero if it
+  // declares none.
   duration mPause{};
   // When the caller times out.
   time_point mDeadline{};
-  // The caller has been refused before: it has less time left than its route
-  // allows.
+  // The caller was refused before, which shows in its having less time left
+  // than its route allows.
   bool mIsRetry = false;
 
   friend bool operator==(const request_profile&,
@@ -60,7 +63,7 @@
   endpoint_name mEndpoint;
   std::string mAddress;
   domain_name mDomain;
-  // Distinguishes successive processes of the same name.
+  // Distinguishes successive processes that run under the same endpoint name.
   std::uint64_t mLifetime = 0;
   // Estimated prompt tokens that the engine has to prefill for this request.
   std::uint32_t mPrefillTokens = 0;
@@ -75,8 +78,8 @@
   // Address of another engine on which the shared prefix is estimated to be
   // cached, to copy it from; empty if there is none.
   std::string mCopyFrom = {};
-  // Prompt tokens waiting at the engine before this request, those of other
-  // instances included.
+  // Prompt tokens that already wait for prefill at the engine, including those
+  // sent by other instances.
   std::uint64_t mBacklogTokens = 0;
   // Predicted time to the first event.
   duration mExpectedWait{};
--- a/thornhollow/policy/request_queue.h
+++ b/thornhollow/policy/request_queue.h
@@ -72,8 +72,9 @@
   // Removes a request that was given a slot. Unknown tickets are ignored.
   void Start(ticket aTicket, time_point aNow);
 
-  // Charges a started request's class and team the difference between its
-  // actual and its expected cost.
+  // Charges the class and team of a started request the difference between its
+  // actual and its expected cost, both in output tokens (see
+  // waiting_request.h).
   void AdjustCost(const work_item& aItem, double aExpected, double aActual);
 
   // Removes a request that was not started. Unknown tickets are ignored.
@@ -89,7 +90,8 @@
   // Pools that have queued requests.
   std::vector<pool_name> WaitingPools() const;
 
-  // When `Expire` or `Next` may next have a new result without another event.
+  // Earliest time at which `Expire` or `Next` may return something new although
+  // nothing else has happened; nullopt if there is none.
   std::optional<time_point> NextDue(time_point aNow) const;
 
   // Expected queueing time of a new request, from the measured service rate.
@@ -125,7 +127,7 @@
   request_queue_settings mSettings;
   std::mt19937_64 mRandom;
   std::unordered_map<class_name, class_objectives> mObjectives;
-  // Only weights other than 1, because most of the 11,000 teams have none.
+  // Holds only weights other than 1: of up to 11,000 teams most declare none.
   std::unordered_map<team_name, double> mWeights;
   // Ordered, so that runs with the same input visit pools in the same order.
   std::map<pool_name, pool_queue> mPools;
--- a/thornhollow/policy/retry_budget.h
+++ b/thornhollow/policy/retry_budget.h
@@ -13,12 +13,12 @@
 // cannot spend what the successes of another class earned.
 //
 // Default values: with a ratio of 0.1, retries add at most a tenth to the load
-// in steady state, which is less than the headroom at which the first-token
-// target still holds. The reserve is what one endpoint may have in flight when
-// it crashes (tens of slots): each of those requests needs one retry at once,
-// and without a reserve a crash would cause rejections although the other
-// endpoints have free slots. The minimum rate of one retry in ten seconds lets
-// a class with hardly any traffic survive a broken connection.
+// in steady state. Endpoints with that much more load still meet the
+// first-token target. The reserve is the number of requests that one endpoint
+// may have in flight when it crashes (tens of slots): each of them needs one
+// retry at once, and without a reserve a crash would cause rejections although
+// the other endpoints have free slots. The minimum rate of one retry in ten
+// seconds lets a class with hardly any traffic survive a broken connection.
 #ifndef THORNHOLLOW_POLICY_RETRY_BUDGET_H_
 #define THORNHOLLOW_POLICY_RETRY_BUDGET_H_
 
--- a/thornhollow/policy/retry_budget_test.cc
+++ b/thornhollow/policy/retry_budget_test.cc
@@ -26,9 +26,9 @@
   };
 };
 
-// An overloaded endpoint answers one request in ten. If every failed request is
-// retried, the retries fail as well and multiply the load that overloaded the
-// endpoint in the first place.
+// Guards against unlimited retries: an overloaded endpoint answers one request
+// in ten. If every failed request is retried, the retries fail as well and
+// multiply the load that overloaded the endpoint.
 TEST_CASE_FIXTURE(two_classes,
                   "retry_budget/most_attempts_fail/adds_a_share_of_successes")
 {
--- a/thornhollow/policy/run_time_estimate.h
+++ b/thornhollow/policy/run_time_estimate.h
@@ -10,10 +10,11 @@
 // off at its deadline, and all its tokens are wasted, mostly at times when
 // capacity is short.
 //
-// Choice of constants: the bound is the 10% quantile of the run times. A higher
-// quantile would refuse requests that could still have met their deadline,
-// while the shortest run seen is an outlier that refuses nothing. Fewer than 16
-// runs are too few for a 10% quantile.
+// Choice of constants: the bound is the 10% quantile of the run times. With a
+// higher quantile, more requests would be refused that could still have met
+// their deadline. The shortest run seen is an outlier, so that a bound at that
+// value would refuse almost nothing. Fewer than 16 runs are too few for a 10%
+// quantile.
 #ifndef THORNHOLLOW_POLICY_RUN_TIME_ESTIMATE_H_
 #define THORNHOLLOW_POLICY_RUN_TIME_ESTIMATE_H_
 
@@ -26,7 +27,8 @@
 
 struct run_time_settings
 {
-  // Fraction of the runs that may be shorter than the bound. 0 disables it.
+  // Fraction of the runs that may be shorter than the bound; 0 disables the
+  // bound.
   double mQuantile = 0.1;
   std::uint32_t mMinRuns = 16;
 
@@ -45,8 +47,9 @@
   // Records that a request like `aItem` was completed in `aRunTime`.
   void Learn(const work_item& aItem, duration aRunTime);
 
-  // A run time that a run of `aItem` is unlikely to stay below. Zero if the
-  // bound is disabled or has too few samples.
+  // Lower bound for the run time of `aItem`, which only the fraction
+  // `mQuantile` of runs stays below. Zero if the bound is disabled or has too
+  // few samples.
   duration LowerBound(const work_item& aItem) const;
 
 private:
--- a/thornhollow/policy/scheduler.cc
+++ b/thornhollow/policy/scheduler.cc
@@ -292,10 +292,10 @@
                         time_point aNow,
                         decisions& aOut)
 {
-  // Classes whose next request finds no slot although another class's request
-  // may find one: long requests, whose number is limited per endpoint, and
-  // requests that use their class's minimum share, which are limited in
-  // endpoint queues.
+  // Classes whose next request got no endpoint although a request of another
+  // class may still get one. These are classes of long requests, whose number
+  // per endpoint is limited, and classes whose request uses the minimum share,
+  // of which only a limited number may wait in endpoint queues.
   std::vector<class_name> skippedClasses;
   for (;;) {
     const next_request next = mQueue.Next(aPool, skippedClasses, aNow);
--- a/thornhollow/policy/scheduler.h
+++ b/thornhollow/policy/scheduler.h
@@ -51,15 +51,16 @@
   // middle tiers lose more than the highest tier gains
   // (docs/design/decisions_under_load.md).
   bool mApplyPressureToTieredPools = false;
-  // The lowest tier whose requests may wait in endpoints' own queues without
-  // using their class's minimum share.
+  // The lowest tier, counted from 1 for the highest, whose requests may wait in
+  // endpoints' own queues without using their class's minimum share.
   int mLowestEndpointQueueTier = 2;
   // Limit on this instance's requests waiting in one endpoint's queue. It is
   // the size of an ordinary batch, so that this instance alone does not
   // determine the endpoint's next batch.
   std::uint32_t mMaxQueuedPerEndpoint = 8;
   // Limit on this instance's requests that wait in one endpoint's queue using
-  // their class's minimum share. These are mostly long requests.
+  // their class's minimum share. It is low because these are mostly long
+  // requests.
   std::uint32_t mMaxMinimumSharePerEndpoint = 1;
 
   friend bool operator==(const scheduler_settings&,
@@ -108,7 +109,7 @@
 
   // Load of each pool on this instance, to be sent to the other instances.
   std::vector<pool_pressure> Pressure(time_point aNow) const;
-  // Handles such a report received from instance `aFrom`.
+  // Handles a pressure report received from instance `aFrom`.
   decisions OnPeerPressure(const instance_name& aFrom,
                            const pool_pressure& aPressure,
                            time_point aNow);
@@ -118,7 +119,8 @@
   void SetRouters(const instance_name& aOwn,
                   const std::vector<instance_name>& aRouters);
 
-  // Expected queueing time of such a request, from the measured service rate.
+  // Expected queueing time of `aItem` if it were submitted now, from the
+  // measured service rate.
   duration PredictedWait(const work_item& aItem, time_point aNow) const;
 
   // State of the endpoints as known to this instance, sorted by name.
@@ -128,9 +130,10 @@
   // requests for which there is capacity.
   decisions Advance(time_point aNow);
 
-  // The same, to be called every `clock_gap::kTickEvery`. After the first call,
-  // a long step between two calls of any kind is taken as a pause of this
-  // process, and state estimated before the pause is discarded.
+  // Like `Advance`; to be called every `clock_gap::kTickEvery`. After the first
+  // call of `Tick`, a longer step of the clock between two calls of any kind is
+  // taken as a pause of this process, and state estimated before the pause is
+  // discarded.
   decisions Tick(time_point aNow);
 
   // When `Advance` next has work to do, or nothing if no work is pending.
--- a/thornhollow/policy/scheduler_search_test.cc
+++ b/thornhollow/policy/scheduler_search_test.cc
@@ -30,7 +30,7 @@
 constexpr std::uint32_t kSlots = 2;
 constexpr std::size_t kMaxWaiting = 6;
 constexpr duration kDeadline = Seconds(20);
-// Within this time an idle scheduler must use every endpoint again.
+// Time within which a scheduler without requests must use every endpoint again.
 constexpr duration kSettleTime = Seconds(120);
 
 enum class search_kind : std::uint8_t
--- a/thornhollow/policy/scheduler_test.cc
+++ b/thornhollow/policy/scheduler_test.cc
@@ -80,9 +80,9 @@
   CHECK(std::get<refuse>(woke[0]).mKind == error_kind::kDeadlineExpiredWaiting);
 }
 
-// Runs of the class take 4 s. A request that still waits 3 s before its
-// deadline can no longer complete in time. It must be refused then instead of
-// being started and cut off.
+// Requests of the class run for 4 s. A request that still waits 3 s before its
+// deadline can no longer complete in time and must be refused instead of being
+// started and cut off at the deadline.
 TEST_CASE_FIXTURE(one_slot_scheduler,
                   "scheduler/cannot_finish_any_more/refused_not_started")
 {
--- a/thornhollow/policy/service_rate.h
+++ b/thornhollow/policy/service_rate.h
@@ -10,12 +10,13 @@
 // a rate that includes idle time measures the demand instead of the capacity.
 // Waits predicted from either are unreliable.
 //
-// Choice of constants: a decay time of 3 s of waiting follows the loss of an
-// engine within a few seconds and still spans many responses (a response of 239
-// tokens takes about two seconds). Less than 0.25 s of waiting is only a few
-// engine steps, too little for an estimate. An estimate older than 15 s is
-// ignored, so that the state before an idle period does not affect the next
-// burst.
+// Choice of constants: past work loses weight with a time constant of 3 s,
+// counting only time in which work was waiting. The rate thus follows the loss
+// of an engine within a few seconds and still averages over many responses (a
+// response of 239 tokens takes about two seconds). Less than 0.25 s of waiting
+// covers only a few engine steps, too little for an estimate. An estimate older
+// than 15 s is ignored, so that the state before an idle period does not affect
+// the next burst.
 #ifndef THORNHOLLOW_POLICY_SERVICE_RATE_H_
 #define THORNHOLLOW_POLICY_SERVICE_RATE_H_
 
@@ -32,20 +33,21 @@
   // was waiting during that time.
   void Observe(bool aWaited, time_point aNow);
 
-  // Records that work of this cost left a non-empty queue for a slot.
+  // Records that work of cost `aCost` left a non-empty queue for a slot. The
+  // unit of the cost is the caller's choice.
   void OnServed(double aCost) { mServedCost += aCost; }
 
   // Cost served per second while work is waiting, or nullopt if there is no
   // recent measurement.
   std::optional<double> PerSecond(time_point aNow) const;
 
-  // Like `PerSecond`, but counts one more item of this cost as served, the one
-  // that may be about to be. For slow queues, where the gap between two items
-  // would otherwise look like a stalled queue.
+  // Like `PerSecond`, but counts one more item of cost `aCost` as already
+  // served. For slow queues, where the time since the last served item would
+  // otherwise look as if the queue were not served at all.
   std::optional<double> PerSecondWithNext(double aCost, time_point aNow) const;
 
-  // The last measured rate regardless of its age, or nullopt if there never was
-  // one.
+  // The last measured rate regardless of its age, or nullopt if none was ever
+  // measured.
   std::optional<double> LastPerSecond() const;
 
 private:
--- a/thornhollow/policy/shared_retry_budget.h
+++ b/thornhollow/policy/shared_retry_budget.h
@@ -5,17 +5,17 @@
 //   budget.OnRequest(pool, now);
 //   if (budget.Spend(pool, now)) { ... retry ... }
 //
-// Load pattern: endpoints fail because they are overloaded, or are all gone at
-// once. Every instance then retries each request, and the load doubles when
-// there is the least capacity for it.
+// Load pattern: endpoints fail because they are overloaded, or all endpoints of
+// a pool disappear at once. Every instance then retries each request, and the
+// load doubles when there is the least capacity for it.
 //
-// The limit for the fleet is a ratio of the requests plus a fixed number, in
-// any window. Each instance keeps to the ratio of its own requests and to its
-// fraction of the fixed number. The sums over all instances then keep the limit
-// whatever number of instances each of them assumes, as long as none assumes
-// fewer than there are. So the number used is the largest seen recently, and an
-// instance that has not yet received a message from any peer takes a small
-// fraction.
+// The retries of all instances together are limited, in any window, to a ratio
+// of the requests plus a fixed number. Each instance applies the ratio to its
+// own requests and uses the fixed number divided by the number of instances
+// that it knows. The sum over all instances then keeps the limit as long as
+// none of them assumes fewer instances than there are. The caller therefore
+// sets the largest number seen recently, and an instance that has not yet
+// received a message from any peer assumes `mAssumedInstances`.
 #ifndef THORNHOLLOW_POLICY_SHARED_RETRY_BUDGET_H_
 #define THORNHOLLOW_POLICY_SHARED_RETRY_BUDGET_H_
 
@@ -33,14 +33,16 @@
 {
   // Retries per request of a pool within the window.
   double mRatio = 0.2;
-  // Retries in addition to these, over all instances.
+  // Retries allowed within the window in addition to the ratio, over all
+  // instances.
   double mFixedRetries = 50;
   duration mWindow = Seconds(10);
-  // Fraction of the limit that is used: an endpoint may count a request in the
-  // next window, and a retry in this one.
+  // Fraction of the limit that is used. The rest allows for delays on the way
+  // to an endpoint: counted there, a request may fall into the next window
+  // while a retry still falls into this one.
   double mBoundFraction = 0.9;
-  // Number of instances assumed until a message from a peer is received. A
-  // large fleet has 38 in a failure domain.
+  // Number of instances assumed until a message from a peer is received. In a
+  // large fleet, a failure domain has 38 instances.
   std::size_t mAssumedInstances = 38;
 
   friend bool operator==(const shared_retry_budget_settings&,
@@ -55,11 +57,12 @@
   // A caller sent a request for this pool.
   void OnRequest(const pool_name& aPool, time_point aNow);
 
-  // Takes one retry. Returns false and takes nothing if none is left.
+  // Takes one retry from the pool's budget. Returns false and takes nothing if
+  // the budget is exhausted.
   bool Spend(const pool_name& aPool, time_point aNow);
 
-  // Number of running instances, including this one; 0 while no message from a
-  // peer was received.
+  // Sets the number of running instances, including this one; 0 while no
+  // message from a peer has been received.
   void SetInstances(std::size_t aCount) { mInstances = aCount; }
 
 private:
--- a/thornhollow/policy/shared_retry_budget_test.cc
+++ b/thornhollow/policy/shared_retry_budget_test.cc
@@ -13,8 +13,8 @@
 TEST_CASE("shared_retry_budget/no_peer_heard/takes_a_small_part")
 {
   // Thirty instances start without contact to each other while the endpoints
-  // fail. If each took the whole fixed number, there would be thirty times as
-  // many retries.
+  // fail. If each used the whole fixed number of retries, there would be thirty
+  // times as many as allowed.
   shared_retry_budget budget({ .mRatio = 0, .mFixedRetries = 76 });
   int spent = 0;
   while (budget.Spend(kPool, time_point() + Seconds(100))) {
@@ -37,8 +37,9 @@
   CHECK(budget.Spend(kPool, now + Seconds(11)));
 }
 
-// Compares the retries of all instances in any window with the limit for the
-// requests in that window, the one before, or the one half a window before.
+// Compares the retries of all instances in any window with the limit that
+// follows from the requests in that window, in the previous one, or in the one
+// that begins half a window earlier.
 TEST_CASE("shared_retry_budget/random_fleet/sum_keeps_the_bound")
 {
   constexpr int kTicksInWindow = 200;
@@ -59,7 +60,8 @@
       const std::uint64_t arrivals = random() % (tick % 300 < 60 ? 12 : 3);
       for (std::uint64_t each = 0; each < arrivals; ++each) {
         shared_retry_budget& one = fleet[random() % instances];
-        // The instances' counts differ, but none is too low.
+        // Instances assume different numbers of instances, but none assumes too
+        // few; 0 stands for no message from a peer.
         one.SetInstances(random() % 8 == 0 ? 0 : instances + random() % 2);
         one.OnRequest(kPool, now);
         ++requests.back();
--- a/thornhollow/policy/slot_occupancy.h
+++ b/thornhollow/policy/slot_occupancy.h
@@ -1,5 +1,5 @@
 // Average time for which a request occupies an engine slot, over requests that
-// ended lately, and the resulting wait in a queue for slots.
+// ended recently, and the wait in a queue for slots that results from it.
 //
 //   slot_occupancy occupancy;
 //   occupancy.OnStarted(wait);
@@ -21,8 +21,8 @@
   // A response was completed `aLength` after its request was sent.
   void OnEnded(duration aLength);
 
-  // Mean time from the first event to the end; a default while either is
-  // unknown.
+  // Mean time from the first event to the end of a response; a default until
+  // both a start and an end have been recorded.
   duration Mean() const;
   // Time until a slot is free for one more request when `aInFlight` requests
   // are at engines with `aSlots` slots in total. Zero if slots are free or
--- a/thornhollow/policy/standing_queue.h
+++ b/thornhollow/policy/standing_queue.h
@@ -9,11 +9,12 @@
 // first-token target. The queue grows until its wait equals the deadline and
 // stays there: every request is late and none meets its target, although the
 // throughput is the same as with a short queue. A short burst, however, is
-// better queued than refused. While the wait has recently dropped to the
-// target, new requests are therefore accepted with predicted waits of up to
-// their deadline. Once all waits have exceeded the target for `mWindow`, the
-// queue is considered standing, and new requests are accepted only if they are
-// predicted to meet the target.
+// better queued than refused. New requests are therefore accepted with
+// predicted waits of up to their deadline as long as some request recently
+// started within the target wait, which is `mTargetFraction` of the first-token
+// target. Once all waits have exceeded the target wait for `mWindow`, the queue
+// is considered standing, and new requests are accepted only if their predicted
+// wait is within the target wait.
 //
 // CoDel (controlled delay) applies the same principle to packet queues.
 //
@@ -30,10 +31,11 @@
 struct standing_queue_settings
 {
   bool mEnabled = true;
-  // A queue is standing once all waits exceeded the target for this long.
+  // A queue is standing once all waits have exceeded the target wait for this
+  // long.
   duration mWindow = Milliseconds(500);
-  // Fraction of the first-token target that may be spent in the queue; the rest
-  // is left for the endpoint.
+  // Target wait as a fraction of the first-token target; the rest is left for
+  // the endpoint.
   double mTargetFraction = 0.3;
 
   friend bool operator==(const standing_queue_settings&,
--- a/thornhollow/policy/team_in_flight.h
+++ b/thornhollow/policy/team_in_flight.h
@@ -6,15 +6,15 @@
 //   if (inFlight.TryAdd(team, tier)) { ... inFlight.Remove(team, tier); }
 //
 // Load pattern: a caller issues requests without bound, for example in a loop
-// that does not wait for answers. Fair queueing preserves the order of the
-// other teams, but the caller's requests still consume memory, connections and
-// the shared capacity of the queue. The limit is the one declared for the team;
-// teams without a declared limit are not limited.
+// that does not wait for answers. Fair queueing still serves the other teams in
+// their turn, but the caller's requests consume memory, connections and the
+// shared capacity of the queue. The limit is declared for each team; teams
+// without a declared limit are not limited.
 //
-// A request counts only against requests of its own and of higher tiers. With a
-// single count, a team's burst of low-tier requests would cause its next
-// high-tier request to be refused. Per tier that it uses, a team can therefore
-// hold up to its limit.
+// The limit applies to the number of the team's requests of the new request's
+// tier and of higher tiers. If all tiers were counted together, a team's burst
+// of low-tier requests would cause its next high-tier request to be refused. A
+// team can therefore hold up to its limit for each tier that it uses.
 #ifndef THORNHOLLOW_POLICY_TEAM_IN_FLIGHT_H_
 #define THORNHOLLOW_POLICY_TEAM_IN_FLIGHT_H_
 
--- a/thornhollow/policy/tier_pressure.h
+++ b/thornhollow/policy/tier_pressure.h
@@ -6,18 +6,18 @@
 //   if (peers.IsRestricted(pool, tier, now)) { ... only its minimum share ... }
 //
 // Load pattern: one instance is saturated with requests of the highest tier
-// while another has only low tiers. Each keeps its own order, yet low-tier work
-// takes slots at the endpoints that the other instance's high tier waits for.
-// So each instance publishes how long its tiers wait; the others then start
-// lower tiers only within their classes' minimum shares until the report
-// expires.
+// while another has only requests of low tiers. Each serves its own requests in
+// tier order, yet the second instance's requests take slots at the endpoints
+// for which the first instance's requests wait. So each instance publishes how
+// long its tiers wait; the others then start lower tiers only within their
+// classes' minimum shares until the report expires.
 //
 // Default values: a wait below 1 s does not restrict other instances, because
 // the endpoints' own queues already order work by tier for that long
-// (endpoint_queue_window.h), and a lower threshold brought no gain in the
-// scenario table. A report loses half of its weight every 500 ms, so that one
-// lost message changes little and an instance that disappeared restricts nobody
-// for longer than a few seconds.
+// (endpoint_queue_window.h), and a lower threshold improved no result of
+// `thornhollow-scenarios`. The reported wait is halved for every 500 ms of the
+// report's age, so that one lost message changes little and an instance that
+// disappeared restricts the others for a few seconds at most.
 #ifndef THORNHOLLOW_POLICY_TIER_PRESSURE_H_
 #define THORNHOLLOW_POLICY_TIER_PRESSURE_H_
 
--- a/thornhollow/policy/tier_waits.cc
+++ b/thornhollow/policy/tier_waits.cc
@@ -5,8 +5,8 @@
 namespace thornhollow {
 namespace {
 
-// Minimum request rate at which a tier counts as in demand: one request within
-// some seconds.
+// Minimum request rate at which a tier counts as in demand: reached as long as
+// the last request was at most a few seconds ago.
 constexpr double kMinRequestsPerSecond = 0.05;
 
 } // namespace
--- a/thornhollow/policy/tier_waits.h
+++ b/thornhollow/policy/tier_waits.h
@@ -1,5 +1,6 @@
 // Tracks per tier how long recent requests waited for their response to begin,
-// and which tiers are in demand.
+// and for which tiers requests arrive. Lower numbers are higher tiers; 0 is the
+// first.
 //
 //   tier_waits waits;
 //   waits.OnRequest(tier, now);
@@ -8,10 +9,11 @@
 //   if (waits.HasLowerDemand(tier, now) &&
 //       waits.MeanWait(tier, now) < bound) { ... }
 //
-// Load pattern: more long prompts of several tiers than the engines have slots
-// for. Engines that serve by tier start those of the first tier at once, while
-// the mean wait over all tiers, which the lower tiers dominate, would cause
-// requests of the first tier to be rejected as well.
+// Load pattern: more long prompts of several tiers arrive than the engines have
+// slots for. Engines that serve in tier order start prompts of the first tier
+// at once. The mean wait over all tiers is dominated by the lower tiers,
+// however, and by that mean requests of the first tier would be rejected as
+// well.
 #ifndef THORNHOLLOW_POLICY_TIER_WAITS_H_
 #define THORNHOLLOW_POLICY_TIER_WAITS_H_
 
@@ -32,17 +34,17 @@
   // A sent request ended before its response began.
   void OnAbandoned(std::uint32_t aTier);
 
-  // Mean wait of responses that began recently, over this tier and all higher
-  // ones; zero if there were none, or once no request of those tiers waits.
+  // Mean wait of responses that began recently, over `aTier` and all higher
+  // tiers; zero if there were none, or once no request of those tiers waits.
   duration MeanWait(std::uint32_t aTier, time_point aNow) const;
-  // Whether a lower tier was requested recently.
+  // Whether requests of a tier lower than `aTier` arrived recently.
   bool HasLowerDemand(std::uint32_t aTier, time_point aNow) const;
 
 private:
   struct tier
   {
     decaying_rate mRequests;
-    // Responses that began, and the seconds that they waited.
+    // Rates of the responses that began and of their summed waits in seconds.
     decaying_rate mResponses;
     decaying_rate mWaits;
     std::uint32_t mWaiting = 0;
--- a/thornhollow/policy/waiting_modules_test.cc
+++ b/thornhollow/policy/waiting_modules_test.cc
@@ -46,8 +46,9 @@
   CHECK(*rate.PerSecond(kStart + Seconds(60)) > 200);
 }
 
-// 500 callers are refused within the same second, while 10 per second can be
-// served. With equal delays, all of them would retry within one second.
+// Guards against simultaneous retries: 500 callers are refused within one
+// second, while 10 per second can be served. With equal delays, all of them
+// would retry within one second.
 TEST_CASE("retry_schedule/many_refused_at_once/come_back_spread")
 {
   retry_schedule schedule{ retry_schedule_settings{} };
--- a/thornhollow/policy/work.h
+++ b/thornhollow/policy/work.h
@@ -3,7 +3,7 @@
 //
 //   const work_item item{ .mTicket = 7, .mTier = 1, ... };
 //   for (const decision& next : scheduler.Submit(item, now)) { ... }
-// .
+//
 #ifndef THORNHOLLOW_POLICY_WORK_H_
 #define THORNHOLLOW_POLICY_WORK_H_
 
@@ -29,7 +29,7 @@
   team_name mTeam;
   class_name mClass;
   pool_name mPool;
-  // 1 (highest) to 4.
+  // Priority tier, 1 (highest) to 4 (lowest).
   int mTier = kLowestTier;
   // Hash of the prompt's shareable prefix; 0 if there is none.
   std::uint64_t mPrefix = 0;
@@ -50,15 +50,15 @@
   ticket mTicket = 0;
   endpoint_name mEndpoint;
   // The request is served from its class's minimum share. The endpoint must run
-  // it with the highest priority instead of its tier's; otherwise it would
-  // queue there behind every later request of a higher tier.
+  // it with the highest priority instead of its tier's; otherwise later
+  // requests of higher tiers would overtake it in the endpoint's queue.
   bool mUsesMinimumShare = false;
 
   friend bool operator==(const start&, const start&) = default;
 };
 
-// Answer the request with an error now. This decision did not send it to an
-// endpoint.
+// Answer the request with an error now. The request may have had earlier
+// attempts at endpoints.
 struct refuse
 {
   ticket mTicket = 0;
--- a/thornhollow/policy/workload_kind.cc
+++ b/thornhollow/policy/workload_kind.cc
@@ -9,11 +9,11 @@
 namespace thornhollow {
 namespace {
 
-// A kind with a lower request rate is replaced by a new one: it had no request
-// for several time constants of the rates.
+// Request rate below which a kind is replaced by a new one: it has had no
+// request for several time constants of the rate.
 constexpr double kIdleRequestsPerSecond = 0.01;
-// Earlier than this after the first request a rate is not scaled up any
-// further: a single request would count as many.
+// Minimum age of the first request that the correction of the rates assumes.
+// With a lower age, a single request would be scaled up to many.
 constexpr double kMinWarmUpSeconds = 0.4;
 
 } // namespace
@@ -41,8 +41,8 @@
   if (aOthers.mPrefillRateCount <= 0) {
     return;
   }
-  // An instance that reports engines a million times as fast would otherwise
-  // make all others send them everything.
+  // Bounds the reported rate: if an instance reported engines a million times
+  // too fast, all others would send everything to them.
   const double reported =
     std::clamp(aOthers.mPrefillRateSum / aOthers.mPrefillRateCount,
                prefill_rate::kMin,
@@ -99,7 +99,7 @@
 
 // When a whole site restarts, all instances start at the same moment and
 // receive at once what callers sent meanwhile. Without the correction, rates
-// take two seconds to rise, and engines were divided for half of the actual
+// take two seconds to rise, and engines were partitioned for half of the actual
 // demand.
 double
 workload_meter::WarmUpFactor(time_point aNow) const
--- a/thornhollow/policy/workload_kind.h
+++ b/thornhollow/policy/workload_kind.h
@@ -57,7 +57,7 @@
   friend bool operator==(const kind_demand&, const kind_demand&) = default;
 };
 
-// Sorted by kind, without duplicates.
+// Demand of several workload kinds, sorted by kind, without duplicates.
 using demand_by_kind = std::vector<kind_demand>;
 
 // Adds `aOthers` to `aSums`, each value multiplied by `aScale`.
@@ -85,9 +85,10 @@
 class workload_meter
 {
 public:
-  // Maximum number of kinds, more than the routes of a pool declare. Further
-  // kinds are not counted, because a configuration with many different targets
-  // would fill the messages between instances.
+  // Maximum number of kinds, which is more than the routes of a pool usually
+  // declare. Further kinds are not counted, because the demand of every kind is
+  // sent to all other instances, and many different targets in a configuration
+  // would make these messages too large.
   static constexpr std::size_t kMaxKinds = 6;
 
   // A caller sent a request of this kind for which `aTokens` prompt tokens
@@ -105,16 +106,16 @@
   {
     decaying_rate mRequests;
     decaying_rate mTokens;
-    // Prompt sizes depend on what callers do, not on how many there are. They
-    // are averaged over many more prompts than the rates, because the few
-    // longest prompts dominate.
+    // Prompt sizes, unlike the rates, do not change with the number of callers.
+    // They are averaged over a longer time than the rates, because a few very
+    // long prompts dominate them.
     decaying_rate mSizes{ kSizeTimeConstantSeconds };
     decaying_rate mSquaredSizes{ kSizeTimeConstantSeconds };
     std::size_t mInFlight = 0;
   };
 
-  // Correction factor for the rates, which start at zero, while this instance
-  // is new.
+  // Factor that corrects the rates shortly after the first request, since they
+  // start at zero and rise slowly.
   double WarmUpFactor(time_point aNow) const;
   counts* FindOrAdd(const workload_kind& aKind, time_point aNow);
 
--- a/thornhollow/policy/workload_kind_test.cc
+++ b/thornhollow/policy/workload_kind_test.cc
@@ -24,16 +24,16 @@
   CHECK(result[0].mKind == mNote);
   CHECK(result[0].mRequests == doctest::Approx(50).epsilon(0.02));
   CHECK(result[0].mTokens == doctest::Approx(50 * 830).epsilon(0.03));
-  // One prompt in ten is long. Weighted by size, these raise the result above
-  // the mean.
+  // One prompt in ten is long. As prompts are weighted by size, the result is
+  // above the mean size.
   CHECK(result[0].mSquaredTokensPerSecond / result[0].mTokens ==
         doctest::Approx(899).epsilon(0.03));
   CHECK(result[0].mOpen == 1'000);
 }
 
-// After a whole site restarts, the requests that callers sent meanwhile arrive
-// within the first second. Uncorrected rates made the engines be divided for a
-// third of that demand.
+// Guards against rates that start too low: after a whole site restarts, the
+// requests that callers sent meanwhile arrive within the first second. With
+// uncorrected rates, engines were partitioned for a third of that demand.
 TEST_CASE_FIXTURE(meter_of_two_kinds, "work_meter/first_second/rate_is_whole")
 {
   for (int each = 0; each < 50; ++each, mNow += Milliseconds(20)) {
@@ -89,8 +89,7 @@
   CHECK(result[1] == kind_demand{ mPlan, 4, 36'000, 32e7, 2 });
 }
 
-// A peer reports an implausible prefill rate of a billion tokens per
-// millisecond.
+// A peer reports an impossible prefill rate: a billion tokens per millisecond.
 TEST_CASE("add_view/peer_tells_nonsense/is_bounded")
 {
   pool_view result{ {}, 50'000, 1 };
