--- a/thornhollow/policy/relay_admission.cc
+++ b/thornhollow/policy/relay_admission.cc
@@ -9,8 +9,8 @@
 // within three time constants of the rate.
 constexpr double kMinTeamRate = 0.025;
 constexpr duration kEvictionInterval = Seconds(1);
-// The retry delay given to a refused caller is at most the time that it has
-// left divided by this.
+// The retry delay given to a refused caller is at most the time until its
+// time-out divided by this.
 constexpr int kTimeLeftDivisor = 3;
 
 } // namespace
--- a/thornhollow/policy/scheduler.h
+++ b/thornhollow/policy/scheduler.h
@@ -151,7 +151,8 @@
     std::optional<endpoint_name> mEndpoint;
     bool mUsesMinimumShare = false;
     time_point mStartedAt{};
-    // Estimated cost that was charged at the start.
+    // Estimated cost, in output tokens, that was charged to the request's class
+    // and team at the start.
     double mChargedCost = 0;
     // The request was sent to wait in the endpoint's own queue and has not yet
     // received a token.
--- a/thornhollow/policy/scheduler_search_test.cc
+++ b/thornhollow/policy/scheduler_search_test.cc
@@ -87,8 +87,8 @@
   return endpoint_name("e" + std::to_string(aNumber % kEndpoints));
 }
 
-// Drives a scheduler as its caller would, tracks the state of each ticket and
-// records the first violated invariant.
+// Drives a scheduler as the relaying code would, tracks the state of each
+// ticket and records the first violated invariant.
 class searched_scheduler
 {
 public:
@@ -362,7 +362,8 @@
     mStates.erase(found);
     const bool forRoom = aRefuse.mKind == error_kind::kQueueFull ||
                          aRefuse.mKind == error_kind::kShedForHigherTier;
-    // Every other ticket without a slot waits in the same pool.
+    // All requests of the search use one pool, so every other ticket without a
+    // slot waits in the queue that refused this one.
     for (const auto& [id, state] : mStates) {
       if (forRoom && !state.mEndpoint && state.mItem.mTier > tier) {
         ReportFault("a higher tier was refused for lack of capacity while a "
@@ -392,7 +393,8 @@
     }
   }
 
-  // Runs one request that completes immediately, as probing an endpoint needs.
+  // Submits one request and completes it at once, so that endpoints that are
+  // being probed record a success.
   void ServeOne()
   {
     const work_item item = NextItem(2, true);
@@ -421,8 +423,9 @@
     for (const auto& [id, state] : mStates) {
       running += state.mEndpoint ? 1 : 0;
     }
-    // An endpoint that was ejected as an outlier may still have reduced
-    // capacity.
+    // At least as many slots as there are endpoints must be usable. Not all
+    // slots are required, because an endpoint that was ejected as an outlier
+    // may still have reduced capacity.
     if (running < kEndpoints) {
       ReportFault("only " + std::to_string(running) +
                   " slots are usable after all tickets ended");
--- a/thornhollow/policy/workload_kind.h
+++ b/thornhollow/policy/workload_kind.h
@@ -45,6 +45,7 @@
 struct kind_demand
 {
   workload_kind mKind;
+  // Requests per second.
   double mRequests = 0;
   // Prompt tokens to prefill for these requests, per second.
   double mTokens = 0;
