--- a/thornhollow/policy/relay_pool.h
+++ b/thornhollow/policy/relay_pool.h
@@ -224,7 +224,8 @@
   // Sets the number of instances that send requests to these endpoints,
   // including this one.
   void SetInstances(std::size_t aInstances) { mInstances = aInstances; }
-  // This process was paused.
+  // This process was paused. Discards suspicions of failure domains and the
+  // load that other instances reported, both of which are outdated.
   void OnClockGap(time_point aNow);
 
   // This instance's own values, for the sums that `SetView` receives.
@@ -248,7 +249,7 @@
     std::uint64_t mRemotePrefillTokens = 0;
     std::uint32_t mRemoteInFlight = 0;
     prefill_time_per_token mPrefillTime = {};
-    // Time of the first known prefill time per token.
+    // When the engine's prefill time per token first became known.
     std::optional<time_point> mPrefillTimeKnownSince = std::nullopt;
     // The engine counts as slow and is therefore assigned to the bulk side
     // first.
--- a/thornhollow/policy/tier_pressure.h
+++ b/thornhollow/policy/tier_pressure.h
@@ -80,8 +80,8 @@
   struct pool_reports
   {
     std::unordered_map<instance_name, tier_restrictions> mByInstance;
-    // The maximum over all instances, stored so that the cost of a decision
-    // does not grow with their number.
+    // For each tier, the maximum over all instances, stored so that the cost of
+    // a decision does not grow with the number of instances.
     tier_restrictions mLatest;
   };
 
