--- a/thornhollow/fleet/copy_requests.h
+++ b/thornhollow/fleet/copy_requests.h
@@ -2,13 +2,14 @@
 //
 //   copy_requests requests(copy_request_settings{});
 //   if (const auto from = requests.Tick(peers, own, reads, now)) {
-//     ... request the copies of which it holds later revisions ...
+//     ... request from that peer the copies that are later than `own` ...
 //     ... requests.OnBytes(which, now) for each received chunk ...
 //   }
 //
 // Guards against changes that reach only some instances: the source does not
-// serve this one, or its open watch will never be answered. Its copy then stays
-// behind that of a peer for longer than an answer of the source takes.
+// serve this instance, or the source will never answer the open watch of this
+// instance. The copy of this instance then stays behind that of a peer for
+// longer than an answer of the source takes.
 //
 // Guards against peers that hold the copy but cannot send it in time, because
 // it is large and many request it, or because the link of a peer is saturated
@@ -41,14 +42,15 @@
 
 struct copy_request_settings
 {
-  // Time to be behind before a reader asks a peer: the source's own answer
-  // takes a few milliseconds and usually arrives first.
+  // A reader asks a peer only after its copy has been behind for this long: the
+  // answer of the source takes a few milliseconds and usually arrives first.
   duration mSourceGracePeriod = Milliseconds(250);
-  // Between two requests while still behind.
+  // Time between two requests to peers while the copy is still behind.
   duration mRequestInterval = Milliseconds(250);
-  // Time to be behind the same revision before asking the source, after two
-  // failed requests. A change must be in force within two seconds; the
-  // remaining time is for the answer of the source and for parsing it.
+  // The source is asked once the copy has been behind the same revision for
+  // this long without a transfer in progress, which is time for two failed
+  // requests to peers. A change must be in force within two seconds; the time
+  // that remains is for the answer of the source and for parsing it.
   duration mSourceFallbackDelay = Milliseconds(700);
   // Longest pause between two chunks of an answer; a lost packet is
   // retransmitted within this time.
@@ -78,8 +80,9 @@
   // answer has ended.
   void OnBytes(copied_items aWhich, time_point aNow);
   void OnEnded(copied_items aWhich);
-  // To be called when a peer declined the request, as it is sending as many
-  // large copies as it may. Another peer is asked at the next `Tick`.
+  // To be called when a peer declined the request because it is already sending
+  // as many large copies as its limit allows. The next `Tick` may send another
+  // request at once.
   void OnDeclined() { mNextRequest = time_point{}; }
 
   // Whether requests to peers have failed for so long that this instance should
--- a/thornhollow/fleet/demand_aggregation.h
+++ b/thornhollow/fleet/demand_aggregation.h
@@ -8,16 +8,17 @@
 //   const aggregated_views all = aggregation.Total(own, 195, now);
 //
 // Instances form a ring in an order known to all. In each round an instance
-// sends to those 1, 2, 4, 8, ... positions after it the sum over as many
-// instances up to and including itself, which it computes from the sums
-// received from its predecessors. The number of messages for a total thus grows
-// with the logarithm of the number of instances.
+// sends one message to each of the instances 1, 2, 4, 8, ... positions after
+// it. The message to the instance n positions further on has the sum over the n
+// instances that end with the sender, which the sender computes from the sums
+// received from its predecessors. The number of messages per instance and round
+// thus grows with the logarithm of the number of instances.
 //
-// Guards against diverging estimates in a burst before hundreds of instances.
-// When each received messages from a tenth of the others in a second and
-// extrapolated from these, the instances placed the partition between workload
-// kinds differently, and a third of the engines received streams from some
-// instances and long prompts from others.
+// Guards against diverging estimates when a burst arrives at hundreds of
+// instances. When each instance extrapolated from the messages of the tenth of
+// the others that reached it within a second, the instances divided the engines
+// differently between the workload kinds, and a third of the engines received
+// streams from some instances and long prompts from others.
 //
 // There is no consensus. An unreachable instance leaves a gap, which the
 // instance count of each sum shows. Instances that disagree about the
@@ -82,7 +83,7 @@
 struct demand_aggregation_settings
 {
   duration mInterval = Milliseconds(500);
-  // Older messages are ignored; three rounds.
+  // Messages older than this, about three rounds, are ignored.
   duration mMaxAge = Milliseconds(1'600);
   // Enough for rings of up to 2^10 instances.
   std::size_t mMaxLevels = 10;
--- a/thornhollow/fleet/gossip_size.h
+++ b/thornhollow/fleet/gossip_size.h
@@ -17,8 +17,9 @@
 // Bytes that the seal adds, excluding the sender's name.
 inline constexpr std::size_t kMaxSealOverhead = 48;
 
-// A field header with a length takes at most 3 bytes here, a 64-bit number at
-// most 11 including its header, and a small enumerator 2.
+// Encoded sizes that the functions below add up: the header of a field with a
+// length takes at most 3 bytes, a 64-bit number at most 11 bytes including its
+// header, and a small enumerator 2 bytes.
 inline std::size_t
 MaxEntrySize(const member_digest& aDigest)
 {
--- a/thornhollow/fleet/key_claims.h
+++ b/thornhollow/fleet/key_claims.h
@@ -1,5 +1,5 @@
-// Idempotency keys across instances: definitions shared by holders and
-// witnesses.
+// Idempotency keys across instances: definitions shared by the holder of a key
+// (the instance that received the submission) and the key's witnesses.
 //
 // A caller that retries a request with the same key may reach another instance,
 // and there is no common store that both can query. The instance that receives
@@ -33,23 +33,26 @@
   // Time after which a key may be reused. Must exceed the longest deadline of
   // any class, because a caller may take that long to notice a failed instance.
   duration mLifetime = Seconds(600);
-  // Upper bound on how far an instance's view lags behind the platform's list.
+  // Upper bound on the time by which an instance's view lags behind the
+  // platform's list.
   duration mViewLag = Seconds(30);
   // Timeout of each of the two request steps. A witness answers within a few
   // milliseconds, or within 100 to 200 ms from another region, or not at all.
   duration mRequestTimeout = Milliseconds(300);
   // A longer gap between two calls is treated as a pause of this process.
   duration mClockGap = Seconds(2);
-  // Witnesses per key. With three, two may be lost within a key's lifetime.
+  // Witnesses per key. With three witnesses, two may lose their memory of a key
+  // within its lifetime, and the third can still vouch.
   std::size_t mWitnesses = 3;
-  // With fewer witnesses listed, submissions with a key are refused. With two
-  // witnesses one loss is tolerated, with one none.
+  // Submissions with a key are refused if fewer witnesses than this are listed.
+  // Of two witnesses one may lose its memory of the key, of one witness none.
   std::size_t mMinWitnesses = 2;
   // Keys that a witness remembers. At the peak of the largest deployment each
   // instance receives 7.4 requests per second; if all carry a key, three
   // witnesses and a lifetime of ten minutes give 13,300 keys.
   std::size_t mMaxKeys = 50'000;
-  // Changes to the instances of its own domain that a witness remembers.
+  // Number of past views that a witness remembers, one for each change to the
+  // instances of the witness's own domain.
   std::size_t mMaxViews = 64;
 
   friend bool operator==(const key_claim_settings&,
--- a/thornhollow/fleet/key_holder.h
+++ b/thornhollow/fleet/key_holder.h
@@ -14,8 +14,9 @@
 //
 // Guards against a paused holder: after a pause it would still assume that it
 // holds the key and send the request, although the witnesses have expired the
-// key and another instance has run the request. A pause is detected as a gap
-// between two calls, or as a claim older than half a key's lifetime;
+// key and another instance has run the request. A pause is detected as a long
+// gap between two calls of the holder, or as a claim that was last granted more
+// than half a key's lifetime ago;
 // `BeforeSend` then claims the key again before it returns `run_submission`.
 // The other half of the lifetime is the margin between that check and the bytes
 // leaving the host. After a pause the view of the instances is outdated as
@@ -68,8 +69,8 @@
                          const run_submission&) = default;
 };
 
-// The submission must not run, and the holder no longer tracks it. No
-// `run_submission` resulted from the call that is refused.
+// The submission must not run, and the holder no longer tracks it. The call of
+// `Submit` or `BeforeSend` that is refused has not returned `run_submission`.
 struct refuse_submission
 {
   submission_id mSubmission = 0;
--- a/thornhollow/fleet/large_copy_limiter.h
+++ b/thornhollow/fleet/large_copy_limiter.h
@@ -6,8 +6,9 @@
 // Guards against overload by a configuration of hundreds of kilobytes that one
 // or two instances of a failure domain receive first and all others request
 // from them at once: sent in parallel, each copy takes as long as all of them
-// together. Copies are therefore sent roughly one after the other, at the rate
-// of the instance's link, and the peers that received one serve it in turn.
+// together. Copies are therefore sent roughly one after the other, at the
+// allowed fraction of the rate of the instance's link, and each peer that has
+// received a copy can send it to further peers.
 #ifndef THORNHOLLOW_FLEET_LARGE_COPY_LIMITER_H_
 #define THORNHOLLOW_FLEET_LARGE_COPY_LIMITER_H_
 
--- a/thornhollow/fleet/membership.h
+++ b/thornhollow/fleet/membership.h
@@ -13,8 +13,9 @@
 // member as suspect and disseminates that. A suspected member that is alive
 // refutes the suspicion by raising its incarnation; otherwise it is removed
 // when the suspicion times out. Every message piggybacks the latest changes, so
-// that each reaches all members within a few intervals, and a few other members
-// in turn (anti-entropy), which repairs the loss of a message.
+// that each change reaches all members within a few intervals. It also carries
+// the states of a few other members, different ones each time until all have
+// been sent (anti-entropy), which repairs the loss of a message.
 //
 // The design scales to a fleet of any size. Each instance sends and receives a
 // constant number of datagrams per interval, each of bounded size, and tracks
@@ -75,7 +76,8 @@
   std::size_t mFanout = 4;
   // Members of a domain that exchange messages with each other domain.
   std::size_t mBridgesPerDomain = 2;
-  // Members that a message repeats in turn, in addition to recent changes.
+  // Members whose state a message carries in addition to recent changes; the
+  // next message continues with the members that follow (anti-entropy).
   std::size_t mAntiEntropyMembers = 8;
   // Limit on tracked members; further ones are ignored. The largest deployment
   // has 38 per domain.
@@ -119,8 +121,8 @@
                          const member_changed&) = default;
 };
 
-// A peer has a newer configuration in force and can be asked for it. Repeated
-// at most once per interval while this remains so.
+// A peer has a newer configuration in force and can be asked for it. Returned
+// again, at most once per probe interval, while the peer's version is newer.
 struct newer_configuration
 {
   std::uint64_t mVersion = 0;
@@ -142,8 +144,8 @@
                          const endpoint_leave_reported&) = default;
 };
 
-// This process was paused for `mLength`: views, leases and deadlines from
-// before count as expired.
+// This process was paused for `mLength`: treat views, leases and deadlines from
+// before the pause as expired.
 struct process_paused
 {
   duration mLength{};
--- a/thornhollow/fleet/peer_messages.h
+++ b/thornhollow/fleet/peer_messages.h
@@ -24,7 +24,8 @@
 
 namespace thornhollow {
 
-// Largest sealed datagram: it fits into one packet on any usual path.
+// Maximum size of a sealed datagram, which fits into one packet on any usual
+// network path.
 inline constexpr std::size_t kMaxDatagramBytes = 1200;
 // Maximum entries of one list inside a message; a message with more is rejected
 // as malformed.
@@ -112,7 +113,7 @@
   std::uint64_t mConfigurationVersion = 0;
   std::vector<pool_pressure> mPressures;
   std::vector<leaving_endpoint> mLeaving;
-  // Belongs to the configuration version; see config_hint.
+  // Age that accompanies `mConfigurationVersion`; see config_hint.
   std::optional<duration> mPlatformAge;
 
   friend bool operator==(const gossip_message&,
@@ -208,7 +209,7 @@
   friend bool operator==(const part_answer&, const part_answer&) = default;
 };
 
-// Configuration status of the sender; answered with the same of the receiver.
+// Configuration status of the sender; the receiver answers with its own.
 struct config_status_exchange
 {
   config_word mStatus;
--- a/thornhollow/fleet/relay_peers.h
+++ b/thornhollow/fleet/relay_peers.h
@@ -4,7 +4,7 @@
 //   relay_peers peers(relay_peer_settings{}, "10.0.0.1:7", domain, seeds, 1);
 //   const auto [full, brief, probed] = peers.Tick(now);  // every 100 ms
 //   const auto replyTo = peers.OnHello(hello, now);      // for each datagram
-//   const auto from = peers.FindNewerCopy(own, 0, now);  // to fetch it
+//   const auto from = peers.FindNewerCopy(own, 0, now);  // peer to fetch from
 //
 // There is no consensus. Each instance sends its own state in hellos and uses
 // what it receives for as long as that is fresh. It starts from a few seed
@@ -19,10 +19,11 @@
 // all: those with the widest links, ties broken by a hash of the address. The
 // others take the readers' copies. On a site of 90 engines the list of
 // endpoints changes every second or two, and without readers each change would
-// cost one source call per instance. Readers announce themselves often to their
-// whole domain. An instance that receives messages from too few readers of a
-// higher rank becomes a reader too; lower ranks wait a little longer, so that
-// the hello of the first one reaches them before they start. A reader that the
+// cost one source call per instance. Readers send frequent hellos to their
+// whole domain. An instance that receives hellos from too few readers of a
+// higher rank becomes a reader too. The lower its rank, the longer it waits, so
+// that the hello of the first new reader arrives before others start. A reader
+// that the
 // source does not answer keeps calling it, and one more instance reads
 // alongside it.
 //
@@ -49,8 +50,9 @@
 
 namespace thornhollow {
 
-// What an instance reports of one endpoint: the prompt tokens that it sent and
-// that are not prefilled yet, and the prefill time per token.
+// What an instance reports about one endpoint: the prompt tokens that the
+// instance sent to it and that are not prefilled yet, the prefill time per
+// token, and the requests in flight.
 struct reported_load
 {
   // See `EndpointHash`.
@@ -59,7 +61,7 @@
   // Lowest observed prefill time per prompt token, in nanoseconds; 0 if not
   // observed.
   double mPrefillNanoseconds = 0;
-  // Requests that it sent to the endpoint and that have not ended.
+  // Requests that the instance sent to the endpoint and that have not ended.
   std::uint32_t mInFlight = 0;
 
   friend bool operator==(const reported_load&, const reported_load&) = default;
@@ -146,8 +148,8 @@
 {
   // Capacity of this instance's link, in Mbit/s.
   std::uint32_t mLinkMegabits = 0;
-  // Between two rounds of hellos. Engine load changes with each prompt, whose
-  // prefill takes tens to hundreds of milliseconds.
+  // Time between two rounds of hellos. The load of an engine changes with each
+  // prompt, whose prefill takes tens to hundreds of milliseconds.
   duration mInterval = Milliseconds(250);
   // Recipients of full hellos in each interval.
   std::size_t mFanout = 8;
@@ -243,7 +245,7 @@
   std::optional<time_point> SourceAnswered() const { return mSourceAnswered; }
 
   // Returns a peer that holds a later revision than `aOwn` of either copy, if
-  // any. `aAttempt` selects among equally good ones.
+  // any. `aAttempt` selects among equally good peers.
   std::optional<newer_copy> FindNewerCopy(const known_revisions& aOwn,
                                           std::uint64_t aAttempt,
                                           time_point aNow) const;
@@ -268,14 +270,14 @@
   {
     relay_hello mHello;
     time_point mLastMessage{};
-    // When its loads and demand were last received.
+    // When the loads and demand of the peer were last received.
     std::optional<time_point> mLastFullHello = std::nullopt;
   };
 
   static void UpdatePeer(peer& aPeer,
                          const relay_hello& aHello,
                          time_point aNow);
-  // Whether its loads and demand are recent enough to be used.
+  // Whether the loads and demand of the peer are recent enough to be used.
   bool HasFreshLoad(const peer& aPeer, time_point aNow) const;
   std::size_t CountFreshLoads(time_point aNow) const;
   // All instances in ring order; those of one domain are adjacent.
@@ -292,14 +294,15 @@
   std::vector<std::string> DomainPeers() const;
   // Whether all instances of a domain of this size read the source.
   bool AllRead(std::size_t aDomainSize) const;
-  // Counts of the instances of this domain that rank above this one.
+  // Counts of instances of this domain: `mInDomain` counts all of them
+  // including this one, the others only those that rank above this one.
   struct higher_ranked
   {
     std::size_t mInDomain = 1;
     std::size_t mCount = 0;
-    // Those from which a message arrived within the reader time-out.
+    // Those from which a hello arrived within the last `mReaderTimeout`.
     std::size_t mActive = 0;
-    // Those among `mActive` that the source answers.
+    // Those among `mActive` that do not report a failing source.
     std::size_t mServed = 0;
   };
   higher_ranked HigherRanked(time_point aNow) const;
--- a/thornhollow/fleet/shared_state.h
+++ b/thornhollow/fleet/shared_state.h
@@ -8,11 +8,13 @@
 // Pressures: an instance that sheds low tiers reports this to the others, so
 // that they do not admit those tiers meanwhile. One pressure is kept per pool
 // rather than per instance: the tightest known one with an age below
-// `kPressureLifetime`. Without this limit one instance's burst would keep the
-// lower tiers out of the whole domain, because each instance would receive its
-// own report back from the others. Messages carry ages, which only grow, so
-// that each report expires everywhere. An instance must derive its own pressure
-// from its own queue alone and repeat it every second while it lasts.
+// `kPressureLifetime`. Without this age limit a burst at one instance would
+// keep the lower tiers out of the whole domain after it has ended, because each
+// instance would receive its own report back from the others. Messages carry
+// the age of a report, which only grows as the report is passed on, so that the
+// report expires at every instance. An instance must derive its own pressure
+// from its own queue alone and report it again every second while the pressure
+// lasts.
 //
 // Leaving endpoints: a report has a version and a remaining time. Its expiry is
 // fixed when the version is first received; later copies, however late, do not
@@ -32,7 +34,8 @@
 
 namespace thornhollow {
 
-// Three gossip intervals, so that one lost message does not expire a report.
+// Three gossip intervals of one second, so that a report does not expire
+// because one message was lost.
 inline constexpr duration kPressureLifetime = Seconds(3);
 // Maximum time for which a report about a leaving endpoint is valid. By then
 // the platform's list shows the same, or the endpoint has reported it again.
