--- a/thornhollow/fleet/copy_requests_test.cc
+++ b/thornhollow/fleet/copy_requests_test.cc
@@ -111,9 +111,9 @@
   CHECK(TickAfter(Milliseconds(100), { 29, 34 }, false) == kConfiguration);
 }
 
-// Guards against restarting the delay with each change of a series: a reader
-// that is always behind by the last change already knows that its source is
-// late.
+// Guards against a reader that waits for `mSourceGracePeriod` anew after each
+// change of a series. A reader that has been behind throughout the series need
+// not wait again, because the source evidently does not answer it in time.
 TEST_CASE_FIXTURE(one_peer_with_newer_copies,
                   "copy_requests/reader_behind_in_a_series/asks_on")
 {
@@ -129,8 +129,9 @@
   CHECK(result->mRevisions.mConfiguration == 36);
 }
 
-// Guards against all instances asking the source during a series of changes,
-// each of which reaches them in time through a peer.
+// Guards against all instances asking the source during a series of changes:
+// they are behind at every moment, although each change reaches them through a
+// peer in time.
 TEST_CASE_FIXTURE(one_peer_with_newer_copies,
                   "copy_requests/behind_another_revision/the_time_begins_anew")
 {
--- a/thornhollow/fleet/demand_aggregation.cc
+++ b/thornhollow/fleet/demand_aggregation.cc
@@ -46,8 +46,9 @@
     levels.push_back(next);
     const aggregation_message* preceding = FreshMessage(level, aNow);
     if ((aInstances & blockSize) != 0) {
-      // This bit of the instance count is set, so the remainder now covers this
-      // block and the preceding instance's remainder before it.
+      // The bit of this level is set in the instance count, so the remainder of
+      // the next level covers the block of this level and, before that block in
+      // ring order, the remainder that was received at this level.
       next.mRemainder = next.mBlock;
       if (preceding != nullptr) {
         AddViews(next.mRemainder, preceding->mRemainder);
--- a/thornhollow/fleet/demand_aggregation_test.cc
+++ b/thornhollow/fleet/demand_aggregation_test.cc
@@ -12,8 +12,8 @@
 const pool_name kPool("engines");
 const workload_kind kKind{ Seconds(2), Seconds(1) };
 
-// Instances that exchange aggregation messages in virtual time. The demand of
-// each is unrelated to its position on the ring.
+// Instances that exchange aggregation messages in virtual time. The demand at
+// an instance is unrelated to the position of the instance on the ring.
 struct simulated_ring
 {
   instance_ring mRing;
@@ -100,8 +100,8 @@
   }
 }
 
-// Guards against too much control traffic: these messages are sent in addition
-// to up to 18 KB of hellos per second.
+// Guards against too much control traffic: an instance sends the aggregation
+// messages in addition to up to 18 KB of hellos per second.
 TEST_CASE_FIXTURE(simulated_ring,
                   "demand_aggregation/420_instances/few_messages")
 {
@@ -110,7 +110,8 @@
   CHECK(mMessages <= 420 * 10 * 2 * 9);
 }
 
-// Guards against partitions that follow a burst only seconds later.
+// Guards against partitions of the engines between workload kinds that follow a
+// burst too late because its demand becomes known only after many seconds.
 TEST_CASE_FIXTURE(simulated_ring,
                   "demand_aggregation/burst/is_known_in_three_seconds")
 {
@@ -124,7 +125,8 @@
   }
 }
 
-// Guards against taking partial sums for totals when instances are gone.
+// Guards against taking partial sums for totals when some instances have
+// stopped.
 TEST_CASE_FIXTURE(simulated_ring,
                   "demand_aggregation/a_quarter_stops/most_are_heard")
 {
@@ -138,7 +140,8 @@
   for (std::size_t each = 1; each < 195; each += 4) {
     const aggregated_views result = TotalOf(each);
     CHECK(result.mInstances <= 150);
-    // With so few instances covered, the recent full hellos are used instead.
+    // A sum over fewer than 20 instances is not used: the recent full hellos
+    // then cover more instances.
     if (result.mInstances < 20) {
       continue;
     }
--- a/thornhollow/fleet/heavy_load_test.cc
+++ b/thornhollow/fleet/heavy_load_test.cc
@@ -9,9 +9,9 @@
 constexpr std::size_t kBriefs = 1;
 constexpr std::size_t kTags = 2;
 
-// 195 instances and 84 engines with twelve slots each. The workload kinds are
-// long answers to long prompts with a first-event target of two seconds,
-// streams with a tight bound on pauses, and short urgent answers.
+// 195 instances and 84 engines with twelve slots each. There are three workload
+// kinds: long answers to long prompts, whose first event is due within two
+// seconds; streams with a tight bound on pauses; and short urgent answers.
 load_shape
 ManyInstancesSmallEngines()
 {
@@ -63,7 +63,8 @@
     mFleet.Run(aFor);
   }
 
-  // Stops all arrivals; open requests end or their callers give up.
+  // Stops all arrivals and runs for `aMaxDuration`, in which the requests in
+  // progress end or are abandoned by their callers.
   void Drain(duration aMaxDuration) { Load(0, 0, 0, aMaxDuration); }
 };
 
@@ -77,8 +78,8 @@
   Drain(Seconds(12));
   CHECK(mFleet.Result(kBriefs).InTimeFraction() >= 0.75);
   CHECK(mFleet.Result(kTags).InTimeFraction() >= 0.5);
-  // Requests that cannot be served in time are refused; few callers wait in
-  // vain.
+  // Requests that cannot be served in time are refused, so that few callers
+  // wait without receiving an answer.
   const load_result& plans = mFleet.Result(kPlans);
   CHECK(plans.mTimedOut + plans.mDeclined <= plans.mRequests / 20);
   CHECK(plans.mRefused > 0);
--- a/thornhollow/fleet/key_claims_test.cc
+++ b/thornhollow/fleet/key_claims_test.cc
@@ -37,16 +37,16 @@
   mFleet.RunFor(Seconds(40));
   CHECK(mFleet.Runs(kKey) == 1);
   // Each of the three witnesses receives one claim and one end notification.
-  // With more, the claims of a busy fleet would exceed the control traffic
-  // budget at peak load.
+  // With more messages per submission, a busy fleet would exceed its budget of
+  // control traffic at peak load.
   CHECK(mFleet.RequestsSent() == 6);
 }
 
 TEST_CASE_FIXTURE(key_fleet, "key/both_submissions_at_once/exactly_one_runs")
 {
-  // A caller's connection breaks immediately and it retries; the load balancer
-  // sends the retry to another instance while the first submission is still in
-  // progress.
+  // A caller's connection breaks immediately and the caller retries; the load
+  // balancer sends the retry to another instance while the first submission is
+  // still in progress.
   for (claim_key key = 0; key < 200; ++key) {
     mFleet.Submit(0, key);
     mFleet.Submit(1, key);
@@ -127,8 +127,9 @@
 
 TEST_CASE_FIXTURE(key_fleet, "key/holder_wakes_late/claims_again_or_refuses")
 {
-  // An instance is paused between its grants and the send. It resumes after the
-  // witnesses have expired the key and another instance has run the request.
+  // An instance is paused after its key was granted and before it sends the
+  // request. It resumes after the witnesses have expired the key and another
+  // instance has run the request.
   mFleet.mMaxSendDelay = Milliseconds(0);
   const auto first = mFleet.Submit(0, kKey);
   mFleet.RunFor(Milliseconds(2));
@@ -206,8 +207,8 @@
   // key from before the restart can be live.
   const auto witnesses = mFleet.WitnessNodes(kKey);
   mFleet.Submit(NonWitnessNode(), kKey);
-  // After the last retry of the end notification, which would inform the
-  // restarted witnesses.
+  // Waits until the last retry of the end notification has been sent, which
+  // would otherwise inform the restarted witnesses.
   mFleet.RunFor(Seconds(35));
   for (const std::size_t each : witnesses) {
     mFleet.Restart(each);
@@ -225,8 +226,8 @@
 
 TEST_CASE_FIXTURE(key_fleet, "key/views_differ/is_refused")
 {
-  // The list lags: the holder has the new one and the witness the old one, so
-  // they disagree about who the witnesses are.
+  // The list of instances lags behind: the holder has the new list and the
+  // witness the old one, so they disagree about which instances are witnesses.
   const key_claim_settings settings;
   const auto view = [](std::uint64_t aVersion, int aFirst) {
     claim_view out{ { domain_name("hall") }, { aVersion, {} } };
--- a/thornhollow/fleet/key_holder.cc
+++ b/thornhollow/fleet/key_holder.cc
@@ -7,13 +7,15 @@
 namespace thornhollow {
 namespace {
 
-// Delays after which the end of a submission is sent again: they cover a lost
-// message, a short pause of the witness and a longer one.
+// Delays after which a notification of the end of a submission is sent again.
+// They cover, in this order, a lost message, a short pause of the witness and a
+// longer pause.
 constexpr std::array<duration, 3> kNotificationRetryDelays = { Seconds(1),
                                                                Seconds(5),
                                                                Seconds(25) };
 // Limit on notifications that await a retry. At 7.4 requests per second, the
-// peak of the largest deployment, the 31 s of retries hold 230.
+// peak of the largest deployment, about 230 notifications are waiting during
+// the 31 s that the retries take.
 constexpr std::size_t kMaxPendingNotifications = 4096;
 
 error_kind
@@ -94,7 +96,8 @@
   DetectPause(aNow);
   claim* const found = FindBySubmission(aSubmission);
   if (found == nullptr) {
-    // Already refused as "not run"; sending it now would break that guarantee.
+    // The submission was already refused as "not run"; sending it now would
+    // make that answer wrong.
     out.emplace_back(
       refuse_submission{ aSubmission, error_kind::kKeyWitnessUnreachable });
     return out;
@@ -126,7 +129,8 @@
   }
   claim& pendingClaim = found->second;
   if (aNow - pendingClaim.mLastRequestAt >= mSettings.mRequestTimeout) {
-    // Read after a pause: the witness may have expired the grant by now.
+    // The answer was read after a pause of this process: the witness may have
+    // expired the grant by now.
     Refuse(pendingClaim, error_kind::kKeyWitnessUnreachable, aNow, out);
   } else if (aAnswer.mVerdict == claim_verdict::kGranted) {
     OnGranted(pendingClaim, aAnswer, aNow, out);
@@ -316,8 +320,9 @@
 key_holder::Renew(claim& aClaim, time_point aNow, key_actions& aOut)
 {
   aClaim.mNextRenewal = aNow + mSettings.mLifetime / 4;
-  // Also notifies instances that have become witnesses in the meantime, so that
-  // replacements during a long run do not accumulate.
+  // Also claims the key from instances that have become witnesses since the
+  // last renewal. Otherwise, during a long run, all witnesses that know the key
+  // could be replaced one after the other.
   aClaim.mRequest.mWitnesses =
     WitnessesOf(aClaim.mRequest.mKey, mView, mSettings.mWitnesses);
   for (const instance_name& each : aClaim.mRequest.mWitnesses) {
--- a/thornhollow/fleet/key_search_test.cc
+++ b/thornhollow/fleet/key_search_test.cc
@@ -1,5 +1,6 @@
-// Randomized search for faults that make a key run twice. Each seed yields a
-// list of events, and the invariant is checked after each event. CI runs a
+// Randomized search for faults that make the request of a key run twice. Each
+// seed yields a list of events, and the invariant is checked after each event:
+// no two runs of a key are less than `mMinAllowedInterval` apart. CI runs a
 // fixed number of seeds; for a longer search:
 // THORNHOLLOW_KEY_SEEDS=20000 fleet_test -tc="key_search/*".
 
@@ -40,8 +41,9 @@
 struct key_search
 {
   key_protections mProtections;
-  // In milliseconds. With this default all submissions of a key fall within its
-  // lifetime (60 s here): 30 events at most 1.9 s apart.
+  // Maximum time between two events, in milliseconds. With this default all
+  // submissions of a key fall within its lifetime, which is 60 s here: there
+  // are 30 events.
   std::int64_t mMaxEventGap = 1'900;
   std::int64_t mNodes = 5;
   std::size_t mDomains = 1;
@@ -51,7 +53,7 @@
   duration mMaxSendDelay = Seconds(3);
   duration mRunDuration = Milliseconds(700);
   // Minimum time between two runs of submissions with the same key; a shorter
-  // interval is a failure. With this default any second run is one.
+  // interval is a failure. With this default any second run is a failure.
   duration mMinAllowedInterval = Seconds(1'000'000);
 
   std::vector<search_event> Events(std::uint64_t aSeed) const
@@ -138,7 +140,7 @@
     return out;
   }
 
-  // Returns the seeds from 1 to `aSeeds` whose events make a key run twice.
+  // Returns the seeds from 1 to `aSeeds` whose events violate the invariant.
   std::vector<std::uint64_t> FailingSeeds(int aSeeds)
   {
     std::vector<std::uint64_t> out;
@@ -181,8 +183,8 @@
   }
 }
 
-// The same search must find double runs once one protection is disabled;
-// otherwise the test above would prove nothing.
+// With a protection disabled, the search of key_search must find requests that
+// run twice; otherwise its success with all protections would prove nothing.
 TEST_CASE_FIXTURE(key_search, "key_search/without_claims/keys_run_twice")
 {
   mProtections.mClaims = false;
@@ -199,8 +201,8 @@
   CHECK(!failing.empty());
 }
 
-// Callers that retry for longer than a key's lifetime, and instances that pause
-// for longer than that.
+// Callers that retry for longer than a key's lifetime, and instances that may
+// be paused for longer than a key's lifetime.
 struct long_key_search : key_search
 {
   long_key_search()
--- a/thornhollow/fleet/key_witness.cc
+++ b/thornhollow/fleet/key_witness.cc
@@ -39,7 +39,7 @@
   mViews.push_back({ std::move(trimmed), aNow });
   if (mViews.size() > mSettings.mMaxViews) {
     mViews.pop_front();
-    // Views from before that time are no longer known.
+    // Views older than the oldest remembered one are no longer known.
     mHistoryCompleteSince =
       std::max(mHistoryCompleteSince, mViews.front().mSince);
   }
@@ -79,8 +79,8 @@
 key_witness::DetectPause(time_point aNow)
 {
   // During the pause this instance may have been removed from the list and
-  // added again, while keys were granted without it. Its view is also older
-  // than the allowed lag.
+  // added again, while other witnesses granted keys without it. After a long
+  // pause its view may also be older than the allowed lag.
   if (aNow - mLastCall > mSettings.mClockGap) {
     mHistoryCompleteSince = aNow;
     mViews.clear();
@@ -191,9 +191,9 @@
 void
 key_witness::RecordUsed(const claim_request& aRequest, time_point aNow)
 {
-  // Recorded even if the key is unknown here (this witness is new) or held by
-  // another submission: the request may have run, so no one may be granted the
-  // key.
+  // The end is recorded even if this witness does not know the key, because it
+  // is new, or if another submission holds the key: the request may have run,
+  // so the key must not be granted to any submission.
   entry* const used = StoreEntry(aRequest, aNow);
   if (used != nullptr) {
     used->mState = entry_state::kUsed;
--- a/thornhollow/fleet/knowledge_spread_test.cc
+++ b/thornhollow/fleet/knowledge_spread_test.cc
@@ -8,10 +8,10 @@
 namespace thornhollow {
 namespace {
 
-// Long enough for all instances to have met.
+// Time after which all instances know each other.
 constexpr duration kSettled = Seconds(15);
-// Bound for the change to be in force everywhere if the answer of the source
-// alone takes most of a second.
+// Maximum time until a change is in force everywhere if the transfer of the
+// answer of the source alone takes most of a second.
 constexpr duration kMaxChangeDelayOnNarrowLinks = Seconds(3);
 
 // Guards against a configuration that stays outdated because its answers arrive
@@ -42,9 +42,10 @@
   }
 }
 
-// Guards against sending work to endpoints for seconds after they left, because
-// an instance that the source does not answer makes others take them for
-// endpoints whose leases lapsed in an outage.
+// Guards against sending work to endpoints for seconds after they left. This
+// came about when the source did not answer one instance: other instances then
+// assumed an outage, and took the endpoints that had left for endpoints whose
+// leases lapsed in the outage.
 TEST_CASE("knowledge_spread/source_fails_one_reader/leaving_is_known_in_time")
 {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
--- a/thornhollow/fleet/large_copy_limiter_test.cc
+++ b/thornhollow/fleet/large_copy_limiter_test.cc
@@ -13,8 +13,8 @@
   time_point mNow = time_point() + Seconds(100);
 };
 
-// Guards against a link that is saturated by copies that their recipients no
-// longer wait for.
+// Guards against a link saturated by so many concurrent copies that their
+// recipients time out before the copies arrive.
 TEST_CASE_FIXTURE(idle_limiter,
                   "large_copy_limiter/many_ask/two_get_it_at_once")
 {
@@ -27,8 +27,8 @@
   CHECK(mLimiter.TryAdmit(kDocument, mNow));
 }
 
-// Guards against a limit that does not fit the link: on one narrower than most,
-// only few copies can be sent in a second.
+// Guards against a limit that ignores the capacity of the link: over a narrow
+// link only few copies can be sent in a second.
 TEST_CASE("large_copy_limiter/links/are_used_as_far_as_they_carry")
 {
   for (const double bytesPerSecond : { 1'250'000.0, 25'000'000.0 }) {
@@ -47,8 +47,8 @@
   }
 }
 
-// Guards against notices of leaving endpoints that are delayed by a
-// configuration.
+// Guards against notices of leaving endpoints, which are small, being refused
+// while copies of a large configuration are sent.
 TEST_CASE_FIXTURE(idle_limiter,
                   "large_copy_limiter/small_ones/are_always_given")
 {
--- a/thornhollow/fleet/member_search_test.cc
+++ b/thornhollow/fleet/member_search_test.cc
@@ -99,7 +99,8 @@
     }
   }
 
-  // Whether `aNode` has run undisturbed for long enough to be known to all.
+  // Whether `aNode` has run without an injected fault for long enough to be in
+  // the views of all members that it can reach.
   static bool IsStable(const fake_network& aNetwork,
                        const fake_network::node& aNode)
   {
@@ -205,8 +206,9 @@
 {
   // Instances die, restart, pause and are partitioned while datagrams are lost,
   // duplicated and delayed. Two running instances that can reach each other
-  // must not keep each other removed: each would refuse keys that the other
-  // witnesses, and miss configurations.
+  // must not permanently list each other as removed: each would refuse
+  // submissions with keys that the other one witnesses, and would not learn of
+  // new configurations from it.
   const auto failing = FailingSeeds(SeedCount());
   MESSAGE("seeds ", SeedCount(), ", failing ", failing.size());
   for (const std::uint64_t seed : failing) {
@@ -216,9 +218,9 @@
 
 TEST_CASE_FIXTURE(member_search, "member_search/seeds_that_failed/hold")
 {
-  // Two members alone on one side of a partition did not find each other for
-  // more than 15 s: they pinged members that were not alive at random, one per
-  // interval, and a few pings were lost.
+  // In these seeds, two members alone on one side of a partition did not find
+  // each other for more than 15 s: each pinged one random member per interval
+  // among those that it did not consider alive, and a few pings were lost.
   for (const std::uint64_t seed : { 763, 925, 2167, 5872 }) {
     CHECK(Run(Events(seed), seed) == "");
   }
--- a/thornhollow/fleet/membership.cc
+++ b/thornhollow/fleet/membership.cc
@@ -177,9 +177,10 @@
     mNextProbe = aNow + mSettings.mProbeInterval;
     PurgeMembers(aNow);
     StartProbe(aNow, out);
-    // An instance that sees no other alive has no probes to spend and should be
-    // found sooner: with one ping per interval, two members alone on one side
-    // of a partition took more than 15 s to find each other when two pings were
+    // An instance that considers no other member alive has none to probe. It
+    // therefore pings several of the members that it does not consider alive:
+    // with one such ping per interval, two members alone on one side of a
+    // partition took more than 15 s to find each other when two pings were
     // lost.
     const std::size_t pingCount = mProbe ? 1 : mSettings.mFanout;
     for (std::size_t count = 0; count < pingCount; ++count) {
@@ -509,7 +510,8 @@
   member_digest suspect = found->second.mDigest;
   suspect.mStatus = member_status::kSuspect;
   ApplyDigest(found->second, suspect, aNow, aOut);
-  // A member that is alive learns of the suspicion at once and can refute it.
+  // Tells the member that it is suspected, so that it can refute the suspicion
+  // at once if it is alive.
   SendTo(failed.mTarget,
          Compose(gossip_kind::kPing, mNextExchange++, {}),
          aNow,
@@ -537,8 +539,9 @@
     return aEntry.second.mListedOnly ||
            aEntry.second.mDigest.mStatus != member_status::kAlive;
   };
-  // Round-robin: with random picks, two members alone on one side of a
-  // partition missed each other for more than 15 s.
+  // Visits these members in order of their names: with random picks, two
+  // members alone on one side of a partition did not ping each other for more
+  // than 15 s.
   auto next = std::find_if(
     mMembers.upper_bound(mLastNotAlive), mMembers.end(), isNotAlive);
   if (next == mMembers.end()) {
@@ -562,7 +565,8 @@
     if (!IsBridgeTo(domain)) {
       continue;
     }
-    // A random one: a listed instance that is gone costs only one interval.
+    // The recipient is chosen at random for each interval, so that a listed
+    // instance that no longer runs costs only one interval.
     const listed_instance& to = listed[mRandom() % listed.size()];
     gossip_message message = Compose(aKind, mNextExchange++, {});
     Piggyback(message, to.mName, false, aNow);
@@ -662,7 +666,8 @@
 std::uint32_t
 membership::MaxTransmissions() const
 {
-  // Three times the number of rounds in which gossip reaches all members.
+  // Three times the number of gossip rounds that it takes to reach all members,
+  // which is about the binary logarithm of the number of members.
   return 3 * static_cast<std::uint32_t>(std::bit_width(mMembers.size() + 1));
 }
 
--- a/thornhollow/fleet/membership.h
+++ b/thornhollow/fleet/membership.h
@@ -59,9 +59,9 @@
   duration mAckTimeout = Milliseconds(250);
   // Without an ack to any probe within this time the member is suspected.
   duration mProbeTimeout = Milliseconds(750);
-  // Time that a suspected member has to refute. An update reaches all 38
-  // members of a domain within one to two intervals, so three leave room for
-  // message loss.
+  // Time that a suspected member has to refute the suspicion. An update reaches
+  // all members of a domain of 38 within one to two probe intervals, so three
+  // intervals leave room for message loss.
   duration mSuspicionTimeout = Seconds(3);
   // A longer gap between two calls is treated as a pause of this process.
   duration mClockGap = Seconds(2);
@@ -121,8 +121,9 @@
                          const member_changed&) = default;
 };
 
-// A peer has a newer configuration in force and can be asked for it. Returned
-// again, at most once per probe interval, while the peer's version is newer.
+// A peer has a newer configuration in force and can be asked for it. For the
+// same version this is repeated at most once per probe interval, until this
+// instance reports that version with `OnConfiguration`.
 struct newer_configuration
 {
   std::uint64_t mVersion = 0;
@@ -242,7 +243,7 @@
     bool mListed = false;
     // Time of the last status change.
     time_point mStatusSince{};
-    // Number of messages that still carry its last change.
+    // Number of further messages that will carry the member's last change.
     std::uint32_t mTransmissionsLeft = 0;
   };
 
--- a/thornhollow/fleet/membership_test.cc
+++ b/thornhollow/fleet/membership_test.cc
@@ -79,8 +79,9 @@
 
 TEST_CASE_FIXTURE(one_domain, "membership/short_pause/suspicion_is_refuted")
 {
-  // A member is paused for 2.5 s (a slow host) and resumes. It is suspected
-  // meanwhile; removing it would move its claims needlessly.
+  // A member is paused for 2.5 s, as on a slow host, and resumes. It is
+  // suspected during the pause but must not be removed: a removal would
+  // needlessly move the member's idempotency-key claims to other members.
   mNetwork.Pause("n2");
   mNetwork.RunFor(Milliseconds(2'500));
   mNetwork.Resume("n2");
@@ -201,7 +202,8 @@
       }));
     }
   }
-  // The report expires everywhere, however often it was repeated.
+  // The report expires at every instance, however often instances have passed
+  // it on.
   mNetwork.RunFor(Seconds(20));
   for (const auto& [name, each] : mNetwork.Nodes()) {
     CHECK(each.mCore->Shared().Leaving(mNetwork.Now()).empty());
--- a/thornhollow/fleet/relay_peers.h
+++ b/thornhollow/fleet/relay_peers.h
@@ -95,8 +95,9 @@
 // State that an instance sends to its peers.
 struct relay_hello
 {
-  // Has no loads, demand or peers; the receiver keeps those of the last full
-  // hello. Announces the instance and its revisions to many peers at once.
+  // Whether this is a brief hello, which has no loads, demand or peers; the
+  // receiver keeps those of the last full hello. Brief hellos announce the
+  // instance and its revisions to many peers at once.
   bool mBrief = false;
   // Listening address, "ip:port".
   std::string mAddress;
@@ -250,8 +251,8 @@
                                           std::uint64_t aAttempt,
                                           time_point aNow) const;
 
-  // Number of live instances including this one; 0 before the first hello is
-  // received.
+  // Number of live instances including this one; the largest of the last
+  // `mCountRetention`. 0 before the first hello is received.
   std::size_t Count(time_point aNow) const;
   std::size_t Alive() const { return mPeers.size(); }
 
--- a/thornhollow/fleet/relay_peers_test.cc
+++ b/thornhollow/fleet/relay_peers_test.cc
@@ -93,8 +93,8 @@
   }
 }
 
-// Guards against sums over only a part of the fleet because instances know too
-// few peers.
+// Guards against sums of load and demand that cover only a part of the fleet
+// because instances know too few peers.
 TEST_CASE_FIXTURE(hello_fleet, "relay_peers/many_start_at_once/all_meet_soon")
 {
   for (int each = 0; each < 195; ++each) {
@@ -141,10 +141,10 @@
   CHECK(mPeers["a"]->RemoteLoad(mNow).at(1).mPrefillTokens == 20);
 }
 
-// Guards against demand that lags behind a burst. With a burst of long prompts
-// at 90 instances, each received messages from a third of the others in a
-// second; summing old reports with new ones showed the burst only when half of
-// it was over, too late to partition the engines.
+// Guards against an estimate of the demand that lags behind a burst. In a burst
+// of long prompts at 90 instances, each instance received hellos from only a
+// third of the others within a second. Sums of old and new reports showed the
+// burst only when half of it was over, too late to partition the engines.
 TEST_CASE("relay_peers/burst_at_many/shows_by_those_heard_a_moment_ago")
 {
   const pool_name pool("plans");
@@ -174,8 +174,8 @@
   CHECK(subject.FleetViews({}, now).empty());
 }
 
-// Guards against control traffic above the limit: with 420 instances hellos
-// alone took 35 KB/s per instance, twice what is allowed.
+// Guards against control traffic above the limit of 18 KB/s: with 420 instances
+// the hellos alone once took 35 KB/s per instance.
 TEST_CASE("relay_peers/four_hundred_and_twenty/hellos_stay_within_the_bound")
 {
   const time_point start = time_point() + Seconds(100);
@@ -197,7 +197,8 @@
   CHECK(subject.Alive() == 419);
 }
 
-// The readers of a domain of 30 instances, without those that are cut off.
+// A domain of 30 instances. `Readers` returns its readers, except instances
+// that are cut off.
 struct domain_of_thirty : hello_fleet
 {
   domain_of_thirty()
@@ -226,8 +227,8 @@
   CHECK(Readers().size() == 2);
 }
 
-// Guards against a domain that receives a large configuration over the link of
-// its smallest instance.
+// Guards against a domain that receives a large configuration slowly because an
+// instance with a narrow link is its reader.
 TEST_CASE_FIXTURE(hello_fleet, "relay_peers/links_differ/the_widest_read")
 {
   mSettings.mReaders = 2;
@@ -243,7 +244,8 @@
 }
 
 // Guards against taking a leaving endpoint for one whose lease lapsed in an
-// outage, because the source does not answer the peer that reports it.
+// outage: a peer that the source does not answer reports an outage, although
+// the source answers other instances.
 TEST_CASE("relay_peers/source_answers_some/its_latest_answer_is_known")
 {
   relay_peers subject(relay_peer_settings{}, "me", kHall, {}, 1);
@@ -394,7 +396,7 @@
   CHECK(places[domain_name("a")].size() == 3);
   CHECK(TurnOf("a1", domain_name("a")).mCount == 3);
   CHECK(TurnOf("c1", domain_name("c")) == watch_stagger{ 0, 1, 1 });
-  // The domains are spread over one watch period.
+  // The watches of different domains end at different times of a watch period.
   CHECK(phases[domain_name("a")] < phases[domain_name("b")]);
   CHECK(phases[domain_name("b")] < phases[domain_name("c")]);
 }
--- a/thornhollow/fleet/shared_state.cc
+++ b/thornhollow/fleet/shared_state.cc
@@ -122,8 +122,9 @@
   }
   const int known = at->second.mPressure.mLowestAdmitted;
   const int received = aNew.mPressure.mLowestAdmitted;
-  // A smaller number admits fewer tiers. Between equal ones the more recent
-  // wins; otherwise a wait that has shortened would keep its old value.
+  // A smaller number of admitted tiers is tighter. Of two equal pressures the
+  // more recent one is kept; otherwise a reported wait that has become shorter
+  // would keep its old value.
   if (received < known ||
       (received == known && aNew.mMeasuredAt > at->second.mMeasuredAt)) {
     at->second = aNew;
--- a/thornhollow/fleet/silent_source_test.cc
+++ b/thornhollow/fleet/silent_source_test.cc
@@ -11,7 +11,7 @@
 namespace thornhollow {
 namespace {
 
-// Long enough for all instances to have met.
+// Time after which all instances know each other.
 constexpr duration kSettled = Seconds(15);
 
 // Guards against refused calls, or calls on an outdated route, at every
@@ -20,10 +20,10 @@
 // stopped answering for two seconds and recovered, and a second change was
 // acknowledged. No watch ended before three seconds after the first change, and
 // each was abandoned two seconds later: every instance waited for an answer
-// that would never come, and none sent a new request. In the logs of late
-// instances the watch of the configuration had been open for 6.9 s and last
-// been answered 6 s ago, that of the endpoints 0.9 s ago, and the change came
-// from a peer.
+// that would never come, and none sent a new request. In the logs of the
+// instances that received the second change late, the watch of the
+// configuration had been open for 6.9 s and had last been answered 6 s before,
+// that of the endpoints 0.9 s before, and the change came from a peer.
 TEST_CASE("silent_source/silence_after_a_change_that_all_heard/"
           "next_change_is_in_force_in_time")
 {
@@ -129,8 +129,8 @@
   CheckSeeds({ .mDomains = 4, .mPerDomain = 2 }, 60);
 }
 
-// Guards against relying on an instance whose turn it is to ask the source but
-// which has stopped.
+// Guards against changes that arrive late because the instance whose turn it is
+// to ask the source has stopped.
 TEST_CASE("silent_source/instances_stop/every_change_is_in_force_in_time")
 {
   CheckSeeds({ .mDomains = 3, .mPerDomain = 2 }, 60, true);
@@ -160,8 +160,9 @@
         ToSeconds(silent_source_fleet::kMaxChangeDelay));
 }
 
-// Guards against sending work to endpoints for seconds after they left, where
-// readers follow the source and several endpoints leave during one copy.
+// Guards against sending work to endpoints for seconds after they left, in
+// domains with readers, when several endpoints leave while one copy is being
+// transferred.
 TEST_CASE("silent_source/readers_and_leaving_endpoints/all_know_in_time")
 {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
@@ -201,7 +202,8 @@
 }
 
 // Guards against a domain that receives no changes between the failure of its
-// readers and their replacement; instances of other domains must report them.
+// readers and their replacement; instances of other domains must report the
+// changes to it.
 TEST_CASE("silent_source/readers_of_a_domain_stop/next_change_is_in_time")
 {
   for (std::uint64_t seed = 1; seed <= 2; ++seed) {
--- a/thornhollow/fleet/testing/fake_key_fleet.h
+++ b/thornhollow/fleet/testing/fake_key_fleet.h
@@ -1,6 +1,6 @@
 // For tests: simulates instances with a `key_holder` and a `key_witness` each,
-// a lagging list and a faulty network in virtual time, and counts how often
-// each key was run.
+// a list of instances that lags behind and a faulty network in virtual time,
+// and counts how often the request of each key was run.
 //
 //   fake_key_fleet fleet(link_quality{}, seed);
 //   fleet.Start(5);
@@ -62,11 +62,11 @@
   key_claim_settings mSettings{ .mLifetime = Seconds(60),
                                 .mViewLag = Seconds(5) };
   key_protections mProtections;
-  // Maximum time between a grant and the send.
+  // Maximum time between the grant of a key and sending the request.
   duration mMaxSendDelay = Milliseconds(500);
   // Number of domains across which the instances are spread.
   std::size_t mDomains = 1;
-  // Duration of a run.
+  // Time that an endpoint takes to run a request.
   duration mRunDuration = Milliseconds(700);
 
   // Starts the instances and runs until their witnesses have been up long
@@ -113,16 +113,16 @@
     });
   }
 
-  // The process dies and another starts under the same name, without its
-  // memory.
+  // The process dies, and another one starts under the same name without the
+  // keys that the first one remembered.
   void Restart(std::size_t aNode)
   {
     StartProcess(aNode, mNodes[aNode].mName);
     DeliverView(aNode);
   }
 
-  // Replaces the instance by one with a different name; the list shows it after
-  // a lag.
+  // Replaces the instance by one with a different name, which the other
+  // instances find in the list after a lag.
   void Replace(std::size_t aNode)
   {
     StartProcess(aNode, "r" + std::to_string(++mReplaced));
@@ -275,8 +275,8 @@
     }
   }
 
-  // Delivers the current list after a random lag, provided the process is still
-  // the same and not paused.
+  // Delivers the current list after a random lag, provided that the node then
+  // still runs the same process and is not paused.
   void DeliverView(std::size_t aNode)
   {
     const auto lag = std::uniform_int_distribution<std::int64_t>(
@@ -334,8 +334,8 @@
     });
   }
 
-  // Runs the callback after the delay, once the instance is not paused, and
-  // only if the process is still the same.
+  // Runs the callback after the delay or, if the instance is paused then, when
+  // it resumes, and only if the node still runs the same process.
   void ScheduleOnProcess(std::size_t aNode,
                          duration aAfter,
                          std::function<void()> aCallback)
@@ -368,7 +368,8 @@
     return std::uniform_real_distribution<double>()(mRandom) < aProbability;
   }
 
-  // Calls `aOnArrival` at the receiving node once for each copy that arrives.
+  // Calls `aOnArrival` at the receiving node once for each copy of the message
+  // that arrives: none if it is lost, two if it is duplicated.
   void Transmit(std::size_t aFrom,
                 std::size_t aTo,
                 const std::function<void()>& aOnArrival)
--- a/thornhollow/fleet/testing/fake_network.h
+++ b/thornhollow/fleet/testing/fake_network.h
@@ -48,11 +48,11 @@
     // Datagrams are delivered only between nodes of the same partition.
     int mPartition = 0;
     std::uint64_t mEpoch = 1;
-    // Datagrams that arrived while paused.
+    // Datagrams that arrived while the node was paused.
     std::vector<gossip_message> mInbox;
     // All actions except datagrams, with their time.
     std::vector<std::pair<time_point, membership_action>> mActions;
-    // Time since which the node has run undisturbed.
+    // Time since which the node has run without an injected fault.
     time_point mStableSince{};
   };
 
@@ -102,7 +102,8 @@
     killed.mInbox.clear();
   }
 
-  // Starts a new process under the same name, without memory.
+  // Starts a new process under the same name, without the state of the previous
+  // one.
   void Restart(const std::string& aName)
   {
     node& restarted = At(aName);
--- a/thornhollow/fleet/testing/fleet_shape.h
+++ b/thornhollow/fleet/testing/fleet_shape.h
@@ -21,7 +21,7 @@
   std::size_t mReaders = 0;
   // Fraction of the hellos that are lost.
   double mLossRate = 0;
-  // From a request for a copy until the answer starts to arrive.
+  // Time from a request for a copy until the answer starts to arrive.
   duration mCopyLatency = Milliseconds(40);
   // Size of the configuration, and the capacity of an instance's link in bytes
   // per second and direction. Concurrent transfers in one direction share it
@@ -31,7 +31,8 @@
   // Ratio of the bytes on the link to the size of the items, for copies from
   // peers.
   double mCompressionRatio = 0.2;
-  // The same for answers of the source, which encodes the configuration.
+  // Ratio of the bytes on the link to the size of the configuration, for
+  // answers of the source, which encodes it.
   double mSourceEncodingRatio = 4.0 / 3;
 
   friend bool operator==(const fleet_shape&, const fleet_shape&) = default;
--- a/thornhollow/fleet/testing/modelled_instance.h
+++ b/thornhollow/fleet/testing/modelled_instance.h
@@ -47,10 +47,11 @@
 {
   source_call mCall;
   time_point mSent{};
-  // Was pending while the source was silent, and will never be answered.
+  // Whether the call was pending while the source was silent and will therefore
+  // never be answered.
   bool mLost = false;
-  // Set when the answer starts to arrive: the bytes left, and the revision up
-  // to which it reports changes.
+  // Set when the answer starts to arrive: the bytes that have not arrived yet,
+  // and the revision up to which the answer reports changes.
   std::optional<double> mBytesLeft = std::nullopt;
   std::uint64_t mAnswerRevision = 0;
   time_point mLastBytes{};
@@ -64,7 +65,8 @@
   item_mirror mMirror;
   time_point mSendAt{};
   bool mSendPending = true;
-  // No call is pending or scheduled, because others read the source.
+  // Whether no call is pending or scheduled because other instances read the
+  // source for this one.
   bool mIdle = false;
   // Concurrent calls, the newest last.
   std::vector<outstanding_call> mOutstanding = {};
@@ -88,12 +90,13 @@
   time_point mBlockedFrom{};
   time_point mBlockedUntil{};
   endpoint_roster mRoster{ roster_settings{} };
-  // Whether it is a reader, and whether it asks the source for any reason.
+  // Whether the instance is a reader, and whether it asks the source, be it as
+  // a reader or for another reason.
   bool mReads = true;
   bool mFollowsSource = true;
   std::vector<pending_copy> mCopies = {};
   large_copy_limiter mCopyLimiter = large_copy_limiter{};
-  // Numbers of concurrent transfers on its link.
+  // Numbers of concurrent transfers on the instance's link, by direction.
   std::size_t mIncoming = 0;
   std::size_t mOutgoing = 0;
 };
@@ -149,8 +152,8 @@
 }
 
 // Advances all transfers by one step. The transfers on an instance's link in
-// one direction share its capacity equally; the more loaded end determines the
-// rate.
+// one direction share its capacity equally. The rate of a transfer is the share
+// at that end, sender or receiver, whose link has more transfers.
 template<class find_sender>
 void
 AdvanceTransfers(std::vector<modelled_instance>& aInstances,
--- a/thornhollow/fleet/testing/relay_load_fleet.h
+++ b/thornhollow/fleet/testing/relay_load_fleet.h
@@ -32,7 +32,7 @@
 // Arrivals and objectives of one workload kind.
 struct load_profile
 {
-  // Arrivals over all instances.
+  // Arrivals per second, summed over all instances.
   double mPerSecond = 0;
   duration mTarget{};
   duration mPause{};
@@ -93,7 +93,7 @@
     for (int each = 0; each < aShape.mInstances; ++each) {
       Add(each, aSeed);
     }
-    // Lets all instances meet.
+    // Exchanges hellos until all instances know each other.
     for (int each = 0; each < 140; ++each) {
       mNow += kTickInterval;
       for (instance& one : mInstances) {
@@ -222,7 +222,8 @@
 
   double DrawSize(double aMean, double aLogStdDev)
   {
-    // Shifted so that the mean is `aMean` for any deviation.
+    // The logarithm is shifted so that the mean of the sizes is `aMean` for any
+    // standard deviation.
     std::normal_distribution<double> log(-aLogStdDev * aLogStdDev / 2,
                                          aLogStdDev);
     return std::max(1.0, aMean * std::exp(aLogStdDev > 0 ? log(mRandom) : 0.0));
--- a/thornhollow/fleet/testing/silent_source.h
+++ b/thornhollow/fleet/testing/silent_source.h
@@ -77,7 +77,7 @@
     }
   }
 
-  // Whether the source is silent at any time between the two.
+  // Whether the source is silent at any time from `aFrom` to `aUntil`.
   bool IsSilent(time_point aFrom, time_point aUntil) const
   {
     return std::ranges::any_of(mSilences, [&](const time_range& aSilence) {
--- a/thornhollow/fleet/testing/silent_source_fleet.h
+++ b/thornhollow/fleet/testing/silent_source_fleet.h
@@ -62,8 +62,8 @@
     mSource.Silence(mStart + aFrom, mStart + aUntil);
   }
 
-  // Changes one item. It is acknowledged at this time or, if the source is
-  // silent then, as soon as it answers again.
+  // Changes one item. The change is acknowledged at `aAt` or, if the source is
+  // silent then, as soon as the source answers again.
   void Change(duration aAt, source_item_type aType)
   {
     mSource.ScheduleChange(mStart + aAt, aType, "item", false);
@@ -81,8 +81,8 @@
       mStart + aAt, source_item_type::kEndpoints, NameOf(aEndpoint), true);
   }
 
-  // From then on the instances of the domain reach only the source and each
-  // other.
+  // From `aFrom` on, the instances of the domain reach the source and each
+  // other, but no instance of another domain.
   void IsolateDomain(int aDomain, duration aFrom)
   {
     mIsolatedDomain = aDomain;
@@ -98,7 +98,7 @@
     one.mBlockedUntil = mStart + aUntil;
   }
 
-  // Stops the instance at this time without notice to its peers.
+  // Stops the instance at `aAt` without notice to its peers.
   void Stop(int aInstance, duration aAt)
   {
     mInstances.at(static_cast<std::size_t>(aInstance)).mStopsAt = mStart + aAt;
@@ -143,8 +143,8 @@
   }
 
   // The longest time from the acknowledged removal of an endpoint until no
-  // instance sends it work. A removal that is not in force everywhere yet
-  // counts with its delay so far.
+  // instance sends work to that endpoint. A removal that is not in force
+  // everywhere yet counts with its delay so far.
   change_delay WorstLeaveDelay() const
   {
     change_delay worst;
@@ -191,7 +191,7 @@
   // As in the daemon: the longest wait for the next chunk of a copy.
   static constexpr duration kCopyTimeout = Milliseconds(600);
   static constexpr double kEndpointBytes = 300;
-  // Longer copies from peers are rejected.
+  // Copies from peers that are larger than this are rejected.
   static constexpr double kMaxCopyBytes = 1'048'576 + 4'096;
   // As in the daemon: for how long a failure of the source is reported to
   // peers.
@@ -296,7 +296,7 @@
     ++mCalls;
   }
 
-  // Returns whether there were changes.
+  // Handles the answers that have arrived. Returns whether they had changes.
   bool ProcessAnswers(instance& aInstance, subscription& aSubscription)
   {
     UpdateCalls(aInstance, aSubscription, aSubscription.mAbandoned);
@@ -395,8 +395,9 @@
     return mNow >= (changes ? aCall.mSent : Due(aCall)) + mShape.mSourceLatency;
   }
 
-  // A listing has only the newest configuration, a watch has every version
-  // since.
+  // Size of the answer of the source, in bytes. The answer to a listing has
+  // only the newest configuration, that to a watch has every version after the
+  // revision that the call named.
   double AnswerBytes(const subscription& aSubscription,
                      const outstanding_call& aCall) const
   {
@@ -418,7 +419,8 @@
     }
   }
 
-  // As in the daemon, checked on each tick.
+  // Sends another call if the pending one is overdue; as in the daemon, this is
+  // checked on each tick.
   void RetryOverdue(subscription& aSubscription)
   {
     if (aSubscription.mRound.IsOverdue(mNow)) {
@@ -533,7 +535,7 @@
     }
   }
 
-  // The peer answers as in the daemon.
+  // Requests a copy from the peer `aFrom`, which answers as in the daemon.
   void RequestCopy(instance& aInstance,
                    const std::string& aFrom,
                    std::size_t aSubscriptionIndex)
--- a/thornhollow/fleet/testing/slot_engine.h
+++ b/thornhollow/fleet/testing/slot_engine.h
@@ -20,10 +20,11 @@
 {
   // Requests that run concurrently; others wait in order of priority.
   std::size_t mSlots = 12;
-  // Further requests are refused while this many wait.
+  // Further requests are refused while this number of requests wait.
   std::size_t mMaxWaiting = 25;
   double mPrefillTokensPerSecond = 66'200;
-  // Chunk of a prompt that is prefilled between two tokens of all streams.
+  // Size in tokens of the chunk of a prompt that is prefilled between two
+  // tokens of the streams.
   double mChunkTokens = 2'048;
   // Time between two tokens of a stream, and its increase per running request.
   double mStepSeconds = 0.0045;
@@ -37,7 +38,7 @@
 struct engine_request
 {
   std::uint64_t mId = 0;
-  // Lower values are admitted first.
+  // Requests with lower values are admitted first.
   std::uint32_t mPriority = 0;
   double mPrefillTokens = 0;
   double mAnswerTokens = 0;
@@ -58,7 +59,7 @@
 {
   engine_event_kind mKind{};
   std::uint64_t mId = 0;
-  // Only for `kEnd`.
+  // Set only for `kEnd`.
   duration mMaxPause{};
 
   friend bool operator==(const engine_event&, const engine_event&) = default;
@@ -84,7 +85,7 @@
     return true;
   }
 
-  // The caller abandoned the request.
+  // Removes a request that its caller abandoned.
   void Cancel(std::uint64_t aId)
   {
     const auto matches = [aId](const engine_request& aRequest) {
