--- a/thornhollow/fleet/copy_requests.h
+++ b/thornhollow/fleet/copy_requests.h
@@ -81,8 +81,8 @@
   void OnBytes(copied_items aWhich, time_point aNow);
   void OnEnded(copied_items aWhich);
   // To be called when a peer declined the request because it is already sending
-  // as many large copies as its limit allows. The next `Tick` may send another
-  // request at once.
+  // as many large copies as its limit allows. The next `Tick` need not wait for
+  // `mRequestInterval` and chooses anew among the peers.
   void OnDeclined() { mNextRequest = time_point{}; }
 
   // Whether requests to peers have failed for so long that this instance should
--- a/thornhollow/fleet/key_claims.h
+++ b/thornhollow/fleet/key_claims.h
@@ -36,8 +36,10 @@
   // Upper bound on the time by which an instance's view lags behind the
   // platform's list.
   duration mViewLag = Seconds(30);
-  // Timeout of each of the two request steps. A witness answers within a few
-  // milliseconds, or within 100 to 200 ms from another region, or not at all.
+  // Timeout of each of the two steps of a claim: the request to the
+  // highest-ranked witness, then the requests to the others. A witness answers
+  // within a few milliseconds, or within 100 to 200 ms from another region, or
+  // not at all.
   duration mRequestTimeout = Milliseconds(300);
   // A longer gap between two calls is treated as a pause of this process.
   duration mClockGap = Seconds(2);
--- a/thornhollow/fleet/key_holder.h
+++ b/thornhollow/fleet/key_holder.h
@@ -15,13 +15,13 @@
 // Guards against a paused holder: after a pause it would still assume that it
 // holds the key and send the request, although the witnesses have expired the
 // key and another instance has run the request. A pause is detected as a long
-// gap between two calls of the holder, or as a claim that was last granted more
-// than half a key's lifetime ago;
-// `BeforeSend` then claims the key again before it returns `run_submission`.
-// The other half of the lifetime is the margin between that check and the bytes
-// leaving the host. After a pause the view of the instances is outdated as
-// well: submissions are refused until `OnView` delivers a new one. A submission
-// older than a lifetime is not run at all.
+// gap between two calls of the holder, or as a claim that was last requested
+// more than half a key's lifetime ago; `BeforeSend` then claims the key again
+// before it returns `run_submission`. The other half of the lifetime is the
+// margin between that check and the bytes leaving the host. After a pause the
+// view of the instances is outdated as well: submissions are refused until
+// `OnView` delivers a new one. A submission older than a lifetime is not run at
+// all.
 #ifndef THORNHOLLOW_FLEET_KEY_HOLDER_H_
 #define THORNHOLLOW_FLEET_KEY_HOLDER_H_
 
@@ -40,8 +40,9 @@
 // Identifies a submission within one process.
 using submission_id = std::uint64_t;
 
-// Send the request to the witness (possibly this instance itself) and pass its
-// answer to `OnAnswer`, or the failure to `OnUnreachable`.
+// Tells the owner of the `key_holder` to send the request to the witness
+// (possibly this instance itself) and to pass the answer to `OnAnswer`, or the
+// failure to `OnUnreachable`.
 struct request_grant
 {
   instance_name mTo;
@@ -50,7 +51,8 @@
   friend bool operator==(const request_grant&, const request_grant&) = default;
 };
 
-// Send the request to the witness and report any answer to `OnNotified`.
+// Tells the owner of the `key_holder` to send the request to the witness and to
+// report any answer to `OnNotified`.
 struct notify_witness
 {
   instance_name mTo;
@@ -60,7 +62,8 @@
                          const notify_witness&) = default;
 };
 
-// The submission holds its key: send it now.
+// Tells the owner of the `key_holder` that the submission holds its key and is
+// to be sent now.
 struct run_submission
 {
   submission_id mSubmission = 0;
@@ -69,8 +72,9 @@
                          const run_submission&) = default;
 };
 
-// The submission must not run, and the holder no longer tracks it. The call of
-// `Submit` or `BeforeSend` that is refused has not returned `run_submission`.
+// Tells the owner of the `key_holder` that the submission must not run. The
+// holder no longer tracks it. The call of `Submit` or `BeforeSend` that is
+// refused has not returned `run_submission`.
 struct refuse_submission
 {
   submission_id mSubmission = 0;
--- a/thornhollow/fleet/membership.h
+++ b/thornhollow/fleet/membership.h
@@ -87,7 +87,8 @@
                          const membership_settings&) = default;
 };
 
-// Send this datagram.
+// Tells the owner of the `membership` to send `mMessage` as a datagram to
+// `mAddress`.
 struct send_datagram
 {
   instance_name mTo;
--- a/thornhollow/fleet/peer_messages.h
+++ b/thornhollow/fleet/peer_messages.h
@@ -93,7 +93,7 @@
   // Must be answered with an ack.
   kPing,
   kAck,
-  // Ping `mTarget` on the sender's behalf.
+  // Asks the receiver to ping `mTarget` on the sender's behalf.
   kPingRequest,
   // An update; no answer is expected.
   kPush,
--- a/thornhollow/fleet/relay_peers.h
+++ b/thornhollow/fleet/relay_peers.h
@@ -170,9 +170,9 @@
   duration mSeedInterval = Milliseconds(500);
   // Peer addresses in one hello.
   std::size_t mAddressesPerHello = 6;
-  // Readers of a failure domain with more than `mAllReadUpTo` instances; 0
-  // makes every instance a reader. At least two, so that the domain stays up to
-  // date until the failure of one is detected.
+  // Readers of a failure domain with more than `mAllReadUpTo` instances. 0
+  // makes every instance a reader; other values should be at least two, so that
+  // the domain stays up to date until the failure of one reader is detected.
   std::size_t mReaders = 2;
   std::size_t mAllReadUpTo = 6;
   // Upper bound on the readers of a domain while the source does not answer
@@ -184,9 +184,10 @@
   // A reader is considered gone after this time without a hello, which allows
   // for two lost hellos.
   duration mReaderTimeout = Milliseconds(2'600);
-  // Delay before becoming a reader, for each instance of a higher rank, up to
-  // `mMaxStagger`. Longer than a hello takes, so that the first new reader's
-  // announcement arrives in time.
+  // Before it becomes a reader, an instance waits this long for each instance
+  // of a higher rank, at most `mMaxStagger` in total. A hello takes less than
+  // `mStagger`, so that the hello of the first new reader arrives before the
+  // next instance becomes one.
   duration mStagger = Milliseconds(150);
   duration mMaxStagger = Seconds(3);
   // From this number of peers on, the demand is taken from the aggregation,
