--- a/thornhollow/fleet/membership.h
+++ b/thornhollow/fleet/membership.h
@@ -65,14 +65,14 @@
   duration mSuspicionTimeout = Seconds(3);
   // A longer gap between two calls is treated as a pause of this process.
   duration mClockGap = Seconds(2);
-  // How long an instance waits for a peer after a pause.
+  // How long an instance waits after a pause for an ack from a peer.
   duration mRefreshTimeout = Seconds(1);
   // Removed members are kept as tombstones for this long, so that late messages
   // about them are recognized as outdated. They are probed as long as they are
   // listed.
   duration mTombstoneLifetime = Seconds(60);
   std::size_t mIndirectProbers = 2;
-  // Members that an update is pushed to at once.
+  // Number of members to which an update is pushed at once.
   std::size_t mFanout = 4;
   // Members of a domain that exchange messages with each other domain.
   std::size_t mBridgesPerDomain = 2;
@@ -100,13 +100,13 @@
 
 enum class member_change : std::uint8_t
 {
-  // First reported as alive.
+  // The member was reported as alive for the first time.
   kJoined,
   kSuspected,
-  // Refuted the suspicion.
+  // The member refuted the suspicion.
   kRecovered,
   kRemoved,
-  // Alive again after its removal.
+  // The member is alive again after its removal.
   kRejoined,
   // Another process runs under the same name.
   kRestarted,
@@ -239,7 +239,8 @@
   struct member
   {
     member_digest mDigest;
-    // Known only from the list; no message has shown yet that it runs.
+    // Whether the member is known only from the platform's list; no message has
+    // shown yet that it runs.
     bool mListedOnly = true;
     bool mListed = false;
     // Time of the last status change.
@@ -256,7 +257,7 @@
     bool mIndirectProbesSent = false;
   };
 
-  // A ping sent on another member's behalf.
+  // A ping that this instance sent to `mTarget` on behalf of `mRequester`.
   struct indirect_ping
   {
     std::uint64_t mExchange = 0;
--- a/thornhollow/fleet/peer_messages.h
+++ b/thornhollow/fleet/peer_messages.h
@@ -69,7 +69,7 @@
   std::string mAddress;
   member_version mVersion;
   member_status mStatus = member_status::kAlive;
-  // Accepts no new requests but still serves its peers.
+  // Whether the instance accepts no new requests but still serves its peers.
   bool mDraining = false;
 
   friend bool operator==(const member_digest&, const member_digest&) = default;
@@ -90,7 +90,7 @@
 
 enum class gossip_kind : std::uint8_t
 {
-  // Must be answered with an ack.
+  // The receiver must answer with an ack.
   kPing,
   kAck,
   // Asks the receiver to ping `mTarget` on the sender's behalf.
@@ -185,8 +185,9 @@
   std::uint32_t mRound = 0;
   instance_name mWitness;
   claim_verdict mVerdict = claim_verdict::kHeld;
-  // The witness has been one for this key, with its memory intact, for longer
-  // than the key's lifetime.
+  // Whether the answering instance has been a witness for this key, without
+  // losing its memory, for longer than a key can stay alive (see
+  // key_witness.h).
   bool mVouches = false;
 
   friend bool operator==(const claim_answer&, const claim_answer&) = default;
--- a/thornhollow/fleet/relay_peers.h
+++ b/thornhollow/fleet/relay_peers.h
@@ -107,12 +107,13 @@
   std::vector<std::string> mPeers;
   std::vector<reported_load> mLoads;
   std::vector<pool_demand> mDemand;
-  // Demand aggregated over several instances; sent without the other parts.
+  // Demand aggregated over several instances. A hello with this member has no
+  // loads, demand or peers.
   std::optional<aggregation_message> mAggregation = std::nullopt;
   bool mWantsAnswer = false;
   // Whether the source does not answer this instance.
   bool mSourceFails = false;
-  // Time since the last answer of the source; unset if that is long ago.
+  // Time since the source last answered the sender; unset if that was long ago.
   std::optional<duration> mSourceAnswerAge = std::nullopt;
   // Link capacity in Mbit/s; 0 if not reported.
   std::uint32_t mLinkMegabits = 0;
