--- a/thornhollow/fleet/membership.h
+++ b/thornhollow/fleet/membership.h
@@ -13,8 +13,9 @@
 // member as suspect and disseminates that. A suspected member that is alive
 // refutes the suspicion by raising its incarnation; otherwise it is removed
 // when the suspicion times out. Every message piggybacks the latest changes, so
-// that each reaches all members within a few intervals, and a few other members
-// in turn (anti-entropy), which repairs the loss of a message.
+// that each change reaches all members within a few intervals. It also carries
+// the states of a few other members, different ones each time until all have
+// been sent (anti-entropy), which repairs the loss of a message.
 //
 // The design scales to a fleet of any size. Each instance sends and receives a
 // constant number of datagrams per interval, each of bounded size, and tracks
@@ -58,24 +59,25 @@
   duration mAckTimeout = Milliseconds(250);
   // Without an ack to any probe within this time the member is suspected.
   duration mProbeTimeout = Milliseconds(750);
-  // Time that a suspected member has to refute. An update reaches all 38
-  // members of a domain within one to two intervals, so three leave room for
-  // message loss.
+  // Time that a suspected member has to refute the suspicion. An update reaches
+  // all members of a domain of 38 within one to two probe intervals, so three
+  // intervals leave room for message loss.
   duration mSuspicionTimeout = Seconds(3);
   // A longer gap between two calls is treated as a pause of this process.
   duration mClockGap = Seconds(2);
-  // How long an instance waits for a peer after a pause.
+  // How long an instance waits after a pause for an ack from a peer.
   duration mRefreshTimeout = Seconds(1);
   // Removed members are kept as tombstones for this long, so that late messages
   // about them are recognized as outdated. They are probed as long as they are
   // listed.
   duration mTombstoneLifetime = Seconds(60);
   std::size_t mIndirectProbers = 2;
-  // Members that an update is pushed to at once.
+  // Number of members to which an update is pushed at once.
   std::size_t mFanout = 4;
   // Members of a domain that exchange messages with each other domain.
   std::size_t mBridgesPerDomain = 2;
-  // Members that a message repeats in turn, in addition to recent changes.
+  // Members whose state a message carries in addition to recent changes; the
+  // next message continues with the members that follow (anti-entropy).
   std::size_t mAntiEntropyMembers = 8;
   // Limit on tracked members; further ones are ignored. The largest deployment
   // has 38 per domain.
@@ -85,7 +87,8 @@
                          const membership_settings&) = default;
 };
 
-// Send this datagram.
+// Tells the owner of the `membership` to send `mMessage` as a datagram to
+// `mAddress`.
 struct send_datagram
 {
   instance_name mTo;
@@ -97,13 +100,13 @@
 
 enum class member_change : std::uint8_t
 {
-  // First reported as alive.
+  // The member was reported as alive for the first time.
   kJoined,
   kSuspected,
-  // Refuted the suspicion.
+  // The member refuted the suspicion.
   kRecovered,
   kRemoved,
-  // Alive again after its removal.
+  // The member is alive again after its removal.
   kRejoined,
   // Another process runs under the same name.
   kRestarted,
@@ -119,8 +122,9 @@
                          const member_changed&) = default;
 };
 
-// A peer has a newer configuration in force and can be asked for it. Repeated
-// at most once per interval while this remains so.
+// A peer has a newer configuration in force and can be asked for it. For the
+// same version this is repeated at most once per probe interval, until this
+// instance reports that version with `OnConfiguration`.
 struct newer_configuration
 {
   std::uint64_t mVersion = 0;
@@ -142,8 +146,8 @@
                          const endpoint_leave_reported&) = default;
 };
 
-// This process was paused for `mLength`: views, leases and deadlines from
-// before count as expired.
+// This process was paused for `mLength`: treat views, leases and deadlines from
+// before the pause as expired.
 struct process_paused
 {
   duration mLength{};
@@ -235,12 +239,13 @@
   struct member
   {
     member_digest mDigest;
-    // Known only from the list; no message has shown yet that it runs.
+    // Whether the member is known only from the platform's list; no message has
+    // shown yet that it runs.
     bool mListedOnly = true;
     bool mListed = false;
     // Time of the last status change.
     time_point mStatusSince{};
-    // Number of messages that still carry its last change.
+    // Number of further messages that will carry the member's last change.
     std::uint32_t mTransmissionsLeft = 0;
   };
 
@@ -252,7 +257,7 @@
     bool mIndirectProbesSent = false;
   };
 
-  // A ping sent on another member's behalf.
+  // A ping that this instance sent to `mTarget` on behalf of `mRequester`.
   struct indirect_ping
   {
     std::uint64_t mExchange = 0;
--- a/thornhollow/fleet/peer_messages.h
+++ b/thornhollow/fleet/peer_messages.h
@@ -24,7 +24,8 @@
 
 namespace thornhollow {
 
-// Largest sealed datagram: it fits into one packet on any usual path.
+// Maximum size of a sealed datagram, which fits into one packet on any usual
+// network path.
 inline constexpr std::size_t kMaxDatagramBytes = 1200;
 // Maximum entries of one list inside a message; a message with more is rejected
 // as malformed.
@@ -68,7 +69,7 @@
   std::string mAddress;
   member_version mVersion;
   member_status mStatus = member_status::kAlive;
-  // Accepts no new requests but still serves its peers.
+  // Whether the instance accepts no new requests but still serves its peers.
   bool mDraining = false;
 
   friend bool operator==(const member_digest&, const member_digest&) = default;
@@ -89,10 +90,10 @@
 
 enum class gossip_kind : std::uint8_t
 {
-  // Must be answered with an ack.
+  // The receiver must answer with an ack.
   kPing,
   kAck,
-  // Ping `mTarget` on the sender's behalf.
+  // Asks the receiver to ping `mTarget` on the sender's behalf.
   kPingRequest,
   // An update; no answer is expected.
   kPush,
@@ -112,7 +113,7 @@
   std::uint64_t mConfigurationVersion = 0;
   std::vector<pool_pressure> mPressures;
   std::vector<leaving_endpoint> mLeaving;
-  // Belongs to the configuration version; see config_hint.
+  // Age that accompanies `mConfigurationVersion`; see config_hint.
   std::optional<duration> mPlatformAge;
 
   friend bool operator==(const gossip_message&,
@@ -184,8 +185,9 @@
   std::uint32_t mRound = 0;
   instance_name mWitness;
   claim_verdict mVerdict = claim_verdict::kHeld;
-  // The witness has been one for this key, with its memory intact, for longer
-  // than the key's lifetime.
+  // Whether the answering instance has been a witness for this key, without
+  // losing its memory, for longer than a key can stay alive (see
+  // key_witness.h).
   bool mVouches = false;
 
   friend bool operator==(const claim_answer&, const claim_answer&) = default;
@@ -208,7 +210,7 @@
   friend bool operator==(const part_answer&, const part_answer&) = default;
 };
 
-// Configuration status of the sender; answered with the same of the receiver.
+// Configuration status of the sender; the receiver answers with its own.
 struct config_status_exchange
 {
   config_word mStatus;
