--- a/thornhollow/policy/clock_gap.h
+++ b/thornhollow/policy/clock_gap.h
@@ -9,10 +9,10 @@
 // current, and the pause is measured as latency of the endpoints.
 //
 // Default values: the loop ticks every 100 ms. An engine step takes 4 ms, and
-// scheduling on a busy small instance delays a tick by tens of milliseconds, so
-// 1 s means ten missed ticks rather than a busy loop. Load reports and the
-// instance list lag by up to seconds anyway: a change within a pause of less
-// than 1 s could not have been known without the pause either.
+// scheduling on a busy small instance delays a tick by tens of milliseconds. So
+// 1 s between two ticks (ten missed ticks) is not caused by a busy loop. A
+// pause of less than 1 s needs no handling: load reports and the instance list
+// lag by up to seconds even without a pause.
 #ifndef THORNHOLLOW_POLICY_CLOCK_GAP_H_
 #define THORNHOLLOW_POLICY_CLOCK_GAP_H_
 
@@ -24,7 +24,7 @@
 
 struct clock_gap_settings
 {
-  // Longest step between two ticks that is not a gap.
+  // Maximum time between two ticks; a longer one counts as a pause.
   duration mMaxStep = Seconds(1);
 
   friend bool operator==(const clock_gap_settings&,
--- a/thornhollow/policy/concurrency_limit.h
+++ b/thornhollow/policy/concurrency_limit.h
@@ -14,9 +14,11 @@
 //
 // The limit starts at the declared slots and never exceeds them: the declared
 // number is what the endpoint batches, and more requests only lengthen its
-// queue. The limit decreases when a window's mean time to first token, or its
-// mean time per token, is more than twice the endpoint's recent floor.
-// Otherwise it increases by one per window while it is nearly used up.
+// queue. Responses are grouped into windows of `mWindowResponses`. The limit
+// decreases when a window's mean time to first token, or its mean time per
+// token, is more than twice the floor, which is the lowest recent window mean.
+// Otherwise the limit increases by one per window while the requests in flight
+// nearly reach it.
 //
 // Choice of constants:
 // - Twice the floor: a full batch slows each step by some tens of per cent,
@@ -25,12 +27,14 @@
 //   separates the two cases.
 // - A decrease is at most 30% per window, and the next one waits until requests
 //   sent under the old limit have had time to respond. Latency lags behind the
-//   limit, so a second decrease for the same queue would drain the endpoint.
+//   limit, so a second decrease caused by the same queue would leave the
+//   endpoint without work.
 // - An increase is one per window of eight responses, which finds the capacity
 //   without overshooting it by more than one request. Going from 1 to 16 takes
 //   120 responses, a few seconds of an endpoint's work.
-// - The floor may grow by a quarter every thirty seconds, so that an overload
-//   lasting minutes is not taken for the endpoint's normal speed.
+// - The floor grows by at most a quarter every thirty seconds, so that the
+//   latency during an overload of minutes is not taken for the endpoint's
+//   normal latency.
 // - High latency of an endpoint below half of its limit does not decrease the
 //   limit, because it is not caused by queueing.
 #ifndef THORNHOLLOW_POLICY_CONCURRENCY_LIMIT_H_
@@ -52,7 +56,7 @@
   // Added to the bound on the time to first token, to allow for the jitter of
   // the network and of one engine step.
   duration mFirstTokenSlack = Milliseconds(500);
-  // The limit is multiplied by no less than this in one window.
+  // Lower bound of the factor by which one window changes the limit.
   double mMinDecreaseFactor = 0.7;
   std::uint32_t mWindowResponses = 8;
   duration mFloorPeriod = Seconds(30);
@@ -62,8 +66,9 @@
                          const concurrency_limit_settings&) = default;
 };
 
-// The lowest window mean of the last one to two floor periods, in seconds. From
-// one period to the next it rises by at most `mFloorGrowth`.
+// The lowest window mean of the current and the previous floor period
+// (`mFloorPeriod`), in seconds. From one period to the next it grows at most by
+// the factor `mFloorGrowth`.
 class latency_floor
 {
 public:
--- a/thornhollow/policy/decaying_rate.h
+++ b/thornhollow/policy/decaying_rate.h
@@ -17,10 +17,11 @@
 class decaying_rate
 {
 public:
-  // Covers several clusters of arrivals, yet is shorter than a burst.
+  // Default time constant: long enough to average over several clusters of
+  // arrivals, and shorter than a burst.
   static constexpr double kTimeConstantSeconds = 2.0;
 
-  // `aTimeConstantSeconds`: time in which an amount decays to 1/e.
+  // `aMemorySeconds`: the time constant, in which the rate decays to 1/e.
   explicit decaying_rate(double aMemorySeconds = kTimeConstantSeconds)
     : mTimeConstantSeconds(aMemorySeconds)
   {
--- a/thornhollow/policy/domain_reachability.h
+++ b/thornhollow/policy/domain_reachability.h
@@ -11,16 +11,18 @@
 // own would try one after the other in the unreachable domains and then report
 // to its caller that there is none, while the endpoints of its own domain idle.
 //
-// A single unreachable endpoint may have crashed. So a suspicion ends with the
-// next message from its domain, which arrives within a fraction of a second
-// where instances run there. If two other domains are suspected at once, all
-// others are that nothing was received from since: it is this domain that is
-// cut off.
+// A domain is suspected as soon as one of its endpoints is unreachable. That
+// endpoint may merely have crashed, so the suspicion ends with the next message
+// from an instance of the domain, which arrives within a fraction of a second
+// if any instance runs there. If two other domains are suspected at once, this
+// instance's own domain is probably cut off. Then every other domain from which
+// nothing has been received since is suspected too.
 //
 // Messages may get through although connections do not. After several
 // consecutive suspicions without a response in between, messages no longer end
-// a suspicion and only time does. Otherwise each message would send the next
-// request into the unreachable domain.
+// a suspicion, and it ends only when its maximum duration has passed.
+// Otherwise, after each message the next request would be sent to the
+// unreachable domain.
 #ifndef THORNHOLLOW_POLICY_DOMAIN_REACHABILITY_H_
 #define THORNHOLLOW_POLICY_DOMAIN_REACHABILITY_H_
 
@@ -39,9 +41,11 @@
   // Maximum duration of a suspicion if no message was ever received from an
   // instance of the domain.
   duration mSuspicionWithoutPeers = Seconds(1);
-  // The same if one was received, so that its silence confirms the suspicion.
+  // Maximum duration of a suspicion if messages were received from an instance
+  // of the domain before. Their absence then confirms the suspicion.
   duration mSuspicionWithPeers = Seconds(5);
-  // Number of consecutive suspicions that messages from instances can end.
+  // Number of consecutive suspicions, without a response from an endpoint of
+  // the domain in between, that messages from instances can end.
   std::uint32_t mMaxClearedByPeers = 3;
   // Maximum number of domains tracked; others are ignored. Domain names arrive
   // in messages, and forged ones must not exhaust memory.
@@ -58,8 +62,8 @@
                       domain_name aOwn);
 
   // An endpoint of the domain did not respond: no connection could be made, or
-  // nothing was received on it in time. Returns true if that starts a new
-  // suspicion.
+  // nothing was received on the connection in time. Returns true if this starts
+  // a new suspicion.
   bool OnUnreachable(const domain_name& aDomain, time_point aNow);
   // An endpoint of the domain responded.
   void OnResponse(const domain_name& aDomain, time_point aNow);
@@ -70,7 +74,8 @@
   void ClearSuspicions();
 
   bool AnySuspected(time_point aNow) const;
-  // Whether requests should be sent to other domains.
+  // Whether `aDomain` is suspected to be unreachable, so that requests should
+  // be sent to other domains.
   bool IsSuspected(const domain_name& aDomain, time_point aNow) const;
 
 private:
--- a/thornhollow/policy/endpoint_choice.h
+++ b/thornhollow/policy/endpoint_choice.h
@@ -8,31 +8,33 @@
 // Load, speed and cached prefixes differ between engines at any moment, so a
 // choice needs one measure for all of them. Choosing by load alone recomputes
 // prefixes that another endpoint has cached. Choosing by prefix alone overloads
-// the endpoint that has a hot prefix cached. Both send work to a straggler that
-// looks idle because its load shows late.
+// the endpoint that has a hot prefix cached. Both send work to a slow endpoint
+// that seems idle because reports of its load arrive late.
 //
 // The endpoint table compares the cost over a small random sample of endpoints
 // with a free slot, so the time of a decision doesn't depend on the number of
 // endpoints.
 //
 // Load here means this router's own requests at each endpoint. Load reports are
-// left out: they lag, and all routers receive the same ones, so all would turn
-// to the same endpoint at once (docs/design/endpoint_choice.md has the
-// measurements). Reports limit how much an endpoint is sent instead; see
-// endpoint_load.h.
+// left out: they lag, and all routers receive the same ones, so all would
+// choose the same endpoint at once (docs/design/endpoint_choice.md has the
+// measurements). Reports are used only to limit how many requests an endpoint
+// is sent; see endpoint_load.h.
 //
 // Choice of the defaults:
-// - Taking the best of eight random endpoints in each domain covers nearly all
-//   of a subset of 16. Because each router's own load differs, a large sample
-//   doesn't cause herding.
+// - Eight random endpoints of the own domain and eight of the other domains
+//   cover a large part of a subset of 16 endpoints (endpoint_subset.h). Because
+//   each router's own load differs, a large sample doesn't make all routers
+//   choose the same endpoint.
 // - Prefill takes about 0.03 ms per prompt token: an engine step of 8 ms
 //   computes 256 of them. A cached prompt of 2,000 tokens therefore saves 60
-//   ms, as much as one of eight slots costs for an answer of 100 tokens at 5 ms
-//   each. A hot prefix thus stays at its endpoint while that has room, and
-//   spreads as it fills.
+//   ms. That is about what one more occupied slot of eight adds to the cost of
+//   an answer of 100 tokens at 5 ms each (500 ms / 8). Requests with a hot
+//   prefix are thus sent to the endpoint that has the prefix cached while that
+//   endpoint has free slots, and to others as it fills up.
 // - Another domain is at most 1.5 ms away but costs 20 ms here, so that it is
-//   chosen only when its endpoints are clearly less loaded. A partition between
-//   domains then affects little traffic.
+//   chosen only when its endpoints are clearly less loaded. A network failure
+//   between domains then affects little traffic.
 // - A failed attempt costs about as much as the attempt itself plus the wait
 //   before the retry, hence the weight of the failure rate.
 #ifndef THORNHOLLOW_POLICY_ENDPOINT_CHOICE_H_
@@ -55,8 +57,9 @@
   double mFailureWeight = 4;
   // Added to the cost of an endpoint in another failure domain.
   duration mCrossDomainCost = Milliseconds(20);
-  // An endpoint's measured latency decays towards the pool's with this
-  // half-life, so that an endpoint that got no work is tried again.
+  // An endpoint's measured latency decays towards the pool's median with this
+  // half-life, so that an endpoint that was sent no work because it was slow is
+  // tried again.
   duration mLatencyHalfLife = Seconds(10);
 
   friend bool operator==(const endpoint_choice_settings&,
--- a/thornhollow/policy/endpoint_health.h
+++ b/thornhollow/policy/endpoint_health.h
@@ -7,27 +7,31 @@
 //
 // An endpoint may crash, answer with errors faster than others answer at all
 // (and so look idle), hang, or run at a fraction of its speed. Without this
-// module a failing endpoint attracts all work, an unresponsive one occupies a
-// slot per request until the request's timeout, and a slow one dominates the
-// latency of all that is sent to it.
+// module a failing endpoint attracts all work, an unresponsive one holds a slot
+// for each request until the request times out, and every request sent to a
+// slow one is late.
 //
 // Four conditions are distinguished:
 // - Failing: three consecutive failures, or half of the recent attempts failed.
 //   The endpoint gets nothing but occasional probes.
 // - Unresponsive: no activity since something was sent there, for 3 s or four
 //   times the average time to first token, whichever is longer. Or an attempt
-//   ended with `attempt_end::kSilent` and there was no activity since it was
-//   sent. The endpoint gets only probes. A silent attempt while others are
-//   answered means a dead connection, not a dead endpoint, and has no effect.
-// - Slow: its time per token is three times the pool's. Its capacity fraction
-//   is halved once a second, down to a tenth. It still completes what it gets.
-// - Recovering: after an answered probe it gets a tenth of its slots, and 15%
-//   more with each answer. A failure ejects it again, for twice as long.
+//   ended with `attempt_end::kSilent` and nothing was received from the
+//   endpoint since the attempt was sent. The endpoint gets only probes. A
+//   silent attempt while others are answered means a broken connection rather
+//   than an unresponsive endpoint, and has no effect.
+// - Slow: the endpoint's time per token is three times the pool's. Its capacity
+//   fraction is halved once a second, down to a tenth. It is not ejected, as it
+//   still completes its requests.
+// - Recovering: after an answered probe, the endpoint may use a tenth of its
+//   slots, and 15% more with each answer. A failure ejects it again, and the
+//   delay before the next probe doubles.
 //
 // The caller limits how many endpoints of a pool may be ejected at a time
-// (`aMayEject`): when most of a pool fails, the cause is elsewhere, and
-// ejecting them would overload the rest. Ejection of unresponsive endpoints
-// isn't limited, because work sent there is never answered.
+// (`aMayEject`): when most endpoints of a pool fail, the cause is probably not
+// in the endpoints, and ejecting them would overload the rest. Ejection of
+// unresponsive endpoints isn't limited, because work sent to them is never
+// answered.
 //
 // Choice of the defaults:
 // - At an error rate of one per cent, two consecutive failures happen by
@@ -35,8 +39,8 @@
 // - The 95th percentile of the time to first token is 0.97 s. A wait of 3 s, or
 //   of four times the average where that is longer, is therefore abnormal
 //   unless the endpoint reports a queue.
-// - Batching alone at most doubles the time per token, so a factor of three has
-//   another cause.
+// - A full batch at most doubles the time per token, so a factor of three means
+//   that the endpoint itself is slow.
 // - Growing by 15% per answer, an endpoint needs 17 answers from a tenth to its
 //   full capacity. If it fails again meanwhile, few requests are in flight.
 // - Probes start after 1 s, the shortest time in which a process restarts, and
@@ -57,14 +61,16 @@
   // False: every endpoint always has its full capacity.
   bool mEnabled = true;
   std::uint32_t mEjectAfterFailures = 3;
-  // Failure rate of the recent attempts from which the endpoint is failing.
+  // The endpoint counts as failing if at least this fraction of the recent
+  // attempts failed.
   double mMaxFailureRate = 0.5;
   // Attempts needed before the failure rate is considered.
   std::uint32_t mMinAttempts = 8;
   duration mSilenceTimeout = Seconds(3);
   double mSilenceLatencyFactor = 4;
   double mSlowFactor = 3;
-  // Below this multiple of the pool's time per token it is no longer slow.
+  // A slow endpoint whose time per token falls below this multiple of the
+  // pool's no longer counts as slow.
   double mSlowRecoveryFactor = 1.5;
   duration mSlowReductionInterval = Seconds(1);
   double mMinCapacityFraction = 0.1;
@@ -111,17 +117,18 @@
   void OnClockGap(time_point aNow);
 
   health_state State() const { return mState; }
-  // Fraction of its slots that may be used, from 0 (probes only) to 1.
+  // Fraction of the endpoint's slots that may be used, from 0 (probes only) to
+  // 1.
   double CapacityFraction() const { return mCapacityFraction; }
   // Moving average of failures among recent attempts, 0 to 1.
   double FailureRate() const { return mFailureRate; }
-  // Requests that may be in flight there, given its concurrency limit and those
-  // now in flight.
+  // Number of requests that may be in flight at the endpoint now. `aLimit`: its
+  // concurrency limit. `aInFlight`: requests already in flight.
   std::uint32_t Allowance(std::uint32_t aLimit,
                           std::uint32_t aInFlight,
                           time_point aNow) const;
-  // When the next probe may be sent, given the requests in flight there. Empty
-  // unless the endpoint gets only probes.
+  // When the next probe may be sent, given `aInFlight` requests in flight at
+  // the endpoint. Empty unless the endpoint gets only probes.
   std::optional<time_point> NextProbe(std::uint32_t aInFlight) const;
 
 private:
--- a/thornhollow/policy/endpoint_load.h
+++ b/thornhollow/policy/endpoint_load.h
@@ -6,31 +6,32 @@
 //   load.OnReport(report, now);
 //   const double total = load.InFlight() + load.OthersInFlight(now);
 //
-// Six to eight routers (in large deployments a subset of 38) send to the same
-// endpoints and see each other's load only through reports that are up to
-// seconds old, or missing. Without this module each router either fills every
-// slot by itself, so that an endpoint gets its slots times the number of
-// routers, or it mistakes its own requests in the report for those of others
-// and sends too little.
+// Several routers (six to eight; in large deployments a subset of 38 of them)
+// send to the same endpoint and see each other's load only through reports that
+// are up to seconds old, or missing. Without this module each router would
+// either fill every slot by itself, so that an endpoint with N slots and R
+// routers is sent N * R requests, or it would take its own requests in the
+// report for those of others and send too few.
 //
 // A report counts everything that was running or waiting when it was taken.
 // This router's own count at that moment is subtracted; the remainder belongs
-// to the others. What this router sent since is in its current count, so
-// nothing is counted twice, however late the report.
+// to the others. Requests that this router has sent since then are part of its
+// current count, so nothing is counted twice, however late the report arrives.
 //
 // The remainder is smoothed. All routers receive the same report at the same
 // time: if each at once filled the slots that it shows as free, all would fill
 // the same ones. The smoothed value changes slowly enough for each router to
-// see the others' new requests before it has used all of the free capacity.
+// see the others' new requests in later reports before it has used all of the
+// free capacity.
 //
 // Choice of the defaults:
 // - Smoothing takes 2 s, which spans a few reports at their usual lag of 0.1 to
 //   5 s.
 // - A report counts in full up to an age of 1 s. A request runs for about as
 //   long, so most of what the report counted is still there.
-// - From then on its weight falls linearly to zero at 8 s, which covers the
-//   longest lag plus a report interval. After that only the endpoint's latency
-//   is used.
+// - From an age of 1 s on, a report's weight falls linearly to zero at 8 s,
+//   which covers the longest lag plus a report interval. Without a report only
+//   the endpoint's latency limits what it is sent (concurrency_limit.h).
 // - A history of 32 changes of the own count covers the lag at the request rate
 //   of one endpoint (a few per second). For times before that, the oldest
 //   recorded count is used.
--- a/thornhollow/policy/endpoint_states.h
+++ b/thornhollow/policy/endpoint_states.h
@@ -43,8 +43,9 @@
   // Returns the endpoints whose state changes.
   endpoint_state_changes OnPlatformList(std::set<endpoint_name> aLeaving);
 
-  // The endpoint, or a peer on its behalf, reported that it is leaving. Valid
-  // until `aUntil` at least. Returns the endpoints whose state changes.
+  // The endpoint reported that it is leaving, or a peer relayed such a report.
+  // The report is valid until `aUntil`, or longer if an earlier report was.
+  // Returns the endpoints whose state changes.
   endpoint_state_changes OnLeavingReported(const endpoint_name& aEndpoint,
                                            time_point aUntil);
 
--- a/thornhollow/policy/endpoint_subset.h
+++ b/thornhollow/policy/endpoint_subset.h
@@ -4,25 +4,25 @@
 //   const auto chosen =
 //     ChooseSubset(candidates, context, endpoint_subset_settings{});
 //
-// In a deployment of 420 daemons and 850 endpoints, if every daemon worked with
-// every endpoint, connections, probes and measured state would grow with their
-// product, every endpoint would be used by all 420 daemons, and each daemon,
-// with 86 streams in flight, would measure an endpoint's latency from one
-// answer every few minutes.
+// Consider a deployment of 420 daemons (entry instances, also called routers
+// here) and 850 endpoints. If every daemon used every endpoint, the number of
+// connections, probes and measurements would be the product of both numbers.
+// Each daemon, with 86 streams in flight, would get an answer from a given
+// endpoint only every few minutes, too rarely to measure its latency.
 //
 // A pool of at most `mMaxPerPool` endpoints is used whole, as in today's
 // deployments with 13 and 15 endpoints. In larger pools, endpoints of the own
 // domain come first. If there are too many of them, each endpoint picks the
 // same number of routers by rendezvous hashing, so that every endpoint is
 // covered equally, whatever the routers' names. A router that joins or leaves
-// then only affects the endpoints that pick, or picked, it. Otherwise endpoints
-// of other domains fill the remainder, picked by the router's own rendezvous
-// hash.
+// then only affects the endpoints that pick it or had picked it. If the own
+// domain has too few endpoints, endpoints of other domains are added; the
+// router picks these by rendezvous hashing with its own name.
 //
 // Choice of the defaults: with 16 endpoints a random sample of a few has real
 // alternatives, and at 86 streams per daemon each endpoint answers the daemon
-// several times a second. With fewer than 8, the loss of one would move a large
-// fraction of the daemon's work to few others.
+// several times a second. With fewer than 8 endpoints, the loss of one would
+// move a large fraction of the daemon's work to few others.
 #ifndef THORNHOLLOW_POLICY_ENDPOINT_SUBSET_H_
 #define THORNHOLLOW_POLICY_ENDPOINT_SUBSET_H_
 
--- a/thornhollow/policy/endpoint_table.h
+++ b/thornhollow/policy/endpoint_table.h
@@ -1,5 +1,5 @@
-// Holds the endpoints of one entry instance: which of them accept new work, how
-// many requests they have, and which one a request is sent to.
+// Tracks the endpoints that one entry instance works with: which of them accept
+// new work and how many requests each has. Chooses the endpoint for a request.
 //
 //   endpoint_table table(endpoint_table_settings{}, 1);
 //   table.Configure(declared, ownDomain, now);
@@ -11,8 +11,9 @@
 //
 // The cost of a decision doesn't grow with the number of endpoints: each pool
 // keeps a list of those with a free slot, and a decision considers a few random
-// ones from it. State that changes with time alone (a report that fades, a
-// probe that falls due) is re-evaluated when it is due, see `NextDue`.
+// ones from it. State that changes with time alone (a load report that loses
+// weight, a probe that falls due) is re-evaluated by `Advance`, which should be
+// called at `NextDue`.
 #ifndef THORNHOLLOW_POLICY_ENDPOINT_TABLE_H_
 #define THORNHOLLOW_POLICY_ENDPOINT_TABLE_H_
 
@@ -48,11 +49,12 @@
   // Long requests are limited only if the pool received a short one within this
   // time, because slots that are reserved without need are wasted.
   duration mShortWorkWindow = Seconds(10);
-  // Maximum number of endpoints scanned in turn if the sample has no eligible
-  // one. At least as many as the subset of a pool has, so that a free slot in
-  // it is always found.
+  // Maximum number of endpoints scanned one after the other if the random
+  // sample contains no eligible one. At least the size of a pool's subset
+  // (`mSubset`), so that a free slot in the subset is always found.
   std::size_t mMaxScan = 32;
-  // A probe that found no suitable request for this long uses any request.
+  // If no suitable request came for a probe for this long, the next request of
+  // any kind is used as the probe.
   duration mProbeFallbackDelay = Seconds(10);
 
   friend bool operator==(const endpoint_table_settings&,
@@ -97,13 +99,14 @@
                                       std::span<const endpoint_name> aTried,
                                       time_point aNow);
 
-  // Returns the endpoint in whose own queue `aItem` should wait if none has a
-  // free slot: the one with the shortest queue, among those where this instance
-  // has fewer than `aMaxQueued` requests beyond its slots. Only endpoints that
-  // other routers use too are considered. At any other one only this instance's
-  // requests can free the next slot, so waiting in this instance's queue is
-  // better. Plain services are never considered, as they don't honour tiers.
-  // Returns nothing if no endpoint qualifies.
+  // Returns the endpoint in whose own queue `aItem` should wait if no endpoint
+  // has a free slot: the one with the shortest queue, among those where this
+  // instance has fewer than `aMaxQueued` requests beyond the slots that it may
+  // use. Only endpoints that other routers use too are considered. At an
+  // endpoint used by this instance alone, only this instance's requests can
+  // free the next slot, so it is better to wait in this instance's queue. Plain
+  // services are never considered, as they don't honour tiers. Returns nothing
+  // if no endpoint qualifies.
   std::optional<endpoint_name> ChooseForQueueing(
     const work_item& aItem,
     std::span<const endpoint_name> aTried,
@@ -141,7 +144,8 @@
 
   // Re-evaluates state that changes with time alone.
   void Advance(time_point aNow);
-  // When `Advance` may next free a slot; empty if no time is set.
+  // When `Advance` should be called next because a slot may become free; empty
+  // if no state changes with time.
   std::optional<time_point> NextDue() const;
 
   // Whether any endpoint that accepts new work serves `aPool`.
@@ -156,8 +160,9 @@
 
   // Returns the expected number of tokens of the answer to `aItem`.
   double ExpectedTokens(const work_item& aItem) const;
-  // Whether `aItem` counts as long work, which may find no free slot where a
-  // shorter request behind it does.
+  // Whether `aItem` counts as long work. Long requests may use only a part of
+  // the slots, so a shorter request behind `aItem` may find a free slot when
+  // `aItem` doesn't.
   bool IsLong(const work_item& aItem) const;
 
   // Returns every endpoint that this instance works with, sorted by name.
--- a/thornhollow/policy/engine_partition.h
+++ b/thornhollow/policy/engine_partition.h
@@ -11,33 +11,34 @@
 //
 // Load pattern: long prompts run beside streams that allow only short pauses.
 // An engine prefills prompts in chunks between the decode steps of all its
-// streams, so while it has prompts to prefill, each event takes as many chunks
-// as it has tokens. If the prefill lasts, streams that promise shorter pauses
-// are late.
+// streams. While it has prompts to prefill, one chunk precedes each token, so a
+// stream event of several tokens is delayed by as many chunks. If the prefill
+// lasts long enough, the pause between two events exceeds what the class of a
+// stream allows.
 //
 // The separated kinds are those with the longest prompts that together make up
 // a quarter of the prefill work, provided that a few of their prompts in a row
-// take longer to prefill than the streams of another kind may pause. Where no
-// stream is at risk, or only one workload kind arrives, nothing is separated
-// and no engine idles for work that does not come. The urgency of a route does
-// not matter: where every route is urgent, long prompts still break short
-// pauses.
+// take longer to prefill than the streams of another kind may pause. If no
+// stream is at risk, or only one workload kind arrives, nothing is separated,
+// so that no engine is reserved for work that does not arrive. The urgency of a
+// route does not matter: even if every route is urgent, long prompts make
+// streams exceed short pause limits.
 //
-// A fixed partition is wrong during a burst, which consists of one kind or the
-// other, so the partition follows the arriving work. It is computed from sums
-// over all instances, so that they agree on it without asking each other. It
-// moves only when one side is overloaded, by a ninth of the engines at a time
-// and no sooner than `mMinMoveInterval` after the last move. This prevents
-// oscillation: each move interrupts the streams on the engines that change
-// sides.
+// A burst consists of one workload kind, so a fixed partition would leave the
+// other side idle. The partition therefore follows the arriving work. It is
+// computed from sums over all instances, so that all instances get the same
+// result without coordination. The partition moves only when one side is
+// overloaded, by a ninth of the engines at a time and no sooner than
+// `mMinMoveInterval` after the last move. This prevents oscillation: each move
+// disturbs the streams on the engines that change sides.
 //
 // Engines that run few requests at a time run out of slots before prefill
 // saturates them. Both sides are then filled equally up to a fraction of their
 // slots; beyond it, the interactive side gets engines first.
 //
-// The interactive side is targeted at 25% utilization and the bulk side at 50%:
-// a burst doubles either, and short streams pause on an engine that is busy
-// half of the time.
+// The target utilization is 25% for the interactive side and 50% for the bulk
+// side. A burst doubles the utilization of either side, and on an engine that
+// prefills half of the time, streams with short pause limits are late.
 #ifndef THORNHOLLOW_POLICY_ENGINE_PARTITION_H_
 #define THORNHOLLOW_POLICY_ENGINE_PARTITION_H_
 
@@ -54,14 +55,15 @@
 {
   // If false, all engines take all work.
   bool mSeparate = true;
-  // Minimum fraction of all prefill work that the separated kinds make up. The
-  // rest comes from few prompts, which fit beside the streams.
+  // Minimum fraction of all prefill work that the separated kinds make up. A
+  // smaller fraction comes from few prompts, which don't delay the streams
+  // much.
   double mMinBulkFraction = 0.25;
   // Kinds are separated if this many of their prompts in a row take longer to
-  // prefill than the streams beside them may pause. Engines that are busy half
-  // of the time see such a run of prompts during the life of most streams. A
-  // separated kind stays separated until even twice as many prompts take less
-  // time.
+  // prefill than the streams on the same engines may pause. On an engine that
+  // prefills half of the time, so many prompts follow each other at least once
+  // during most streams. A separated kind is merged again only when even
+  // `mConsecutivePromptsToMerge` prompts take less time than that pause.
   double mConsecutivePrompts = 6;
   double mConsecutivePromptsToMerge = 12;
   // Minimum time between two moves: longer than a stream lasts, shorter than a
@@ -72,20 +74,20 @@
   // they end, which takes some seconds.
   duration mKindChangeDelay = Seconds(3);
   // Fraction of all engines that change sides in one move, at least one engine;
-  // one of nine by default. Moving one of ninety engines at a time, the
-  // partition had not yet followed a burst of eight seconds when it ended.
+  // one of nine by default. When only one of ninety engines moved at a time, a
+  // burst of eight seconds had ended before enough engines had moved.
   double mStepFraction = 0.11;
   // Utilizations at which both sides count as equally loaded.
   double mBulkUtilization = 0.5;
   double mInteractiveUtilization = 0.25;
   // Weight of the slots that interactive work uses beyond the target fraction.
-  // Its first event is due long before a stream frees a slot, so even a short
-  // queue makes all of it late. Bulk work can wait a little, and its excess is
-  // rejected.
+  // The first event of an interactive stream is due long before another stream
+  // ends and frees a slot, so even a short queue makes all interactive streams
+  // late. Bulk work can wait a little, and its excess is rejected.
   double mExcessSlotWeight = 6;
-  // No move while the load of the more loaded side is at most this multiple of
-  // its target. Each move mixes the work of both sides on an engine until the
-  // streams there have ended.
+  // The partition doesn't move while the load of the more loaded side is at
+  // most this multiple of its target. After each move, the engines that changed
+  // sides run work of both sides until their earlier streams have ended.
   double mMoveThreshold = 1;
   // The partition moves only if that reduces the load by at least this factor.
   double mMinImprovement = 1.15;
@@ -94,8 +96,8 @@
   // or more.
   double mMinSideFraction = 0.11;
   std::size_t mMinSideEngines = 2;
-  // With fewer engines nothing is separated: a side of one engine has no
-  // capacity for a long prompt and no alternative.
+  // With fewer engines nothing is separated: a side of one engine has no spare
+  // capacity during a long prompt and no other engine to send work to.
   std::size_t mMinEngines = 4;
 
   friend bool operator==(const engine_partition_settings&,
--- a/thornhollow/policy/engine_sides.h
+++ b/thornhollow/policy/engine_sides.h
@@ -1,5 +1,5 @@
-// Assigns the engines of a pool to bulk or interactive work, given how many the
-// partition grants to each side.
+// Assigns the engines of a pool to bulk or interactive work, given the number
+// of engines on each side of the partition (engine_partition.h).
 //
 //   engine_sides sides(engine_sides_settings{});
 //   sides.Observe(engines, 5, !demand, now);
@@ -43,8 +43,8 @@
   // least one) drain at a time.
   duration mExchangeInterval = Seconds(3);
   double mExchangeFraction = 0.11;
-  // How long the previous side of an engine is remembered: as long as the
-  // prompts in its cache are of use.
+  // How long the previous side of an engine is remembered. Prompts that the
+  // engine cached before the change are likely to be reused for about as long.
   duration mPreviousSideRetention = Seconds(30);
 
   friend bool operator==(const engine_sides_settings&,
--- a/thornhollow/policy/length_estimate.h
+++ b/thornhollow/policy/length_estimate.h
@@ -15,7 +15,8 @@
 // and pool, at most `mMaxPairs` of them. Further pairs use their pool's
 // histogram.
 //
-// Choice of constants: buckets of a quarter octave give a quantile within 19%,
+// Choice of constants: buckets of a quarter octave (each upper bound is 1.19
+// times the lower one) give a quantile within 19%,
 // far below the variation within one class. Counters are halved at 512
 // responses, so that an estimate follows a change of behaviour within about a
 // thousand responses. Below 16 responses the pool's histogram is used, because
@@ -56,8 +57,9 @@
 
 struct length_estimate_settings
 {
-  // Used while there are too few samples. The mean of the expected workload:
-  // 740,000 tokens over 3,100 requests per second is 239 each.
+  // Expected output tokens while there are too few samples: the mean of the
+  // expected workload, 740,000 tokens per second over 3,100 requests per
+  // second.
   double mDefaultLength = 239;
   // Responses of a class before its own histogram is used.
   std::uint32_t mMinSamples = 16;
--- a/thornhollow/policy/minimum_share.h
+++ b/thornhollow/policy/minimum_share.h
@@ -11,19 +11,19 @@
 // the pool serves. Once its credit covers its next request, that request goes
 // before the higher tiers.
 //
-// This takes no guaranteed service from a higher tier: the shares of all
-// classes add up to at most 1, and a class's own share never belonged to the
-// higher tier.
+// This doesn't reduce what is guaranteed to a higher tier: the minimum shares
+// of all classes add up to at most 1, so each class can get its share at the
+// same time.
 //
-// Limits: the credit is capped at the cost of the class's next request. A class
-// cannot accumulate a claim while nothing of it waits and then displace a
-// higher tier all at once. While nothing of it waits, its credit is at most
-// zero, so a class that demands less than its share is served in tier order and
-// not before it. Service in tier order also counts against the share, up to a
+// Limits: the credit is capped at the cost of the class's next request, and at
+// zero while no request of the class waits. Otherwise an idle class could
+// accumulate credit and then displace a higher tier with many requests at once.
+// A class that demands less than its share is therefore mostly served in tier
+// order. Service in tier order also counts against the share, up to a
 // debt of 16 requests' cost, so that the share holds over some tens of requests
-// rather than at every moment. With a debt limit of one request a class was
-// served twice, by tier order at times of low load and by its share, and the
-// highest tier attained less.
+// rather than at every moment. With a debt limit of one request, a class was
+// served by tier order at times of low load and got its full share in addition,
+// and fewer requests of the highest tier met their targets.
 #ifndef THORNHOLLOW_POLICY_MINIMUM_SHARE_H_
 #define THORNHOLLOW_POLICY_MINIMUM_SHARE_H_
 
@@ -40,8 +40,8 @@
   {
   }
 
-  // The pool served work of cost `aServed`, or could have. `aNextCost` is the
-  // cost of the class's next request; 0 if none waits.
+  // The pool served work of cost `aServed`, or had the capacity to. `aNextCost`
+  // is the cost of the class's next request; 0 if none waits.
   void Accrue(double aServed, double aNextCost)
   {
     mCredit = std::min(mCredit + mShare * aServed, aNextCost);
--- a/thornhollow/policy/pool_pressure.h
+++ b/thornhollow/policy/pool_pressure.h
@@ -2,7 +2,7 @@
 // order holds across all of them.
 //
 //   for (const pool_pressure& each : scheduler.Pressure(now)) { ... send ... }
-// .
+//
 #ifndef THORNHOLLOW_POLICY_POOL_PRESSURE_H_
 #define THORNHOLLOW_POLICY_POOL_PRESSURE_H_
 
@@ -15,11 +15,12 @@
 struct pool_pressure
 {
   pool_name mPool;
-  // The highest tier that waits too long at that instance. Lower tiers are
-  // limited to their minimum shares there, and should be on the other
-  // instances.
+  // The highest tier whose requests wait too long at the reporting instance.
+  // That instance limits lower tiers to their minimum shares, and the other
+  // instances should do the same.
   int mLowestAdmitted = kLowestTier;
-  // How long that tier's next request has waited; zero if none waits.
+  // How long the next request of tier `mLowestAdmitted` has waited; zero if
+  // none waits.
   duration mHigherWait{};
   // Time since the measurement.
   duration mAge{};
