--- a/thornhollow/policy/concurrency_limit.cc
+++ b/thornhollow/policy/concurrency_limit.cc
@@ -6,10 +6,12 @@
 namespace thornhollow {
 namespace {
 
-// A window whose maximum load was below this fraction of the limit is no
-// evidence of queueing.
+// The limit decreases only if the maximum load in the window reached this
+// fraction of the limit. High latency at a lower load is not caused by
+// queueing.
 constexpr double kBusyFraction = 0.5;
-// The limit increases only if the maximum load reached this fraction of it.
+// The limit increases only if the maximum load in the window reached this
+// fraction of the limit.
 constexpr double kNearLimitFraction = 0.8;
 
 } // namespace
--- a/thornhollow/policy/concurrency_limit_test.cc
+++ b/thornhollow/policy/concurrency_limit_test.cc
@@ -21,9 +21,9 @@
   concurrency_limit mLimit{ concurrency_limit_settings{}, 16 };
 };
 
-// Requests queue inside a full endpoint, so its first tokens are late. Requests
-// of the highest tier then wait behind work that the router could have held
-// back.
+// Requests queue at a full endpoint, so its first tokens are late. If the limit
+// didn't decrease, requests of the highest tier would wait behind requests that
+// the router could have kept in its own queue.
 TEST_CASE_FIXTURE(sixteen_slots,
                   "concurrency_limit/queue_in_engine/falls_then_recovers")
 {
@@ -55,8 +55,9 @@
   CHECK(mLimit.Limit() == 11);
 }
 
-// Guards against a floor that follows an overload lasting minutes: the limit
-// would increase again while requests still queue at the endpoint.
+// Guards against a latency floor that grows to the latency of an overload
+// lasting minutes: the limit would increase again while requests still queue at
+// the endpoint.
 TEST_CASE_FIXTURE(sixteen_slots,
                   "concurrency_limit/overload_of_minutes/floor_holds")
 {
--- a/thornhollow/policy/domain_reachability.cc
+++ b/thornhollow/policy/domain_reachability.cc
@@ -27,7 +27,8 @@
 domain_reachability::OnUnreachable(const domain_name& aDomain, time_point aNow)
 {
   domain_state* its = FindOrAdd(aDomain);
-  // Attempts that were already in flight belong to the same suspicion.
+  // Attempts that were in flight when the suspicion started also fail; they
+  // don't start another suspicion.
   if (its == nullptr || IsSuspicionActive(*its, aNow)) {
     return false;
   }
@@ -103,7 +104,9 @@
   return aDomain.mSuspectedAt && aNow - *aDomain.mSuspectedAt < maxDuration;
 }
 
-// When a second domain other than the own one became suspected.
+// Returns when the second of the other domains became suspected, which means
+// that this instance's own domain is probably cut off. Empty if fewer than two
+// are suspected.
 std::optional<time_point>
 domain_reachability::CutOffAt(time_point aNow) const
 {
--- a/thornhollow/policy/endpoint_choice.cc
+++ b/thornhollow/policy/endpoint_choice.cc
@@ -3,8 +3,8 @@
 namespace thornhollow {
 namespace {
 
-// Seconds, used before any latency was measured. Any positive value makes load
-// count.
+// Time to first token in seconds that is assumed before any latency was
+// measured. It must be positive: the cost of load is proportional to it.
 constexpr double kDefaultTimeToFirstToken = 0.1;
 
 } // namespace
@@ -15,10 +15,10 @@
              const endpoint_choice_settings& aSettings)
 {
   const double loadFactor = 1 + aEndpoint.mUtilization;
-  // Where answers have tokens, the time per token measures the endpoint's
-  // speed. The time to the first token doesn't: under load it is the queueing
-  // time of whichever tiers were sent there recently, 30 s for the lowest and
-  // none for the highest.
+  // If answers have tokens, the time per token measures the endpoint's speed.
+  // The time to first token doesn't: under load it is mostly queueing time,
+  // which depends on the tiers of the requests that the endpoint was recently
+  // sent (30 s for the lowest tier, none for the highest).
   const double timeToFirstToken = aEndpoint.mTimeToFirstToken > 0
                                     ? aEndpoint.mTimeToFirstToken
                                     : kDefaultTimeToFirstToken;
--- a/thornhollow/policy/endpoint_health.cc
+++ b/thornhollow/policy/endpoint_health.cc
@@ -6,8 +6,8 @@
 namespace thornhollow {
 namespace {
 
-// Weight of the newest attempt in the moving averages; they cover about the
-// last twenty attempts.
+// Weight of the newest attempt in the moving averages, which thus cover about
+// the last twenty attempts.
 constexpr double kSmoothingFactor = 0.1;
 
 } // namespace
@@ -26,7 +26,8 @@
     mUnansweredSince = aNow;
   }
   if (mCapacityFraction == 0) {
-    // This is a probe. Unless it is answered, the next one waits twice as long.
+    // This request is a probe. Unless it is answered, the delay before the next
+    // probe is twice as long.
     mProbeDelay = std::min(2 * mProbeDelay, mSettings.mMaxProbeDelay);
     mProbeAt = aNow + mProbeDelay;
   }
@@ -145,9 +146,10 @@
   if (mCapacityFraction > 0) {
     return std::nullopt;
   }
-  // Requests still waiting there act as probes: any answer shows that the
-  // endpoint is alive, and another request would only wait beside them. In case
-  // their connection is dead, a probe is sent after the maximum probe delay.
+  // Requests that an unresponsive endpoint hasn't answered yet act as probes:
+  // an answer to any of them shows that the endpoint works again, and another
+  // request would only wait with them. In case only their connection is broken,
+  // a probe is sent after the maximum probe delay in addition.
   const bool isWaitingThere =
     mState == health_state::kUnresponsive && aInFlight > 0;
   return isWaitingThere ? mProbeAt + mSettings.mMaxProbeDelay : mProbeAt;
--- a/thornhollow/policy/endpoint_load.cc
+++ b/thornhollow/policy/endpoint_load.cc
@@ -79,8 +79,9 @@
 std::uint32_t
 endpoint_load::InFlightAt(time_point aThen) const
 {
-  // Newest first. An entry that was never written has the clock's epoch and a
-  // count of zero, which is correct before the first request.
+  // Searches the history from the newest sample to the oldest. A sample that
+  // was never written has the clock's epoch as its time and a count of zero,
+  // which is correct before the first request.
   std::uint32_t oldest = mInFlight;
   for (std::size_t back = 1; back <= kHistorySize; ++back) {
     const in_flight_sample& each =
--- a/thornhollow/policy/endpoint_load_test.cc
+++ b/thornhollow/policy/endpoint_load_test.cc
@@ -23,9 +23,10 @@
   endpoint_load mLoad{ endpoint_load_settings{} };
 };
 
-// Two routers share an endpoint whose report is late. It counts one request of
-// this router, which has sent two more since. Without correction the router
-// would miss those two or count the first one twice.
+// Two routers share an endpoint whose report arrives late. The report counts
+// one request of this router, which has sent two more since the report was
+// taken. Without correction the router would either not count those two or
+// count the first one twice.
 TEST_CASE_FIXTURE(shared_endpoint,
                   "endpoint_load/late_report/own_requests_counted_once")
 {
@@ -47,7 +48,7 @@
 }
 
 // Eight routers get the same report of an endpoint that just became idle.
-// Without smoothing each of them would fill all of its slots at once.
+// Without smoothing each router would fill all of the endpoint's slots at once.
 TEST_CASE_FIXTURE(shared_endpoint,
                   "endpoint_load/others_leave_suddenly/seen_over_two_seconds")
 {
--- a/thornhollow/policy/endpoint_scenario_test.cc
+++ b/thornhollow/policy/endpoint_scenario_test.cc
@@ -1,7 +1,8 @@
-// Checks the effect on callers of single endpoint policies, switched on and
-// off, in virtual time. The runs are deterministic, so the bounds need no
-// tolerance for chance, only for changes elsewhere: each is half of the
-// difference that was measured when it was set.
+// Compares the service that callers receive with a single endpoint policy
+// switched on and off, in virtual time. The runs are deterministic, so the
+// bounds need no tolerance for chance, only for the effect of changes to other
+// code: each bound is half of the difference that was measured when the bound
+// was set.
 
 #include <cstdint>
 #include <string>
@@ -35,10 +36,12 @@
   scheduler_settings mOff;
 };
 
-// Demand is twice the capacity and no load reports arrive. Without learnt
-// limits each of eight instances fills every slot by itself, so the engines get
-// eight times the requests that they can batch, and drivers wait behind them.
-// Measured: 0.91 against 0.72 and 0.95 against 0.78.
+// Demand is twice the capacity and no load reports arrive. Without adaptive
+// concurrency limits each of eight instances fills every slot by itself, so the
+// engines get eight times the requests that they can batch, and requests of the
+// highest tier wait behind these. Measured attainment of the highest tier with
+// and without the limits: 0.91 and 0.72 in one deployment, 0.95 and 0.78 in the
+// other.
 TEST_CASE_FIXTURE(on_and_off,
                   "endpoint_scenario/reports_missing/limit_is_learnt")
 {
@@ -53,8 +56,9 @@
   }
 }
 
-// Seven in ten requests share a prefix. If they always went to the endpoint
-// that has it cached, they would queue there while other endpoints have room.
+// Seven in ten requests share a prefix. If they were always sent to the
+// endpoint that has the prefix cached, they would queue there while other
+// endpoints have free slots.
 TEST_CASE_FIXTURE(on_and_off, "endpoint_scenario/hot_prefix/spreads_under_load")
 {
   mOff.mEndpoints.mChoice.mPrefillTimePerToken = Milliseconds(10);
--- a/thornhollow/policy/endpoint_states_test.cc
+++ b/thornhollow/policy/endpoint_states_test.cc
@@ -18,8 +18,8 @@
 TEST_CASE_FIXTURE(engine_states, "engine/own_word_against_list/stays_leaving")
 {
   // An engine reports that it is leaving while the platform's list, which lags
-  // by seconds, still shows it as live. If the list won, the engine would get
-  // requests that are cut off when it stops.
+  // by seconds, still shows it as live. If the list took precedence, the engine
+  // would get requests that are cut off when the engine stops.
   CHECK(mStates.OnLeavingReported(kEngine, kStart + Seconds(60)) == mLeaves);
   CHECK(mStates.OnPlatformList({}).empty());
   CHECK(mStates.OnPlatformList({ kEngine }).empty());
--- a/thornhollow/policy/endpoint_subset.cc
+++ b/thornhollow/policy/endpoint_subset.cc
@@ -32,8 +32,8 @@
   return hashes;
 }
 
-// Returns the number of routers with a higher weight for `aEndpoint` than the
-// own one.
+// Returns the number of routers that have a higher rendezvous weight for
+// `aEndpoint` than this router has.
 std::size_t
 CountRoutersWithHigherWeight(const std::vector<std::uint64_t>& aRouters,
                              std::uint64_t aOwn,
@@ -46,8 +46,8 @@
     }));
 }
 
-// Appends the indices with the highest weights in `aFrom` to `aChosen` until
-// that has `aMaxSize` elements.
+// Appends the indices of the elements of `aFrom` with the highest weights to
+// `aChosen` until `aChosen` has `aMaxSize` elements.
 void
 AppendHeaviest(std::vector<weighted_index> aFrom,
                std::size_t aMaxSize,
--- a/thornhollow/policy/endpoint_subset_test.cc
+++ b/thornhollow/policy/endpoint_subset_test.cc
@@ -72,9 +72,9 @@
         }) == 4);
 }
 
-// When a router leaves, only few subsets may change. If they were all chosen
-// anew, every router would drop most of its connections and the latencies
-// measured on them.
+// When a router leaves, the subsets of only a few other routers may change. If
+// all subsets changed, every router would drop most of its connections and the
+// latencies measured on them.
 TEST_CASE_FIXTURE(large_domain,
                   "endpoint_subset/one_comes_or_goes/few_subsets_change")
 {
@@ -89,7 +89,8 @@
     std::ranges::set_intersection(before, after, std::back_inserter(both));
     moved += static_cast<int>(before.size() - both.size());
   }
-  // Each router has about 12 endpoints, so the one that left had about 12.
+  // The router that left had about 12 endpoints, as each router has. Each of
+  // them is picked by another router instead; the bound is twice that number.
   CHECK(moved <= 24);
 }
 
--- a/thornhollow/policy/endpoint_table.cc
+++ b/thornhollow/policy/endpoint_table.cc
@@ -14,12 +14,12 @@
 using internal::member_state;
 using internal::pool_index;
 
-// How often an endpoint without a free slot is re-evaluated while the weight of
-// its load report fades.
+// Interval at which an endpoint without a free slot is re-evaluated while the
+// weight of its load report decreases with age.
 constexpr duration kRecheckInterval = Milliseconds(250);
 
-// With more states than this, those of undeclared endpoints are dropped. Far
-// above the 850 endpoints of the largest deployment.
+// If more endpoint states than this are stored, those of undeclared endpoints
+// are dropped. Far above the 850 endpoints of the largest deployment.
 constexpr std::size_t kMaxRetainedStates = 4096;
 
 constexpr std::array<pool_index::domain_rank, 2> kRanks{
@@ -36,7 +36,8 @@
   , mAffinity(aSettings.mPrefix)
   , mLengths(aSettings.mLength)
 {
-  // Until `SetRouters` gives the instance's name, it has a subset of its own.
+  // Until `SetRouters` sets the instance's name, the subset is chosen by the
+  // seed, so that instances have different subsets.
   mSubsetContext.mOwn = instance_name(std::to_string(aSeed));
 }
 
@@ -82,7 +83,8 @@
     }
   }
   // The platform's list may include an endpoint that is undeclared for a while.
-  // If its state were dropped, it would count as live when declared again.
+  // If the endpoint's state were dropped, it would count as live when declared
+  // again.
   if (mNonLiveStates.size() > kMaxRetainedStates) {
     std::erase_if(mNonLiveStates, [&names](const auto& aEach) {
       return !names.contains(aEach.first);
@@ -158,8 +160,8 @@
       continue;
     }
     // An endpoint with requests in flight is kept until they end, so that they
-    // are counted. One that reported that it is leaving is kept until the
-    // report expires, or it would get work when declared again.
+    // are counted. An endpoint that reported that it is leaving is kept until
+    // the report expires; otherwise it would get work when declared again.
     if (each->mRecord.InFlight() == 0 &&
         !each->mRecord.LeavingReportExpiry(aNow)) {
       mNumbers.erase(each->mRecord.Declared().mName);
@@ -311,9 +313,9 @@
   return !aSearch.mLimitLong || record.HasFreeSlotForLong(aSearch.mNow);
 }
 
-// A probe may get no answer. So only idempotent requests below the highest tier
-// are used, unless the probe has been due for long or no endpoint serves the
-// pool.
+// A request that is sent as a probe may get no answer. So only idempotent
+// requests below the highest tier are used, unless the probe has been due for
+// longer than `mProbeFallbackDelay` or no endpoint serves the pool.
 bool
 endpoint_table::IsEligibleForProbe(const entry& aEntry,
                                    const search& aSearch) const
@@ -385,8 +387,9 @@
         !IsEligible(candidate, query)) {
       continue;
     }
-    // The shortest queue comes first: a cached prefix doesn't make up for
-    // queueing, and all routers would queue at the endpoint that has it.
+    // The length of the queue decides before the cost: a cached prefix saves
+    // less time than a longer queue takes, and by cost all routers would queue
+    // at the endpoint that has the prefix cached.
     const std::uint32_t inFlight = record.InFlight();
     const std::uint32_t capacity = record.Capacity(aNow);
     const std::uint32_t queued = inFlight > capacity ? inFlight - capacity : 0;
--- a/thornhollow/policy/internal/endpoint_record.h
+++ b/thornhollow/policy/internal/endpoint_record.h
@@ -35,8 +35,9 @@
 {
 public:
   void Add(double aValue, time_point aNow);
-  // Decays towards `aPoolMedian` with a half-life of `aHalfLife` since the last
-  // value. Returns `aPoolMedian` if there are no values.
+  // Returns the average. Its difference from `aPoolMedian` is halved for every
+  // `aHalfLife` since the last value was added. Returns `aPoolMedian` if no
+  // values were added.
   double Value(double aPoolMedian, duration aHalfLife, time_point aNow) const;
 
 private:
@@ -84,18 +85,19 @@
   // When the endpoint's own report that it is leaving expires; empty without
   // one.
   std::optional<time_point> LeavingReportExpiry(time_point aNow) const;
-  // Number of this router's requests that may be in flight there now.
+  // Number of this router's requests that may be in flight at the endpoint now.
   std::uint32_t Capacity(time_point aNow) const;
   bool HasFreeSlot(time_point aNow) const;
-  // Whether one more long request may be sent there.
+  // Whether one more long request may be sent to the endpoint.
   bool HasFreeSlotForLong(time_point aNow) const;
-  // This router's requests in flight there as a fraction of the concurrency
-  // limit.
+  // This router's requests in flight at the endpoint as a fraction of the
+  // endpoint's concurrency limit.
   double Utilization() const;
 
-  // Whether other routers use the endpoint too, as shown by its reports or by a
-  // concurrency limit below its slots: this router's requests alone are at most
-  // as many as the slots, so they wouldn't cause a queue.
+  // Whether other routers use the endpoint too. This is indicated by its load
+  // reports, or by a concurrency limit below its slots: the limit decreases
+  // because of queueing, which this router's requests alone don't cause, as
+  // they are at most as many as the slots.
   bool IsShared(time_point aNow) const
   {
     return mLoad.OthersInFlight(aNow) > 0 || mLimit.Limit() < mDeclared.mSlots;
@@ -119,8 +121,10 @@
   {
     ticket mTicket = 0;
     bool mLong = false;
-    // Sent while the endpoint was estimated to have a free slot. If it was sent
-    // to be queued there, its wait does not indicate whether the limit fits.
+    // Whether the endpoint was estimated to have a free slot when the attempt
+    // was sent. Otherwise the attempt was meant to wait in the endpoint's
+    // queue, so its wait doesn't indicate that the concurrency limit is too
+    // high.
     bool mWithinLimit = true;
     duration mTimeToFirstToken{};
   };
@@ -133,8 +137,8 @@
   bool mIsDeclared = true;
   endpoint_state mState = endpoint_state::kLive;
   std::optional<time_point> mLeavingReportedAt;
-  // The requests in flight when this process was last paused; cleared when
-  // something new is received from the endpoint.
+  // Number of requests in flight when this process was last paused; cleared
+  // when something new is received from the endpoint.
   std::optional<std::uint32_t> mUnconfirmed;
   std::optional<time_point> mLastClockGap;
   std::vector<attempt> mAttempts;
--- a/thornhollow/policy/internal/pool_index.h
+++ b/thornhollow/policy/internal/pool_index.h
@@ -11,7 +11,7 @@
 
 namespace thornhollow::internal {
 
-// The state of a member that the pool depends on.
+// The part of an endpoint's state that the index of its pool uses.
 struct member_state
 {
   // Accepts new work, even if only probes.
@@ -19,17 +19,18 @@
   // Accepts more than probes.
   bool mServing = false;
   bool mHasFreeSlot = false;
-  // Slots that this router may use there, taken or free.
+  // Slots that this router may use at the endpoint, taken or free.
   std::uint32_t mSlots = 0;
-  // Fraction of its capacity that was withdrawn because it is an outlier, 0 to
-  // 1.
+  // Fraction of the endpoint's capacity, 0 to 1, that isn't used because it is
+  // failing or slow compared with its pool.
   double mLostFraction = 0;
 
   friend bool operator==(const member_state&, const member_state&) = default;
 };
 
-// A running median of a stream of values, in constant memory: each value moves
-// it towards itself by at most a fiftieth. Robust against stragglers.
+// An estimate of the median of a stream of values in constant memory: each
+// value moves the estimate towards itself by at most a fiftieth of the
+// estimate, so that a few outliers change it little.
 class running_median
 {
 public:
@@ -77,8 +78,9 @@
   std::uint32_t Slots() const { return mSlots; }
   std::uint32_t Live() const { return mLive; }
   std::uint32_t Serving() const { return mServing; }
-  // Whether `aMember` may be ejected: at most a third of the live members may
-  // be, or one where that is less, and never the only one.
+  // Whether `aMember` may be ejected. At most a third of the live members may
+  // be ejected at a time, or one if a third is less than one, but never the
+  // only live member.
   bool CanEject(std::uint32_t aMember) const;
 
   running_median mTimeToFirstToken;
@@ -89,7 +91,7 @@
   {
     std::uint32_t mEndpoint = 0;
     domain_rank mRank = kOwnDomain;
-    // Position in the list, while it has a free slot.
+    // Position in the list of its rank, valid while the member has a free slot.
     std::uint32_t mPosition = 0;
     member_state mState;
   };
--- a/thornhollow/policy/length_estimate.h
+++ b/thornhollow/policy/length_estimate.h
@@ -16,13 +16,13 @@
 // histogram.
 //
 // Choice of constants: buckets of a quarter octave (each upper bound is 1.19
-// times the lower one) give a quantile within 19%,
-// far below the variation within one class. Counters are halved at 512
-// responses, so that an estimate follows a change of behaviour within about a
-// thousand responses. Below 16 responses the pool's histogram is used, because
-// a quantile of fewer samples is unreliable. A class counts as long at four
-// times the pool's median: a slot that it occupies could have served four
-// typical requests.
+// times the lower one) give a quantile within 19%, far below the variation
+// within one class. Counters are halved at 512 responses, so that an estimate
+// follows a change of the response lengths within about a thousand responses.
+// Below 16 responses of a class the pool's histogram is used, because a
+// quantile of fewer samples is unreliable. A class counts as long if its upper
+// quartile is four times the pool's median: a slot that such a request occupies
+// could have served four typical requests.
 #ifndef THORNHOLLOW_POLICY_LENGTH_ESTIMATE_H_
 #define THORNHOLLOW_POLICY_LENGTH_ESTIMATE_H_
 
--- a/thornhollow/policy/pool_pressure.h
+++ b/thornhollow/policy/pool_pressure.h
@@ -15,12 +15,13 @@
 struct pool_pressure
 {
   pool_name mPool;
-  // The highest tier whose requests wait too long at the reporting instance.
+  // The highest tier whose requests wait too long at the reporting instance;
+  // `kLowestTier` if there is none.
   // That instance limits lower tiers to their minimum shares, and the other
   // instances should do the same.
   int mLowestAdmitted = kLowestTier;
-  // How long the next request of tier `mLowestAdmitted` has waited; zero if
-  // none waits.
+  // How long the next request of that tier has waited; zero if none waits too
+  // long.
   duration mHigherWait{};
   // Time since the measurement.
   duration mAge{};
--- a/thornhollow/policy/pool_queue.h
+++ b/thornhollow/policy/pool_queue.h
@@ -12,9 +12,10 @@
 // A class that is below its minimum share is served first, then the highest
 // tier; within a class, teams are served by fair queueing. Queue capacity is
 // divided in the same way: each class has reserved capacity in proportion to
-// its minimum share, and the rest is shared and allocated by tier. The most
-// recent request of the lowest tier is therefore shed first, and no tier can
-// be displaced from its reserved capacity. docs/design/tiers_and_shares.md
+// its minimum share, and the rest is shared by all classes and allocated by
+// tier. The most recent request of the lowest tier is therefore shed first, and
+// no class loses its reserved capacity to a higher tier.
+// docs/design/tiers_and_shares.md
 // explains why tier order and minimum shares hold at the same time.
 #ifndef THORNHOLLOW_POLICY_POOL_QUEUE_H_
 #define THORNHOLLOW_POLICY_POOL_QUEUE_H_
@@ -43,8 +44,9 @@
   bool mTierOrder = true;
   bool mMinimumShares = true;
   bool mFairTeams = true;
-  // Refuses a request on arrival if the predicted wait exceeds its deadline,
-  // and before it starts if it can no longer finish in time.
+  // If true, a request is refused on arrival if it would start after its
+  // deadline according to the predicted wait, and before it starts if it can no
+  // longer finish by its deadline.
   bool mDeadlineCheck = true;
   standing_queue_settings mStandingQueue;
   retry_schedule_settings mRetrySchedule;
@@ -58,7 +60,8 @@
 {
   // Null if there is none.
   const work_item* mItem = nullptr;
-  // It precedes higher tiers because its class is below its minimum share.
+  // The request precedes higher tiers because its class has received less than
+  // its minimum share.
   bool mUsesMinimumShare = false;
 };
 
@@ -118,8 +121,9 @@
   queue_handle Requeue(const waiting_request& aRequest, time_point aNow);
 
   // Returns the request that gets the next slot, without removing it. Returns
-  // none if nothing waits or if all waiting requests are held back for a higher
-  // tier at another instance. Ignores the classes in `aSkippedClasses`.
+  // none if nothing waits or if all waiting requests are held back because a
+  // higher tier waits too long at another instance (`aPeers`). Ignores the
+  // classes in `aSkippedClasses`.
   next_request Next(const peer_pressure& aPeers,
                     const pool_name& aPool,
                     std::span<const class_name> aSkippedClasses,
@@ -131,7 +135,8 @@
   // Removes a request returned by `Next` that was given a slot.
   void Start(const queue_handle& aHandle, time_point aNow);
 
-  // Corrects the charge of a started request from `aExpected` to `aActual`.
+  // Corrects the cost charged for a started request from `aExpected` to
+  // `aActual`.
   void AdjustCost(const work_item& aItem,
                   double aTeamWeight,
                   double aExpected,
@@ -140,7 +145,8 @@
   // Removes a request that was not started. Unknown handles are ignored.
   void Remove(const queue_handle& aHandle, time_point aNow);
 
-  // Creates a refusal of the request that includes the retry delay.
+  // Creates a refusal of the request with the delay after which the caller may
+  // retry.
   refuse Refuse(const waiting_request& aRequest,
                 error_kind aKind,
                 std::mt19937_64& aRandom,
@@ -150,13 +156,15 @@
   // zero if nothing waits.
   duration PredictedWait(const work_item& aItem, time_point aNow) const;
 
-  // Load report for the other instances. Only waits of at least `aMinWait` are
-  // reported.
+  // The load of this queue, to be sent to the other instances. Only waits of at
+  // least `aMinWait` are reported.
   pool_pressure Pressure(const pool_name& aPool,
                          duration aMinWait,
                          time_point aNow) const;
 
-  // When a class that is held back next becomes eligible by its minimum share.
+  // When the next class that is held back for another instance becomes eligible
+  // by its minimum share; empty if none is held back or the service rate is
+  // unknown.
   std::optional<time_point> NextMinimumShareDue(time_point aNow) const;
 
   bool empty() const { return mCount == 0; }
@@ -209,8 +217,8 @@
   classes mClasses;
   std::size_t mCount = 0;
   service_rate mRate;
-  // The last call of `Next` found only work that is held back for a higher tier
-  // of another instance.
+  // Whether the last call of `Next` found only requests that are held back
+  // because a higher tier waits at another instance.
   bool mHeldBack = false;
   time_point mLastObserved{};
 };
--- a/thornhollow/policy/popular_prefix_blocks.h
+++ b/thornhollow/policy/popular_prefix_blocks.h
@@ -7,10 +7,11 @@
 //   }
 //
 // Load pattern: prompts begin with one of a few texts that all sessions share
-// and continue with a block of the session. Every engine soon has each of these
-// texts in its prefix cache and keeps it there, because it is in constant use.
-// If they were counted as part of the session, every engine to which the
-// session has not yet been sent would be expected to prefill them again.
+// and continue with text of their own session. Every engine soon has each of
+// the shared texts in its prefix cache and keeps it, because it is in constant
+// use. If the shared text were counted as part of the session, every engine to
+// which the session has not yet been sent would be expected to prefill it
+// again.
 #ifndef THORNHOLLOW_POLICY_POPULAR_PREFIX_BLOCKS_H_
 #define THORNHOLLOW_POLICY_POPULAR_PREFIX_BLOCKS_H_
 
@@ -28,11 +29,12 @@
 {
 public:
   // Maximum number of blocks tracked. A block popular enough for `CachedOnAll`
-  // is among the first to arrive, so later ones can be ignored.
+  // arrives so often that it is among the first to be tracked. Blocks that
+  // arrive while the table is full are ignored.
   static constexpr std::size_t kMaxBlocks = 64;
 
-  // Counts a request whose prompt begins with `aBlock`; 0 if it has no first
-  // block of its own.
+  // Counts a request whose prompt begins with `aBlock`. A request without a
+  // separate first block has 0 and isn't counted.
   void OnRequested(std::uint64_t aBlock, time_point aNow)
   {
     if (aBlock == 0) {
--- a/thornhollow/policy/prefill_rate.h
+++ b/thornhollow/policy/prefill_rate.h
@@ -4,15 +4,18 @@
 //   rate.OnPrefill(tokensBefore + ownTokens, wait);
 //   const duration wait = FromSeconds(tokens / rate.PerSecond());
 //
-// Load pattern: engines of a deployment that has not been measured; the rates
-// of present engines lie between 20,000 and 150,000. Each response that starts
-// gives a sample: the prompt tokens that its engine had to prefill until then,
-// divided by the time that this took. Single samples are far off, as requests
-// that other instances sent a moment ago are not known, but their median is
-// close. The estimate follows the median in proportional steps, large ones at
-// first, so that outliers move it little and a wrong prior is corrected within
-// ten responses: to within a fifth, for rates of 20,000 to 150,000, when one
-// response in five waited behind unknown prompts.
+// Load pattern: the prefill rate of a deployment's engines was never measured;
+// the rates of present engines lie between 20,000 and 150,000 tokens per
+// second. Each response that starts gives a sample: the prompt tokens that its
+// engine had to prefill before the response started, divided by the time that
+// this took. Single samples can be far off, because prompts that other
+// instances sent to the engine a moment ago are not known here, but the median
+// of the samples is close to the rate. The estimate moves towards each sample
+// by a limited factor, which is larger for the first samples, and so follows
+// their median: outliers change the estimate little, and a wrong prior is
+// corrected within ten responses. After these the estimate is within 20% of the
+// true rate, for rates between 20,000 and 150,000, when one response in five
+// waited behind unknown prompts.
 #ifndef THORNHOLLOW_POLICY_PREFILL_RATE_H_
 #define THORNHOLLOW_POLICY_PREFILL_RATE_H_
 
@@ -54,11 +57,12 @@
   }
 
   double PerSecond() const { return mPerSecond; }
-  // Whether there are enough samples to report the estimate to other instances.
+  // Whether the estimate has enough samples to be reported to other instances.
   bool Known() const { return mSamples >= kMinSamples; }
 
 private:
-  // The wait for shorter prefills depends on the network more than the engine.
+  // Minimum tokens prefilled for a sample. The wait for fewer depends more on
+  // the network than on the engine.
   static constexpr double kMinTokens = 1'000;
   static constexpr double kMaxStep = 0.25;
   static constexpr double kMinStep = 0.02;
--- a/thornhollow/policy/prefill_time_per_token.h
+++ b/thornhollow/policy/prefill_time_per_token.h
@@ -1,21 +1,22 @@
-// Prefill time per token of a single engine, estimated from the minimum seen.
+// Prefill time per token of a single engine, estimated as the minimum of recent
+// samples.
 //
 //   prefill_time_per_token time;
 //   time.OnPrefill(8'000, wait, now);
 //   if (time.Nanoseconds(now) > 1.15 * fastest) { ... it is slow ... }
 //
 // Load pattern: engines of one pool whose speeds differ by a third. An event of
-// a stream is late after five long steps in a row. A step that contains a chunk
-// of a prompt takes 35 ms on a fast engine and 45 ms on one that is 1.3 times
-// as slow: five of the latter exceed a limit of 200 ms between events, while
-// five of the former just meet it. Streams with short limits therefore belong
-// on the fast engines.
+// a stream takes five steps on average (one per token). A step that contains a
+// chunk of a prompt takes 35 ms on a fast engine and 45 ms on one that is 1.3
+// times as slow. Five such steps in a row exceed a limit of 200 ms between
+// events on the slow engine (225 ms), but not on the fast one (175 ms). Streams
+// with short limits should therefore run on the fast engines.
 //
 // The wait for the first event is at least the prefill time; queues and
-// concurrent streams only add to it. The minimum time per token seen lately
-// thus belongs to the engine itself, whatever its load. Intervals between
-// events are less suitable: the low quantiles of intervals of 20 ms differ by a
-// quarter between instances.
+// concurrent streams only add to it. The recent minimum of the wait per token
+// is therefore a property of the engine, whatever its load. Intervals between
+// events are less suitable: the low quantiles of such intervals, which are
+// about 20 ms, differ by a quarter from one instance to another.
 #ifndef THORNHOLLOW_POLICY_PREFILL_TIME_PER_TOKEN_H_
 #define THORNHOLLOW_POLICY_PREFILL_TIME_PER_TOKEN_H_
 
@@ -28,7 +29,8 @@
 class prefill_time_per_token
 {
 public:
-  // The wait for shorter prompts depends on the network more than the engine.
+  // Minimum tokens prefilled for a sample. The wait for fewer depends more on
+  // the network than on the engine.
   static constexpr double kMinTokens = 3'500;
   // Time to the first event excluding the prefill: the network round trip, the
   // engine's start of the request, and one step.
@@ -53,7 +55,8 @@
   // exchanges of messages all instances have the same values for all engines,
   // however few messages each of them receives at a time. When ninety instances
   // used only the values received in the last second, they disagreed on which
-  // engines were slow: each classified between 12 and 71 of ninety as such.
+  // engines were slow: the number that an instance classified as slow varied
+  // between 12 and 71 of ninety engines.
   void OnReported(double aNanosecondsPerToken, time_point aNow)
   {
     const double before = Nanoseconds(aNow);
--- a/thornhollow/policy/prefix_affinity.h
+++ b/thornhollow/policy/prefix_affinity.h
@@ -1,25 +1,26 @@
 // Records which endpoints are likely to have a prompt's prefix cached: those to
-// which this router recently sent it.
+// which this router recently sent a prompt with the same prefix.
 //
 //   affinity.Record(item.mPrefix, endpoint, now);
 //   for (const std::uint32_t each : affinity.Lookup(item.mPrefix, now)) {...}
 //
-// Many requests share a long prefix. Without prefix affinity each is sent
-// wherever there is room, every endpoint computes the prefix again, and all
-// caches hold the same few prefixes.
+// Many requests share a long prefix. Without prefix affinity each of them is
+// sent to any endpoint with a free slot, every endpoint computes the prefix
+// again, and all caches hold the same few prefixes.
 //
-// This module only records where a prefix was sent. The choice weighs that
-// against the load, so that a hot prefix spreads when its endpoint is full.
+// This module only records where a prefix was sent. The choice of an endpoint
+// weighs a cached prefix against the load (endpoint_choice.h), so that requests
+// with a hot prefix are sent to further endpoints when the first is full.
 // Memory is bounded: a set-associative table with LRU eviction within each set,
 // and no allocation after construction.
 //
 // Choice of the defaults:
 // - 4,096 prefixes are far more than the few hundred that a router's streams in
 //   flight (86 in a deployment of 420 daemons) can share.
-// - Up to four endpoints are recorded per prefix; with more of them, nearly
-//   every endpoint has it cached anyway.
-// - Entries expire two minutes after their last use, as an engine's prefix
-//   cache is limited and keeps what is in use.
+// - Up to four endpoints are recorded per prefix. A prefix that was sent to
+//   more endpoints is probably cached at nearly all of them.
+// - Entries expire two minutes after their last use, because an engine's prefix
+//   cache is limited and evicts what is not in use.
 #ifndef THORNHOLLOW_POLICY_PREFIX_AFFINITY_H_
 #define THORNHOLLOW_POLICY_PREFIX_AFFINITY_H_
 
--- a/thornhollow/policy/prefix_reuse_estimator.h
+++ b/thornhollow/policy/prefix_reuse_estimator.h
@@ -6,11 +6,12 @@
 //   const double probability = reuse.Probability(instances);
 //
 // Load pattern: all engine caches are empty, as after a restart of the whole
-// site, and a burst of long prompts arrives. All instances prefer the same
-// engine for a session, so an instance that does not know the session assumes
-// its prefix blocks to be cached there, although nobody has sent them yet. The
-// first prompts would then take several times their estimated prefill time, and
-// the requests queued behind them would start late.
+// site, and a burst of long prompts arrives. All instances have the same
+// preferred engine for a session. Without this estimate, an instance that does
+// not know the session would assume that the session's prefix blocks are cached
+// at that engine, although no instance has sent them yet. The first prompts
+// would then take several times their estimated prefill time, and the requests
+// queued behind them would start late.
 //
 // The model assumes that each of the other instances sees different requests of
 // the same sessions and knows the same fraction of the prefixes as this one.
--- a/thornhollow/policy/scenario/catalog.h
+++ b/thornhollow/policy/scenario/catalog.h
@@ -26,10 +26,10 @@
   policy_choice mPolicy;
 };
 
-// The project's scheduler, the scheduler with single mechanisms switched off or
-// on, the scheduler with its whole queueing side off (first in, first out
-// behind the adaptive limits) or its whole endpoint side off, and the two
-// baselines.
+// Returns the project's scheduler, the scheduler with single mechanisms
+// switched off or on, the scheduler without any of its queueing mechanisms
+// (first in, first out, with the adaptive concurrency limits) or without any of
+// its mechanisms for choosing endpoints, and the two baselines.
 std::vector<named_policy>
 AllPolicies();
 
--- a/thornhollow/policy/scenario/deployment.h
+++ b/thornhollow/policy/scenario/deployment.h
@@ -45,12 +45,13 @@
   duration mInterDomainLatency{};
 };
 
-// Relief dispatch: 10 + 3 engines, long pallet plans mixed with short route
-// notes.
+// Dispatch of relief goods: two pools of 10 and 3 engines, with long pallet
+// plans mixed with short route notes.
 deployment
 GraniteRelay();
 
-// Fly-tipping complaints: 12 + 3 engines, reports of similar length.
+// Complaints about fly-tipping: two pools of 12 and 3 engines, with reports of
+// similar length.
 deployment
 FerreiraNetos();
 
--- a/thornhollow/policy/scenario/engine_model.h
+++ b/thornhollow/policy/scenario/engine_model.h
@@ -1,4 +1,4 @@
-// Simulates an engine in just enough detail to tell scheduling policies apart:
+// Simulates an engine in enough detail to compare scheduling policies:
 // continuous batching with a step time that grows with the batch, slots, a
 // priority queue, prefill that a cached prefix shortens, crashes and slowdowns.
 //
@@ -6,8 +6,9 @@
 //   engine.Add({ .mTicket = 1, .mPromptTokens = 500, .mOutputTokens = 40 });
 //   loop.RunUntil(loop.Now() + Seconds(1));
 //
-// All steps between two changes of the batch are advanced at once, so that one
-// second of an engine takes a few events instead of hundreds.
+// All engine steps between two changes of the batch are simulated as one event,
+// so that one simulated second of an engine takes a few events instead of
+// hundreds.
 #ifndef THORNHOLLOW_POLICY_SCENARIO_ENGINE_MODEL_H_
 #define THORNHOLLOW_POLICY_SCENARIO_ENGINE_MODEL_H_
 
@@ -29,10 +30,12 @@
   std::uint32_t mSlots = 8;
   // Step time of an empty batch. Real engines need about 4 ms or more per step.
   duration mBaseStep = Milliseconds(4);
-  // Added for each running job: a full batch of eight doubles the step time.
+  // Added to the step time for each running job: a full batch of eight doubles
+  // the step time.
   duration mStepPerRunning = std::chrono::microseconds(500);
-  // Added for each job in prefill, whose chunk shares the step with the tokens
-  // of the other jobs.
+  // Added to the step time for each job in prefill: its chunk of
+  // `mPrefillChunk` prompt tokens is computed in the same step as the tokens of
+  // the other jobs.
   duration mStepPerPrefill = Milliseconds(2);
   std::uint32_t mPrefillChunk = 256;
   // Fraction of a prompt's prefill that a cached prefix saves.
@@ -77,7 +80,8 @@
   // Stops a job and returns the work done for it so far.
   engine_work Cancel(ticket aTicket);
 
-  // Loses all jobs. No jobs may be added until `Restart`.
+  // Ends all jobs with the callback `mLost`. No jobs may be added until
+  // `Restart`.
   void Crash();
   void Restart() { mUp = true; }
   bool IsUp() const { return mUp; }
--- a/thornhollow/policy/scenario/event_loop.h
+++ b/thornhollow/policy/scenario/event_loop.h
@@ -43,7 +43,8 @@
     bool operator()(const event& aLeft, const event& aRight) const;
   };
 
-  // Not the epoch of the clock, because the policies may use zero as "never".
+  // Doesn't start at the clock's epoch, because the policies may use a zero
+  // time point for "never".
   time_point mNow{ Seconds(1000) };
   std::uint64_t mOrder = 0;
   std::priority_queue<event, std::vector<event>, later> mEvents;
--- a/thornhollow/policy/scenario/figures.h
+++ b/thornhollow/policy/scenario/figures.h
@@ -1,6 +1,6 @@
 // Figures of several runs of a scenario, each the median over the runs.
 //
-//   const outcomes runs = RunAll(GraniteRelay(), "overload_2", policy, 3);
+//   const outcomes runs = RunSeeds(GraniteRelay(), "overload_2", policy, 3);
 //   Attainment(runs, kHighestTier);
 //
 #ifndef THORNHOLLOW_POLICY_SCENARIO_FIGURES_H_
@@ -31,7 +31,7 @@
 double
 OtherTeamsAttainment(const outcomes& aRuns);
 
-// Fraction of the goodput tokens that go to `aTier` and lower tiers.
+// Fraction of the goodput, in tokens, of classes of `aTier` and lower tiers.
 double
 TokenShareFromTier(const outcomes& aRuns, int aTier);
 
--- a/thornhollow/policy/scenario/report.h
+++ b/thornhollow/policy/scenario/report.h
@@ -1,5 +1,5 @@
-// Runs scenarios with several seeds and reports the median and range of their
-// figures, as a table or as JSON.
+// Runs scenarios with several seeds and reports the median and range of the
+// measured figures over the seeds, as a text table or as JSON.
 //
 //   const std::vector<report_row> rows = RunTable({ .mSeeds = 5 });
 //   std::fputs(ToText(rows).c_str(), stdout);
@@ -36,7 +36,7 @@
   median_range mTokensPerSecond;
 };
 
-// One scenario of one deployment under one policy.
+// The figures of one scenario in one deployment under one policy.
 struct report_row
 {
   std::string mDeployment;
