--- a/thornhollow/policy/endpoint_choice.cc
+++ b/thornhollow/policy/endpoint_choice.cc
@@ -4,7 +4,7 @@
 namespace {
 
 // Time to first token in seconds that is assumed before any latency was
-// measured. It must be positive: the cost of load is proportional to it.
+// measured. It must be positive; otherwise load would add nothing to the cost.
 constexpr double kDefaultTimeToFirstToken = 0.1;
 
 } // namespace
--- a/thornhollow/policy/endpoint_subset_test.cc
+++ b/thornhollow/policy/endpoint_subset_test.cc
@@ -89,8 +89,8 @@
     std::ranges::set_intersection(before, after, std::back_inserter(both));
     moved += static_cast<int>(before.size() - both.size());
   }
-  // The router that left had about 12 endpoints, as each router has. Each of
-  // them is picked by another router instead; the bound is twice that number.
+  // The router that left had about 12 endpoints, as each router has. All other
+  // routers together may drop at most twice that number.
   CHECK(moved <= 24);
 }
 
--- a/thornhollow/policy/endpoint_table.cc
+++ b/thornhollow/policy/endpoint_table.cc
@@ -260,7 +260,8 @@
   }
 }
 
-// Finds the first eligible endpoint, starting from a random one.
+// Scans at most `mMaxScan` endpoints with a free slot, starting from a random
+// one, until it finds an eligible endpoint.
 void
 endpoint_table::Scan(pool_index::domain_rank aRank, search& aSearch)
 {
--- a/thornhollow/policy/endpoint_table_allocations_test.cc
+++ b/thornhollow/policy/endpoint_table_allocations_test.cc
@@ -16,7 +16,8 @@
 
 bool gCounting = false;
 std::size_t gAllocations = 0;
-// Bytes held, by the usable size of the allocations.
+// Bytes allocated and not yet freed, counted by the usable size of the
+// allocations.
 std::size_t gBytes = 0;
 
 // Returns null if out of memory.
@@ -75,11 +76,12 @@
 
 // Longer than the small-string buffer, so that each copy of a name allocates.
 constexpr const char* kNamePrefix = "an-endpoint-with-a-rather-long-name-";
-// Checked by CI. A decision returns the endpoint's name, which is one
-// allocation if the name is long. Nothing else may be allocated per request.
+// Maximum mean number of allocations per decision. A decision returns the
+// endpoint's name, which is one allocation if the name is long. Nothing else
+// may be allocated per request.
 constexpr double kMaxAllocationsPerDecision = 1.01;
-// Memory of one endpoint: its record, name, list entries, and its fraction of
-// the hash tables.
+// Maximum memory per endpoint: its record, name and list entries, and the hash
+// tables divided by the number of endpoints.
 constexpr std::size_t kMaxBytesPerEndpoint = 2200;
 
 struct counted_table
--- a/thornhollow/policy/endpoint_table_benchmark.cc
+++ b/thornhollow/policy/endpoint_table_benchmark.cc
@@ -1,4 +1,4 @@
-// Measures the time of one decision by the number of endpoints.
+// Measures the time of one decision for different numbers of endpoints.
 // docs/design/endpoint_choice.md has the results and the commands.
 
 #include <cstdint>
@@ -19,8 +19,8 @@
 
 struct benchmark_table
 {
-  // With `aAllEndpoints` the table has every endpoint, which shows how the time
-  // grows with their number. Otherwise it has the default subset.
+  // If `aAllEndpoints`, the table uses every endpoint, which shows how the time
+  // grows with their number. Otherwise it uses a subset of the default size.
   benchmark_table(std::int64_t aEndpoints, bool aAllEndpoints)
     : mTable(Settings(aAllEndpoints), 1)
   {
@@ -70,7 +70,8 @@
   endpoint_table mTable;
 };
 
-// From the decision to the end of the answer, with no other requests.
+// Measures the processing of one request from the decision to the end of the
+// answer, with no other requests in flight.
 void
 ServeOne(benchmark::State& aState)
 {
@@ -80,7 +81,8 @@
   }
 }
 
-// A decision while every slot is taken: the time per event under overload.
+// Measures a decision while every slot is taken, as for each event under
+// overload.
 void
 ChooseWhileFull(benchmark::State& aState)
 {
@@ -92,7 +94,7 @@
   }
 }
 
-// A decision while only one slot is free.
+// Measures a decision while only one slot is free.
 void
 ChooseLastPlace(benchmark::State& aState)
 {
@@ -120,7 +122,7 @@
   }
 }
 
-// A configuration change.
+// Measures a configuration change.
 void
 Configure(benchmark::State& aState)
 {
@@ -146,8 +148,8 @@
 BENCHMARK(TakeReport)->Apply(Sizes);
 BENCHMARK(Configure)->Apply(Sizes);
 
-// Chooses the subset of one of 38 routers from a pool of 850 endpoints in 11
-// domains.
+// Measures the choice of the subset of one of 38 routers from a pool of 850
+// endpoints in 11 domains.
 void
 ChooseSubsetAt850(benchmark::State& aState)
 {
--- a/thornhollow/policy/endpoint_table_test.cc
+++ b/thornhollow/policy/endpoint_table_test.cc
@@ -89,9 +89,9 @@
   CHECK(mTable.Slots(pool_name("m")) == 20);
 }
 
-// Eight routers get the same reports, by which one endpoint is idle and nine
-// are half full. If each chose the least loaded one, the next eight requests
-// would all go there.
+// Eight routers get the same load reports, which show one endpoint as idle and
+// nine as half full. If each router chose the endpoint with the least reported
+// load, the next eight requests would all go to the idle one.
 TEST_CASE_FIXTURE(table_fixture,
                   "endpoint_table/one_reported_idle/eight_routers_spread")
 {
@@ -117,7 +117,7 @@
   }
   const endpoint_name chosen = *Send(Item());
   CHECK((chosen == Name(1) || chosen == Name(3)));
-  // The remaining slots of both domains are found.
+  // All remaining slots of both domains are used.
   for (int i = 5; i < 32; ++i) {
     CHECK(Send(Item()));
   }
@@ -127,7 +127,7 @@
 TEST_CASE_FIXTURE(table_fixture, "endpoint_table/hot_prefix/stays_then_spreads")
 {
   Declare(8, 16);
-  // Establishes the pool's time per token: 10 ms.
+  // The first answer sets the pool's time per token to 10 ms.
   const work_item first = Item(2, 7);
   const endpoint_name holder = *Send(first);
   mTable.OnFirstToken(holder, first, Milliseconds(10), mNow);
@@ -142,9 +142,9 @@
   CHECK(sent.size() >= 5);
 }
 
-// Eight routers share an endpoint that the others keep full. Without a
-// guaranteed fair share, a router that starts later would never get a slot, as
-// each free one is filled again at once.
+// Eight routers share an endpoint, and seven of them keep it full. Without a
+// guaranteed fair share of the slots, a router that starts later would never
+// get one, as the others refill each free slot at once.
 TEST_CASE_FIXTURE(table_fixture,
                   "endpoint_table/others_hold_every_place/even_part_still_goes")
 {
@@ -172,9 +172,10 @@
   CHECK(Send(Item()));
 }
 
-// Found by scheduler_search with seed 1: an endpoint reports that it is
-// leaving, a configuration change removes it and the next one declares it
-// again. It got work at once, and cut it off a moment later.
+// Guards against forgetting that an endpoint is leaving: the endpoint reports
+// that it is leaving, a configuration change removes it and the next one
+// declares it again. It then got new work, which was cut off when the endpoint
+// stopped. Found by scheduler_search with seed 1.
 TEST_CASE_FIXTURE(table_fixture,
                   "endpoint_table/leaves_dropped_declared_again/no_new_work")
 {
@@ -198,7 +199,8 @@
   for (int i = 0; i < 50; ++i) {
     CHECK(Send(Item()) == Name(1));
   }
-  // No probe is sent while a request waits there, and one after it timed out.
+  // No probe is sent while the endpoint has an unanswered request. After that
+  // request has timed out, one probe is sent.
   mNow += Seconds(1);
   for (int i = 0; i < 20; ++i) {
     CHECK(Send(Item()) == Name(1));
@@ -211,8 +213,8 @@
   CHECK(probes == 1);
 }
 
-// The process was paused for a minute. Its reports are old, and an endpoint
-// that it considers live may have left meanwhile.
+// The router's process was paused for a minute. Its load reports are old, and
+// an endpoint that it considers live may have left meanwhile.
 TEST_CASE_FIXTURE(table_fixture,
                   "endpoint_table/process_paused/one_request_until_refreshed")
 {
@@ -257,8 +259,8 @@
 }
 
 // Requests with long answers arrive first. Without a limit they would take
-// every slot for a minute, and short ones behind them would miss their target
-// for the first token.
+// every slot for a minute, and short requests behind them would miss their
+// target time to first token.
 TEST_CASE_FIXTURE(table_fixture,
                   "endpoint_table/long_among_short/quarter_kept_for_short")
 {
--- a/thornhollow/policy/engine_partition.cc
+++ b/thornhollow/policy/engine_partition.cc
@@ -8,14 +8,15 @@
 namespace thornhollow {
 namespace {
 
-// Target fraction of an engine's slots in use on average. Each further request
-// slows down all others, and the remaining slots absorb bunched arrivals.
+// Target for the mean fraction of an engine's slots that are in use. Each
+// further request slows down all others, and the remaining slots are needed for
+// requests that arrive at about the same time.
 constexpr double kTargetSlotUse = 0.6;
-// Fraction of engines for bulk work when kinds are first separated. The demand
-// observed until then is too little to compute it from, and long prompts need
-// more engines.
+// Fraction of engines for bulk work when kinds are first separated. By then too
+// little demand has been observed to compute the fraction. It is above one
+// half, because long prompts need more engines.
 constexpr double kInitialBulkFraction = 0.62;
-// Kinds with a lower request rate are ignored.
+// Workload kinds with a lower request rate are ignored.
 constexpr double kMinRequestsPerSecond = 0.05;
 
 // Targets that define a load of 1 for a side.
@@ -27,8 +28,9 @@
   double mExcessSlotWeight = 1;
 };
 
-// Load of `aEngines` engines that serve these kinds: 1 where their prefill time
-// or their number of requests reaches the target.
+// Returns the load of `aEngines` engines that serve these kinds. A load of 1
+// means that the engines' prefill utilization or the number of their slots in
+// use reaches its target.
 double
 SideLoad(std::span<const kind_demand> aKinds,
          std::size_t aEngines,
@@ -58,7 +60,8 @@
     std::lround(aFraction * static_cast<double>(aEngines)));
 }
 
-// Prompt size weighted by size: the mean size of the prompt that a prefilled
+// Returns the mean prompt size in tokens, where each prompt is weighted by its
+// size: the mean, over all prefilled tokens, of the size of the prompt that the
 // token belongs to.
 double
 WeightedTokens(const kind_demand& aKind)
@@ -103,9 +106,10 @@
   }
 }
 
-// The kinds with the longest prompts that make up a quarter of all prefill
-// work, if a few of their prompts in a row take longer to prefill than the
-// streams of another kind may pause; empty otherwise.
+// Returns the kinds with the longest prompts that together make up at least
+// `mMinBulkFraction` of all prefill work, if a few of their prompts in a row
+// take longer to prefill than the streams of another kind may pause. Returns
+// none otherwise.
 std::vector<workload_kind>
 engine_partition::KindsToSeparate(demand_by_kind aArriving,
                                   const pool_capacity& aCapacity) const
@@ -198,8 +202,9 @@
   RecordMove(aNow);
 }
 
-// The first arrivals are a poor sample, and few streams have started on the
-// wrong engines by then, so an initial choice is revised sooner.
+// Returns how long a different set of kinds must qualify before it replaces the
+// current one. The delay is shorter soon after the first arrivals: these are a
+// poor sample, and few streams have yet started on engines of the wrong side.
 duration
 engine_partition::KindChangeDelay(time_point aNow) const
 {
--- a/thornhollow/policy/engine_partition_test.cc
+++ b/thornhollow/policy/engine_partition_test.cc
@@ -80,8 +80,9 @@
   CHECK(mPartition.BulkEngines() == 2);
 }
 
-// If only long prompts arrive, engines reserved for short ones idle: with four
-// of eighteen engines reserved, a third of the prompts started late.
+// If only long prompts arrive, engines reserved for short prompts are idle:
+// with four of eighteen engines reserved, a third of the long prompts started
+// late.
 TEST_CASE_FIXTURE(partition_of_nine_engines,
                   "engine_partition/one_kind_only/no_engine_stands_idle")
 {
@@ -107,10 +108,10 @@
   CHECK_FALSE(mPartition.IsPartitioned());
 }
 
-// If only work with a long target counted as bulk, nothing would be separated
-// where all routes promise a first event within 600 ms. Long prompts were then
-// prefilled beside all short streams, and 1,500 of 2,660 of these paused for
-// too long.
+// If only work with a long target for the first event counted as bulk, nothing
+// would be separated if all routes have a target of 600 ms. When this was so,
+// long prompts were prefilled on the engines of all short streams, and 1,500 of
+// 2,660 short streams paused for too long.
 TEST_CASE_FIXTURE(partition_of_nine_engines,
                   "engine_partition/targets_alike/long_prompts_are_kept_apart")
 {
@@ -123,9 +124,9 @@
   CHECK_FALSE(mPartition.IsBulk(help));
 }
 
-// The first arrivals may be mostly medium prompts. If these keep engines of
-// their own for the full three seconds, the long prompts are meanwhile
-// prefilled beside all short streams.
+// The first arrivals may be mostly medium prompts, which are then separated. If
+// this choice were kept for the full three seconds, long prompts that arrive
+// meanwhile would be prefilled on the engines of the short streams.
 TEST_CASE_FIXTURE(partition_of_nine_engines,
                   "engine_partition/first_moment_misleads/is_taken_back_soon")
 {
@@ -153,8 +154,8 @@
   CHECK(mPartition.BulkEngines() == 4);
 }
 
-// With moves of a single engine every 0.7 s, a pool of ninety engines does not
-// follow a burst of eight seconds before it ends.
+// If the partition moved by a single engine every 0.7 s, a burst of eight
+// seconds would end before enough of ninety engines had moved.
 TEST_CASE("engine_partition/ninety_engines/follows_a_burst_as_soon_as_nine")
 {
   engine_partition partition{ engine_partition_settings{} };
@@ -180,8 +181,8 @@
 TEST_CASE("engine_partition/engines_join_one_by_one/part_is_kept")
 {
   // Guards against recomputing the bulk fraction from the rounded number of
-  // bulk engines each time an engine joins. The bulk side then grew, and short
-  // streams were left with two of nine engines instead of three.
+  // bulk engines each time an engine joins. Rounding then made the bulk side
+  // grow, and short streams had two of nine engines instead of three.
   engine_partition partition{ engine_partition_settings{} };
   const time_point now = time_point() + Seconds(1);
   partition.Observe(Demand(90'000, 20'000), Engines(9), now);
--- a/thornhollow/policy/engine_sides.cc
+++ b/thornhollow/policy/engine_sides.cc
@@ -67,7 +67,8 @@
 }
 
 // Removes engines that have left. New engines, which have no streams, are
-// assigned directly to the side given by their position.
+// assigned directly: to the bulk side if they are among the first `aBulk` of
+// `aOrder`, otherwise to the interactive side.
 void
 engine_sides::SyncEngines(const std::vector<side_candidate>& aOrder,
                           std::size_t aBulk)
@@ -84,8 +85,9 @@
   mAssignments = std::move(kept);
 }
 
-// Moves engines to the bulk side from the front of the order, and to the
-// interactive side from its end.
+// Changes the sides of engines until `aBulk` are bulk engines. Engines are
+// moved to the bulk side starting at the front of `aOrder`, and to the
+// interactive side starting at its end.
 void
 engine_sides::AdjustCount(const std::vector<side_candidate>& aOrder,
                           std::size_t aBulk,
@@ -124,7 +126,8 @@
   }
 }
 
-// Returns false if all engines are on the side given by the order.
+// Exchanges an interactive engine among the first `aBulk` of `aOrder` with a
+// bulk engine among the rest. Returns false if there is no such pair.
 bool
 engine_sides::ExchangePair(const std::vector<side_candidate>& aOrder,
                            std::size_t aBulk,
--- a/thornhollow/policy/engine_sides_test.cc
+++ b/thornhollow/policy/engine_sides_test.cc
@@ -124,8 +124,8 @@
   CHECK(mSubject.SideOf(0) == std::nullopt);
 }
 
-// Instances that started at different times or saw different moves must
-// converge to the same sides.
+// Instances that started at different times or observed different moves of the
+// partition must converge to the same sides.
 TEST_CASE_FIXTURE(condition, "engine_sides/other_past/same_sides_in_the_end")
 {
   engine_sides other{ engine_sides_settings{} };
--- a/thornhollow/policy/fair_queue.cc
+++ b/thornhollow/policy/fair_queue.cc
@@ -132,8 +132,9 @@
   }
   mWaiting.erase(aEntry);
   if (mWaiting.empty()) {
-    // An empty queue has no outstanding claims. The reset also limits the
-    // accumulation of rounding errors.
+    // While no request waits, no team has to be served before another, so the
+    // teams' state isn't needed. The reset also limits the accumulation of
+    // rounding errors.
     mTeams.clear();
     mVirtualTime = 0;
     mTotalCost = 0;
@@ -147,9 +148,9 @@
   if (mWaiting.empty()) {
     return 0;
   }
-  // Until the virtual time reaches the start tag, every active team is served
-  // in proportion to its weight, and each may have one more request that starts
-  // before the tag.
+  // Until the virtual time reaches the new request's start tag, every team with
+  // waiting requests is served in proportion to its weight. In addition each of
+  // them may have one request that starts before the tag and ends after it.
   const double mean = mTotalCost / static_cast<double>(mWaiting.size());
   const double ahead = (StartTag(aTeam) - mVirtualTime) * mActiveWeight +
                        mean * static_cast<double>(mActiveTeams);
--- a/thornhollow/policy/fair_queue.h
+++ b/thornhollow/policy/fair_queue.h
@@ -58,8 +58,8 @@
   // Queues a request. `aWeight` is its team's weight and must be positive.
   position Push(const waiting_request& aRequest, double aWeight);
 
-  // Queues a request that was started before at the front, without charging its
-  // cost again.
+  // Queues a request that was started before (a retry) at the front of the
+  // queue, without charging its cost again.
   position PushFront(const waiting_request& aRequest);
 
   // The first and the last request in queue order; null if the queue is empty.
@@ -75,11 +75,13 @@
   // Removes a request that was started and advances the virtual time.
   void Dequeue(const position& aPosition);
 
-  // Removes a request that was not started. Its cost is refunded if it is its
-  // team's last. Returns false if there is no request at this position.
+  // Removes a request that was not started. If it is the last request that its
+  // team queued, the team gets the charged cost back. Returns false if there is
+  // no request at this position.
   bool Erase(const position& aPosition);
 
-  // The same for the last request. The queue must not be empty.
+  // Removes the last request in queue order as `Erase` does. The queue must not
+  // be empty.
   void EraseBack();
 
   // Adds `aCostDelta`, the actual minus the expected cost of a dequeued
@@ -87,11 +89,12 @@
   // team's later requests. Ignored for a team whose state is not kept.
   void AdjustCost(const team_name& aTeam, double aCostDelta, double aWeight);
 
-  // Upper estimate of the cost served before a new request of `aTeam`, assuming
-  // that all other teams keep their backlog.
+  // Upper estimate of the total cost of the requests that are served before a
+  // new request of `aTeam`, assuming that all other teams keep their backlog.
   double CostAhead(const team_name& aTeam) const;
 
-  // Whether a new request of `aTeam` would precede the last request.
+  // Whether a new request of `aTeam` would precede the last request in queue
+  // order.
   bool PrecedesBack(const team_name& aTeam) const;
 
   double TotalCost() const { return mTotalCost; }
--- a/thornhollow/policy/fair_queue_test.cc
+++ b/thornhollow/policy/fair_queue_test.cc
@@ -42,8 +42,8 @@
   fair_queue mQueue;
 };
 
-// One team sends five requests at once before another team sends its only one.
-// In order of arrival, the latter would wait for all five.
+// One team sends five requests at once before another team sends its only
+// request. In order of arrival, that request would wait for all five.
 TEST_CASE_FIXTURE(two_teams, "fair_queue/hot_team/queues_behind_itself")
 {
   for (ticket each = 1; each <= 5; ++each) {
--- a/thornhollow/policy/internal/endpoint_record.cc
+++ b/thornhollow/policy/internal/endpoint_record.cc
@@ -7,7 +7,8 @@
 namespace {
 
 constexpr double kSmoothingFactor = 0.2;
-// Answers with fewer tokens give no reliable time per token.
+// Minimum tokens of an answer for a sample of the time per token. With fewer,
+// the sample is unreliable.
 constexpr std::uint32_t kMinTokens = 8;
 
 } // namespace
@@ -104,8 +105,8 @@
   mLongInFlight -= ended.mLong ? 1 : 0;
   mHealth.OnEnded(aHow, aElapsed, aMayEject, aNow);
   if (aHow == attempt_end::kDeclined) {
-    // `mLoad` still includes the declined request, which the endpoint does not
-    // run.
+    // Subtracts the declined request, which `mLoad` still includes although the
+    // endpoint does not run it.
     mLimit.OnDeclined(mLoad.InFlight() - 1, aNow);
   }
   if (aHow == attempt_end::kDeclinedLeaving) {
@@ -158,7 +159,8 @@
 {
   ClearUnconfirmed();
   if (mState == endpoint_state::kGone && aState == endpoint_state::kLive) {
-    // A new process under the same name.
+    // A new process has started under the same endpoint name, so the report
+    // that the old one is leaving no longer applies.
     mLeavingReportedAt.reset();
   }
   mState = aState;
@@ -190,13 +192,15 @@
   return *mLeavingReportedAt + mSettings.mLeavingReportLifetime;
 }
 
-// The limit applies to all routers together, so the others' requests are
-// subtracted.
+// The concurrency limit applies to all routers together, so the estimated
+// requests of the others are subtracted.
 //
-// A router that starts later must still get slots, although the others replace
-// each of their requests at once. So each router may always use its fair share
-// of the limit. The engine then exceeds its limit slightly; the others see that
-// in the next report and hold back until each router has its fair share.
+// A router that starts after the others have filled the endpoint must still get
+// slots, although the others replace each finished request at once. So each
+// router may always use its fair share of the limit (the limit divided by
+// `mMaxRouters`). The endpoint then has slightly more requests than the limit.
+// The other routers see this in the next load report and send less until each
+// router has its fair share.
 std::uint32_t
 endpoint_record::Capacity(time_point aNow) const
 {
--- a/thornhollow/policy/pool_queue.cc
+++ b/thornhollow/policy/pool_queue.cc
@@ -8,10 +8,11 @@
 namespace thornhollow {
 namespace {
 
-// Longer than any deadline.
+// Stands for a wait without a limit; longer than any deadline.
 constexpr duration kUnboundedWait = std::chrono::hours(1);
-// Prevents a busy loop: because of rounding, a credit could otherwise be due
-// immediately, again and again.
+// Minimum delay until a class held back is due. Prevents a busy loop: because
+// of rounding, the class could otherwise be due immediately again and again
+// without becoming eligible.
 constexpr duration kMinWakeDelay = Milliseconds(1);
 
 duration
@@ -97,9 +98,9 @@
   for (auto& [key, queue] : mClasses) {
     queue.mRate.Observe(!queue.mWaiting.empty(), aNow);
   }
-  // While work is held back, the rate at which it starts does not reflect the
-  // pool's capacity. The capacity of that period still accrues to the minimum
-  // shares.
+  // While requests are held back for another instance, the rate at which
+  // requests start does not reflect the pool's capacity, so it isn't measured.
+  // The capacity during that time still accrues to the minimum shares.
   mRate.Observe(mCount > 0 && !mHeldBack, aNow);
   if (mHeldBack && aNow > mLastObserved) {
     AccrueShares(mRate.LastPerSecond().value_or(0) *
@@ -220,8 +221,8 @@
   classes::value_type* const candidate = ShedCandidate();
   const bool isLowerTier =
     candidate != nullptr && candidate->first.mTier > aKey.mTier;
-  // Within a tier, the class that uses most shared capacity makes room, and
-  // within a class the team whose last request has the latest start tag.
+  // Within a tier, a request of the class that uses most shared capacity is
+  // shed, and within a class the request with the latest start tag.
   const bool isLargerClass =
     candidate != nullptr && candidate->first.mTier == aKey.mTier &&
     SharedCount(candidate->second) > SharedCount(own) + 1;
@@ -349,8 +350,9 @@
   };
 }
 
-// Measured service rate of a class, or its minimum share of the pool's rate if
-// that is higher.
+// Returns the measured service rate of a class, or the class's minimum share of
+// the pool's service rate if that is higher. Returns the pool's rate if the
+// class's was not measured.
 std::optional<double>
 pool_queue::RateFor(const class_queue& aClass, time_point aNow) const
 {
--- a/thornhollow/policy/pool_queue.h
+++ b/thornhollow/policy/pool_queue.h
@@ -44,9 +44,9 @@
   bool mTierOrder = true;
   bool mMinimumShares = true;
   bool mFairTeams = true;
-  // If true, a request is refused on arrival if it would start after its
-  // deadline according to the predicted wait, and before it starts if it can no
-  // longer finish by its deadline.
+  // If true, a request is refused on arrival if, by the predicted wait, it
+  // would start too late to meet its deadline, and before it starts if it can
+  // no longer finish by its deadline.
   bool mDeadlineCheck = true;
   standing_queue_settings mStandingQueue;
   retry_schedule_settings mRetrySchedule;
--- a/thornhollow/policy/pool_queue_test.cc
+++ b/thornhollow/policy/pool_queue_test.cc
@@ -11,8 +11,8 @@
 
 constexpr time_point kStart{ Seconds(100) };
 
-// Tier 1 "high" without a minimum share, tier 4 "low" with a minimum share of
-// 25%.
+// A pool with two classes: "high" of tier 1 without a minimum share, and "low"
+// of tier 4 with a minimum share of 25%.
 struct two_tiers
 {
   two_tiers()
@@ -66,14 +66,15 @@
 };
 
 // A burst of the highest tier fills the queue while requests of the lowest tier
-// wait. The most recent of the latter are shed, but only as long as their class
-// uses shared capacity.
+// wait. The most recent requests of the lowest tier are shed, but only as long
+// as their class uses shared capacity.
 TEST_CASE_FIXTURE(two_tiers, "pool_queue/full/lowest_tiers_youngest_goes_first")
 {
   for (int i = 0; i < 10; ++i) {
     CHECK(Push(4).mRefused.empty());
   }
-  // All eight shared entries and the two reserved for the class are in use.
+  // All eight shared queue entries and the two reserved for the class "low" are
+  // in use.
   for (ticket victim = 10; victim >= 3; --victim) {
     const pool_queue::push_result pushed = Push(1);
     REQUIRE(pushed.mRefused.size() == 1);
@@ -129,7 +130,8 @@
     Push(tier);
     mNow += Milliseconds(10);
   }
-  // A quarter, less the credit that had to accrue for the first request.
+  // The low tier gets a quarter of the 400 requests, less the few that were
+  // served while the credit for its first request accrued.
   CHECK(served[4] >= 98);
   CHECK(served[4] <= 100);
 }
@@ -156,9 +158,9 @@
   CHECK(mQueue->PredictedWait(item, mNow) == duration::zero());
 }
 
-// Waiting requests were served at 10 per second. A new request whose predicted
-// wait does not fit its deadline is refused on arrival, with a retry delay
-// above the minimum.
+// Waiting requests are served at 10 per second. A new request whose predicted
+// wait exceeds the time until its deadline is refused on arrival, with a retry
+// delay above the minimum.
 TEST_CASE_FIXTURE(two_tiers,
                   "pool_queue/measured_wait_too_long/refused_at_once")
 {
@@ -188,9 +190,9 @@
   CHECK(mQueue->Push(late, 1, mRandom, mNow).mHandle.has_value());
 }
 
-// Another instance reports waiting requests of the high tier. This one has only
-// low-tier work and must start no more of it than the class's minimum share
-// until the report has expired.
+// Another instance reports waiting requests of the high tier. This instance has
+// only requests of the low tier. Until the report has expired, it must start no
+// more of them than the minimum share of their class.
 TEST_CASE_FIXTURE(two_tiers, "pool_queue/peer_waits/low_tier_gets_its_share")
 {
   for (int i = 0; i < 8; ++i) {
@@ -211,8 +213,9 @@
       ++started;
     }
   }
-  // 16 s at 10 per second are 160 requests. The class may start a quarter of
-  // them, less what it was served beyond its minimum share before.
+  // In 16 s the pool could serve 160 requests, at 10 per second. The class may
+  // start a quarter of these, less what it was served beyond its minimum share
+  // before the reports.
   CHECK(started >= 32);
   CHECK(started <= 40);
   mNow += Seconds(2);
--- a/thornhollow/policy/popular_prefix_blocks_test.cc
+++ b/thornhollow/policy/popular_prefix_blocks_test.cc
@@ -34,8 +34,9 @@
   CHECK_FALSE(Cached(7));
 }
 
-// Guards against a table filled by callers that send a unique prompt each time,
-// which leaves no room for the texts that all sessions share.
+// Guards against a table that is filled with the blocks of callers that send a
+// unique prompt each time, so that the texts that all sessions share are not
+// tracked.
 TEST_CASE_FIXTURE(blocks_on_eighteen_engines,
                   "popular_prefix_blocks/many_parts/popular_one_finds_a_place")
 {
--- a/thornhollow/policy/prefill_rate_test.cc
+++ b/thornhollow/policy/prefill_rate_test.cc
@@ -8,8 +8,9 @@
 namespace thornhollow {
 namespace {
 
-// Responses of one kind of engine: the prefill of a prompt, the network round
-// trip, and in some cases a queue that this instance does not know about.
+// Simulates the waits for the first token at engines of one speed: the prefill
+// of the prompt, the network round trip, and in some cases the prefill of
+// queued prompts that this instance does not know about.
 struct engine_of_a_pool
 {
   double mPerSecond = 0;
--- a/thornhollow/policy/prefix_affinity.cc
+++ b/thornhollow/policy/prefix_affinity.cc
@@ -29,8 +29,8 @@
     found->mPrefix = aPrefix;
   }
   found->mLastUsed = aNow;
-  // Move the endpoint to the front; if it is new, the least recent one is
-  // dropped.
+  // Moves the endpoint to the front of the list. If the endpoint is not in the
+  // list, the least recent one is dropped.
   auto last = std::ranges::find(found->mEndpoints, aEndpoint);
   if (last == found->mEndpoints.end()) {
     --last;
--- a/thornhollow/policy/scenario/baselines.cc
+++ b/thornhollow/policy/scenario/baselines.cc
@@ -69,7 +69,8 @@
   return {};
 }
 
-// Both algorithms avoid the endpoint that just failed, as any proxy does.
+// Both algorithms avoid the endpoint at which the request's previous attempt
+// failed, as common proxies do.
 std::size_t
 baseline_scheduler::PickEndpoint(pool_state& aPool,
                                  const baseline_request& aRequest) const
--- a/thornhollow/policy/scenario/catalog.cc
+++ b/thornhollow/policy/scenario/catalog.cc
@@ -6,7 +6,7 @@
 namespace thornhollow::scenario {
 namespace {
 
-// The first declared class of this tier.
+// Returns the first declared class of this tier.
 class_name
 ClassOfTier(const deployment& aDeployment, int aTier)
 {
@@ -167,9 +167,9 @@
   return made;
 }
 
-// The excess of 10 s at five times the capacity is 40 s of work for all
-// engines. The retries among it have half of the capacity to themselves
-// afterwards.
+// During the 10 s at five times the capacity, 40 s of work for all engines
+// arrive in excess of the capacity. Afterwards new requests use half of the
+// capacity, and the other half is left for retries of the refused requests.
 scenario_spec
 Recovery()
 {
@@ -210,8 +210,8 @@
   return made;
 }
 
-// Adds the scheduler without each single mechanism of the endpoint side, and
-// without all of them.
+// Adds one policy for each mechanism of the endpoint table, with only this
+// mechanism switched off, and one policy with all of them switched off.
 void
 AddPoliciesWithoutEndpointMechanism(std::vector<named_policy>& aAll)
 {
--- a/thornhollow/policy/scenario/comparison_test.cc
+++ b/thornhollow/policy/scenario/comparison_test.cc
@@ -23,8 +23,8 @@
 }
 
 // With tier order alone, the two lower tiers get only what the higher ones
-// leave. With a demand of twice the capacity this is less than half of their
-// minimum shares, a fifth together.
+// leave. With a demand of twice the capacity this is less than half of the two
+// tiers' minimum shares, which add up to a fifth of the capacity.
 TEST_CASE("scenarios/without_shares/lower_tiers_starve")
 {
   const deployment site = GraniteRelay();
@@ -64,8 +64,8 @@
     WastedFraction(RunSeeds(site, "overload_2", off, kSeeds)));
 }
 
-// A burst of the highest tier. Without the bound on a standing queue, the whole
-// burst is served late.
+// A burst of the highest tier arrives. Without the bound on a queue that
+// persists (standing_queue.h), all requests of the burst are served late.
 TEST_CASE("scenarios/without_standing_bound/burst_is_served_late")
 {
   const deployment site = GraniteRelay();
@@ -76,8 +76,8 @@
         Attainment(RunSeeds(site, "burst_tier_1", off, kSeeds), 1) + 0.04);
 }
 
-// All refused callers retry. If they are given the same retry time, they are
-// refused again many times over.
+// All refused callers retry. If they are given the same retry time, they all
+// retry at once, and most are refused again, many times in a row.
 TEST_CASE("scenarios/without_spread_returns/callers_are_refused_more")
 {
   const deployment site = GraniteRelay();
@@ -88,8 +88,8 @@
         ErrorResponses(RunSeeds(site, "all_retrying", off, kSeeds)));
 }
 
-// One instance receives all requests of the highest tier. Without the
-// endpoints' own queues it gets no more slots than any other instance.
+// One instance receives all requests of the highest tier. If it doesn't queue
+// requests at the endpoints, it gets no more slots than any other instance.
 TEST_CASE("scenarios/without_endpoint_queues/tier_order_ends_at_the_instance")
 {
   scheduler_settings off;
@@ -98,8 +98,8 @@
         0.2);
 }
 
-// A paused process must not waste work when it resumes, nor shed more than what
-// became due during the pause.
+// When a paused process resumes, it must not send work that is then wasted, nor
+// refuse more requests than those that became due during the pause.
 TEST_CASE("scenarios/paused_instance/recovers_at_once")
 {
   const outcomes runs =
--- a/thornhollow/policy/scenario/engine_model.cc
+++ b/thornhollow/policy/scenario/engine_model.cc
@@ -8,7 +8,7 @@
 namespace thornhollow::scenario {
 namespace {
 
-// Fractions of a step below this are rounding errors.
+// Fractions of a step below this value are treated as rounding errors.
 constexpr double kStepEpsilon = 1e-6;
 
 } // namespace
@@ -102,7 +102,7 @@
   return FromSeconds(ToSeconds(step) * mSlowdown);
 }
 
-// Advances every running job by the steps since the previous call.
+// Advances every running job by the steps that passed since the previous call.
 void
 engine_model::AdvanceJobs()
 {
@@ -136,8 +136,8 @@
   }
 }
 
-// Schedules a wake-up at the next change of the batch, when a prefill or a
-// response ends.
+// Schedules a wake-up for the next change of the batch, which is when a prefill
+// or a response ends.
 void
 engine_model::ScheduleWake()
 {
--- a/thornhollow/policy/scenario/regression_test.cc
+++ b/thornhollow/policy/scenario/regression_test.cc
@@ -1,5 +1,5 @@
-// Bounds on the service that callers receive in each scenario. The runs use
-// virtual time and fixed seeds, so that the results are the same on every
+// Checks bounds on the service that callers receive in each scenario. The runs
+// use virtual time and fixed seeds, so that the results are the same on every
 // machine, and a failed bound means that a scheduling decision changed. See the
 // design note for the margins.
 #include <algorithm>
@@ -27,7 +27,8 @@
   // tokens.
   double mTokens;
   double mWasted;
-  // 3 where all classes compete, otherwise 1, to bound the time in CI.
+  // Number of seeds: 3 for scenarios in which all classes compete for capacity,
+  // otherwise 1, to limit the time in CI.
   std::uint64_t mSeeds;
 };
 
--- a/thornhollow/policy/scenario/simulation.cc
+++ b/thornhollow/policy/scenario/simulation.cc
@@ -23,17 +23,19 @@
 constexpr duration kEngineLatency = Milliseconds(1);
 constexpr duration kConnectTimeout = Seconds(1);
 constexpr duration kReportInterval = Milliseconds(250);
-// Four rounds of gossip per second, each delayed by the latency of a datagram.
+// Instances exchange their pool pressure four times per second.
+// `kPressureDelay` is the latency of a datagram.
 constexpr duration kPressureInterval = Milliseconds(250);
 constexpr duration kPressureDelay = Milliseconds(5);
-// Time before a caller retries after an error without a retry time.
+// Time after which a caller retries if the error response contains no retry
+// time.
 constexpr duration kDefaultBackoff = Seconds(1);
 constexpr int kMaxAttempts = 3;
 constexpr double kPromptTokenCost = 1.0 / 32;
 constexpr double kRecoveredAttainment = 0.9;
 constexpr duration kRecoveryBin = Seconds(1);
 
-// A caller's request, over all its submissions.
+// A caller's request, from its first submission to its last retry.
 struct logical_request
 {
   std::size_t mTraffic = 0;
@@ -117,8 +119,8 @@
   std::size_t PickInstance(std::size_t aClass);
   void SubmitRequest(std::size_t aRequest);
 
-  // Runs `aCall` on an instance's policy, once the instance's process resumes
-  // if it is paused.
+  // Runs `aCall` on the policy of an instance. If the instance's process is
+  // paused, this happens when it resumes.
   template<class call>
   void OnInstance(std::size_t aInstance, call aCall);
   void Apply(std::size_t aInstance, const decisions& aDecisions);
@@ -283,8 +285,8 @@
   }
 }
 
-// Streams across the partition stall. Both ends detect it after the connect
-// timeout.
+// Ends the streams between the partitioned domain and the others after the
+// connect timeout, when both ends have detected that nothing is received.
 void
 simulation::BreakPartitionedStreams()
 {
@@ -346,8 +348,9 @@
   return total;
 }
 
-// Arrivals form a Poisson process of the maximum rate. Each is accepted with a
-// probability according to the rate at its time, so that surges need no events.
+// Arrivals are generated as a Poisson process of the maximum rate. Each is
+// accepted with a probability of the rate at its time divided by the maximum
+// rate, so that surges need no events of their own.
 void
 simulation::ScheduleArrival(std::size_t aTraffic)
 {
@@ -647,7 +650,7 @@
   submission& lost = found->second;
   lost.mEngine.reset();
   Account(lost, aWork);
-  // The stream is resumed elsewhere after the last token received.
+  // The stream is resumed at another engine after the last token received.
   lost.mReceivedTokens += static_cast<std::uint32_t>(aWork.mOutputTokens);
   const bool canRetry = lost.mAttempts < kMaxAttempts &&
                         (!aMayHaveStarted || lost.mItem.mIdempotent);
@@ -685,7 +688,8 @@
   if (late.mEngine) {
     Account(late, mEngines[*late.mEngine]->Cancel(aTicket));
   }
-  // The policy may refuse this request now, which ends its submission.
+  // The policy may refuse the request in this call, which ends its submission,
+  // so `late` must not be used afterwards.
   OnInstance(late.mInstance, [aTicket](auto& aPolicy, time_point aNow) {
     decisions out =
       aPolicy.OnAttemptEnded(aTicket, attempt_end::kCancelled, 0, aNow);
@@ -720,8 +724,8 @@
     return;
   }
   ++request.mRetries;
-  // The header has whole seconds, rounded up. Half of the callers read the
-  // milliseconds in the response body instead.
+  // The Retry-After header contains whole seconds, rounded up. Half of the
+  // callers read the milliseconds in the response body instead.
   const bool readsHeader = std::bernoulli_distribution(0.5)(mRandom);
   const duration after =
     readsHeader ? std::chrono::ceil<std::chrono::seconds>(aAfter) : aAfter;
@@ -752,7 +756,8 @@
           if (!IsReachable(mInstances[index].mDomain, declared.mDomain)) {
             continue;
           }
-          // Captured by value, because a paused instance receives it later.
+          // The report and the name are captured by value, because a paused
+          // instance receives the report only after resuming.
           OnInstance(
             index,
             [report, name = declared.mName](auto& aPolicy, time_point aNow) {
