--- a/thornhollow/policy/endpoint_choice.h
+++ b/thornhollow/policy/endpoint_choice.h
@@ -23,7 +23,7 @@
 //
 // Choice of the defaults:
 // - Eight random endpoints of the own domain and eight of the other domains
-//   cover a large part of a subset of 16 endpoints (endpoint_subset.h). Because
+//   cover nearly all of a subset of 16 endpoints (endpoint_subset.h). Because
 //   each router's own load differs, a large sample doesn't make all routers
 //   choose the same endpoint.
 // - Prefill takes about 0.03 ms per prompt token: an engine step of 8 ms
--- a/thornhollow/policy/endpoint_table.h
+++ b/thornhollow/policy/endpoint_table.h
@@ -145,7 +145,7 @@
   // Re-evaluates state that changes with time alone.
   void Advance(time_point aNow);
   // When `Advance` should be called next because a slot may become free; empty
-  // if no state changes with time.
+  // if no re-evaluation is scheduled.
   std::optional<time_point> NextDue() const;
 
   // Whether any endpoint that accepts new work serves `aPool`.
--- a/thornhollow/policy/engine_partition.h
+++ b/thornhollow/policy/engine_partition.h
@@ -24,13 +24,14 @@
 // route does not matter: even if every route is urgent, long prompts make
 // streams exceed short pause limits.
 //
-// A burst consists of one workload kind, so a fixed partition would leave the
-// other side idle. The partition therefore follows the arriving work. It is
-// computed from sums over all instances, so that all instances get the same
-// result without coordination. The partition moves only when one side is
-// overloaded, by a ninth of the engines at a time and no sooner than
-// `mMinMoveInterval` after the last move. This prevents oscillation: each move
-// disturbs the streams on the engines that change sides.
+// A burst consists of either bulk or interactive work, so a fixed partition
+// would have too few engines on that side. The partition therefore follows the
+// arriving work. It is computed from sums over all instances, so that all
+// instances get the same result without coordination. The partition moves only
+// when one side is overloaded, by a ninth of the engines at a time and no
+// sooner than `mMinMoveInterval` after the last move. This prevents
+// oscillation, which must be avoided because each move interrupts the streams
+// on the engines that change sides.
 //
 // Engines that run few requests at a time run out of slots before prefill
 // saturates them. Both sides are then filled equally up to a fraction of their
--- a/thornhollow/policy/internal/pool_index.h
+++ b/thornhollow/policy/internal/pool_index.h
@@ -21,8 +21,8 @@
   bool mHasFreeSlot = false;
   // Slots that this router may use at the endpoint, taken or free.
   std::uint32_t mSlots = 0;
-  // Fraction of the endpoint's capacity, 0 to 1, that isn't used because it is
-  // failing or slow compared with its pool.
+  // Fraction of the endpoint's capacity, 0 to 1, that may not be used at
+  // present because of the endpoint's health (endpoint_health.h).
   double mLostFraction = 0;
 
   friend bool operator==(const member_state&, const member_state&) = default;
