--- a/thornhollow/policy/domain_reachability.h
+++ b/thornhollow/policy/domain_reachability.h
@@ -2,14 +2,15 @@
 // what was recently received from it.
 //
 //   domain_reachability reach(domain_reachability_settings{}, own);
-//   reach.OnUnreachable(domain, now);   // no connection to an endpoint there
-//   reach.OnPeerMessage(domain, now);   // message from an instance there
+//   reach.OnUnreachable(domain, now);   // no response from its endpoint
+//   reach.OnPeerMessage(domain, now);   // message from its instance
 //   if (reach.IsSuspected(domain, now)) { ... }
 //
 // Failure scenario: the network between failure domains is partitioned, with
-// dropped packets or with resets. An instance that judges each endpoint on its
-// own would try one after the other in the unreachable domains and then report
-// to its caller that there is none, while the endpoints of its own domain idle.
+// dropped packets or with connection resets. An instance that judges each
+// endpoint separately would try one endpoint after the other in the unreachable
+// domains and then report to the caller that no endpoint is available, while
+// the endpoints of the instance's own domain are idle.
 //
 // A domain is suspected as soon as one of its endpoints is unreachable. That
 // endpoint may merely have crashed, so the suspicion ends with the next message
--- a/thornhollow/policy/endpoint_choice.h
+++ b/thornhollow/policy/endpoint_choice.h
@@ -66,11 +66,11 @@
                          const endpoint_choice_settings&) = default;
 };
 
-// Properties of an endpoint that determine the cost of sending a request there.
+// Properties of an endpoint that determine the cost of sending it a request.
 struct endpoint_cost_inputs
 {
-  // This router's requests in flight there as a fraction of its concurrency
-  // limit.
+  // This router's requests in flight at the endpoint as a fraction of the
+  // endpoint's concurrency limit.
   double mUtilization = 0;
   // Seconds. Only used when `mTimePerToken` is zero.
   double mTimeToFirstToken = 0;
--- a/thornhollow/policy/endpoint_health.h
+++ b/thornhollow/policy/endpoint_health.h
@@ -14,9 +14,9 @@
 // Four conditions are distinguished:
 // - Failing: three consecutive failures, or half of the recent attempts failed.
 //   The endpoint gets nothing but occasional probes.
-// - Unresponsive: no activity since something was sent there, for 3 s or four
-//   times the average time to first token, whichever is longer. Or an attempt
-//   ended with `attempt_end::kSilent` and nothing was received from the
+// - Unresponsive: nothing was received after a request was sent, for 3 s or
+//   four times the average time to first token, whichever is longer. Or an
+//   attempt ended with `attempt_end::kSilent` and nothing was received from the
 //   endpoint since the attempt was sent. The endpoint gets only probes. A
 //   silent attempt while others are answered means a broken connection rather
 //   than an unresponsive endpoint, and has no effect.
--- a/thornhollow/policy/endpoint_load.h
+++ b/thornhollow/policy/endpoint_load.h
@@ -28,7 +28,7 @@
 // - Smoothing takes 2 s, which spans a few reports at their usual lag of 0.1 to
 //   5 s.
 // - A report counts in full up to an age of 1 s. A request runs for about as
-//   long, so most of what the report counted is still there.
+//   long, so most of the requests that the report counted still run.
 // - From an age of 1 s on, a report's weight falls linearly to zero at 8 s,
 //   which covers the longest lag plus a report interval. Without a report only
 //   the endpoint's latency limits what it is sent (concurrency_limit.h).
@@ -77,9 +77,10 @@
   // was paused.
   void DiscardReport();
 
-  // This router's requests in flight there.
+  // This router's requests in flight at the endpoint.
   std::uint32_t InFlight() const { return mInFlight; }
-  // Estimated requests of other routers there; zero without a recent report.
+  // Estimated number of requests of other routers at the endpoint; zero without
+  // a recent report.
   double OthersInFlight(time_point aNow) const;
 
 private:
--- a/thornhollow/policy/endpoint_states.h
+++ b/thornhollow/policy/endpoint_states.h
@@ -8,10 +8,10 @@
 //   }
 //
 // An endpoint may report that it is leaving while the list still shows it as
-// live. If the latest source won, the next copy of the list would send new work
-// there, which is cut off when the endpoint stops. So an endpoint counts as
-// leaving while any source says so. Reports expire by themselves, since they
-// are never withdrawn.
+// live. If the latest information took precedence, the endpoint would get new
+// work after the next copy of the list arrived, and this work would be cut off
+// when the endpoint stops. So an endpoint counts as leaving while any source
+// says so. Reports expire after some time, since they are never withdrawn.
 #ifndef THORNHOLLOW_POLICY_ENDPOINT_STATES_H_
 #define THORNHOLLOW_POLICY_ENDPOINT_STATES_H_
 
--- a/thornhollow/policy/endpoint_table.h
+++ b/thornhollow/policy/endpoint_table.h
@@ -113,7 +113,7 @@
     std::uint32_t aMaxQueued,
     time_point aNow);
 
-  // An attempt is sent to `aEndpoint`: takes one slot there.
+  // An attempt is sent to `aEndpoint`: takes one of the endpoint's slots.
   void OnSent(const endpoint_name& aEndpoint,
               const work_item& aItem,
               time_point aNow);
--- a/thornhollow/policy/engine_partition.h
+++ b/thornhollow/policy/engine_partition.h
@@ -34,8 +34,9 @@
 // on the engines that change sides.
 //
 // Engines that run few requests at a time run out of slots before prefill
-// saturates them. Both sides are then filled equally up to a fraction of their
-// slots; beyond it, the interactive side gets engines first.
+// saturates them. The partition then equalizes the fraction of slots in use on
+// both sides, up to a target fraction. Above the target, the interactive side
+// gets engines first.
 //
 // The target utilization is 25% for the interactive side and 50% for the bulk
 // side. A burst doubles the utilization of either side, and on an engine that
--- a/thornhollow/policy/engine_sides.h
+++ b/thornhollow/policy/engine_sides.h
@@ -58,7 +58,8 @@
   std::uint32_t mId = 0;
   // Slow engines are assigned to the bulk side first.
   bool mSlow = false;
-  // Breaks ties; the same on every instance.
+  // Orders engines that are equal otherwise. Must be the same on every
+  // instance.
   std::uint64_t mRank = 0;
 
   friend bool operator==(const side_candidate&,
@@ -76,8 +77,8 @@
 public:
   explicit engine_sides(const engine_sides_settings& aSettings);
 
-  // Assigns `aBulk` of `aEngines` to the bulk side. `aIdle`: no work is on its
-  // way to any engine, so that all may change sides at once.
+  // Assigns `aBulk` of `aEngines` to the bulk side. `aIdle`: no work arrives
+  // for the pool, so that all engines may change sides at once.
   void Observe(std::vector<side_candidate> aEngines,
                std::size_t aBulk,
                bool aIdle,
--- a/thornhollow/policy/length_estimate.h
+++ b/thornhollow/policy/length_estimate.h
@@ -85,11 +85,12 @@
              const pool_name& aPool,
              std::uint32_t aTokens);
 
-  // Expected number of output tokens of `aItem`, at most its own maximum.
+  // Expected number of output tokens of `aItem`, at most the maximum that
+  // `aItem` itself sets.
   double Expected(const work_item& aItem) const;
 
-  // Output tokens of `aItem` at quantile `aQuantile` (0 to 1), at most its own
-  // maximum.
+  // Number of output tokens of `aItem` at quantile `aQuantile` (0 to 1), at
+  // most the maximum that `aItem` itself sets.
   double Quantile(const work_item& aItem, double aQuantile) const;
 
   // Whether `aItem` is likely to hold a slot for much longer than its pool's
--- a/thornhollow/policy/pool_queue.h
+++ b/thornhollow/policy/pool_queue.h
@@ -15,8 +15,8 @@
 // its minimum share, and the rest is shared by all classes and allocated by
 // tier. The most recent request of the lowest tier is therefore shed first, and
 // no class loses its reserved capacity to a higher tier.
-// docs/design/tiers_and_shares.md
-// explains why tier order and minimum shares hold at the same time.
+// docs/design/tiers_and_shares.md explains why tier order and minimum shares
+// hold at the same time.
 #ifndef THORNHOLLOW_POLICY_POOL_QUEUE_H_
 #define THORNHOLLOW_POLICY_POOL_QUEUE_H_
 
--- a/thornhollow/policy/scenario/simulation.h
+++ b/thornhollow/policy/scenario/simulation.h
@@ -54,7 +54,8 @@
   injected_fault_kind mKind = injected_fault_kind::kSlow;
   duration mFrom{};
   duration mUntil{};
-  // Index of the endpoint in the declarations, or of the instance.
+  // Index of the endpoint in the declarations (`kSlow`, `kCrash`) or of the
+  // instance (`kPause`).
   std::size_t mIndex = 0;
   double mFactor = 1;
   domain_name mDomain;
@@ -97,7 +98,7 @@
   int mTier = kLowestTier;
   std::uint32_t mRequests = 0;
   // Requests completed with the time to first token and the mean time between
-  // tokens within the level's targets.
+  // tokens within the targets of their class's service level.
   std::uint32_t mAttained = 0;
   std::uint32_t mCompleted = 0;
   // The class's contribution to `outcome::mTokensPerSecond`.
@@ -124,8 +125,8 @@
   double mWastedFraction = 0;
   // Number of responses with an error, by kind.
   std::array<std::uint32_t, kRefusalKinds> mErrors{};
-  // Seconds from `scenario_spec::mRecoveryFrom` until attainment stays at or
-  // above nine in ten.
+  // Seconds from `scenario_spec::mRecoveryFrom` until the attainment stays at
+  // or above 0.9.
   double mRecoverySeconds = 0;
   // Largest fraction of all retries that arrived within the same interval of
   // 100 ms.
