--- a/thornhollow/policy/domain_reachability.h
+++ b/thornhollow/policy/domain_reachability.h
@@ -2,8 +2,8 @@
 // what was recently received from it.
 //
 //   domain_reachability reach(domain_reachability_settings{}, own);
-//   reach.OnUnreachable(domain, now);   // no response from its endpoint
-//   reach.OnPeerMessage(domain, now);   // message from its instance
+//   reach.OnUnreachable(domain, now);   // an endpoint is silent
+//   reach.OnPeerMessage(domain, now);   // an instance sent a message
 //   if (reach.IsSuspected(domain, now)) { ... }
 //
 // Failure scenario: the network between failure domains is partitioned, with
--- a/thornhollow/policy/endpoint_table_allocations_test.cc
+++ b/thornhollow/policy/endpoint_table_allocations_test.cc
@@ -78,7 +78,7 @@
 constexpr const char* kNamePrefix = "an-endpoint-with-a-rather-long-name-";
 // Maximum mean number of allocations per decision. A decision returns the
 // endpoint's name, which is one allocation if the name is long. Nothing else
-// may be allocated per request.
+// may be allocated per request. CI checks this bound.
 constexpr double kMaxAllocationsPerDecision = 1.01;
 // Maximum memory per endpoint: its record, name and list entries, and the hash
 // tables divided by the number of endpoints.
