--- a/thornhollow/policy/engine_sides.h
+++ b/thornhollow/policy/engine_sides.h
@@ -1,5 +1,5 @@
-// Assigns the engines of a pool to bulk or interactive work, given how many the
-// partition grants to each side.
+// Assigns the engines of a pool to bulk or interactive work, given the number
+// of engines on each side of the partition (engine_partition.h).
 //
 //   engine_sides sides(engine_sides_settings{});
 //   sides.Observe(engines, 5, !demand, now);
@@ -43,8 +43,8 @@
   // least one) drain at a time.
   duration mExchangeInterval = Seconds(3);
   double mExchangeFraction = 0.11;
-  // How long the previous side of an engine is remembered: as long as the
-  // prompts in its cache are of use.
+  // How long the previous side of an engine is remembered. Prompts that the
+  // engine cached before the change are likely to be reused for about as long.
   duration mPreviousSideRetention = Seconds(30);
 
   friend bool operator==(const engine_sides_settings&,
@@ -58,7 +58,8 @@
   std::uint32_t mId = 0;
   // Slow engines are assigned to the bulk side first.
   bool mSlow = false;
-  // Breaks ties; the same on every instance.
+  // Orders engines that are equal otherwise. Must be the same on every
+  // instance.
   std::uint64_t mRank = 0;
 
   friend bool operator==(const side_candidate&,
@@ -76,8 +77,8 @@
 public:
   explicit engine_sides(const engine_sides_settings& aSettings);
 
-  // Assigns `aBulk` of `aEngines` to the bulk side. `aIdle`: no work is on its
-  // way to any engine, so that all may change sides at once.
+  // Assigns `aBulk` of `aEngines` to the bulk side. `aIdle`: no work arrives
+  // for the pool, so that all engines may change sides at once.
   void Observe(std::vector<side_candidate> aEngines,
                std::size_t aBulk,
                bool aIdle,
--- a/thornhollow/policy/length_estimate.h
+++ b/thornhollow/policy/length_estimate.h
@@ -15,13 +15,14 @@
 // and pool, at most `mMaxPairs` of them. Further pairs use their pool's
 // histogram.
 //
-// Choice of constants: buckets of a quarter octave give a quantile within 19%,
-// far below the variation within one class. Counters are halved at 512
-// responses, so that an estimate follows a change of behaviour within about a
-// thousand responses. Below 16 responses the pool's histogram is used, because
-// a quantile of fewer samples is unreliable. A class counts as long at four
-// times the pool's median: a slot that it occupies could have served four
-// typical requests.
+// Choice of constants: buckets of a quarter octave (each upper bound is 1.19
+// times the lower one) give a quantile within 19%, far below the variation
+// within one class. Counters are halved at 512 responses, so that an estimate
+// follows a change of the response lengths within about a thousand responses.
+// Below 16 responses of a class the pool's histogram is used, because a
+// quantile of fewer samples is unreliable. A class counts as long if its upper
+// quartile is four times the pool's median: a slot that such a request occupies
+// could have served four typical requests.
 #ifndef THORNHOLLOW_POLICY_LENGTH_ESTIMATE_H_
 #define THORNHOLLOW_POLICY_LENGTH_ESTIMATE_H_
 
@@ -56,8 +57,9 @@
 
 struct length_estimate_settings
 {
-  // Used while there are too few samples. The mean of the expected workload:
-  // 740,000 tokens over 3,100 requests per second is 239 each.
+  // Expected output tokens while there are too few samples: the mean of the
+  // expected workload, 740,000 tokens per second over 3,100 requests per
+  // second.
   double mDefaultLength = 239;
   // Responses of a class before its own histogram is used.
   std::uint32_t mMinSamples = 16;
@@ -83,11 +85,12 @@
              const pool_name& aPool,
              std::uint32_t aTokens);
 
-  // Expected number of output tokens of `aItem`, at most its own maximum.
+  // Expected number of output tokens of `aItem`, at most the maximum that
+  // `aItem` itself sets.
   double Expected(const work_item& aItem) const;
 
-  // Output tokens of `aItem` at quantile `aQuantile` (0 to 1), at most its own
-  // maximum.
+  // Number of output tokens of `aItem` at quantile `aQuantile` (0 to 1), at
+  // most the maximum that `aItem` itself sets.
   double Quantile(const work_item& aItem, double aQuantile) const;
 
   // Whether `aItem` is likely to hold a slot for much longer than its pool's
