--- a/thornhollow/daemon/drain_watch.h
+++ b/thornhollow/daemon/drain_watch.h
@@ -24,16 +24,18 @@
 
 struct drain_limits
 {
-  // Balancers may still send requests for this long, so the port stays open.
+  // Load balancers may still send requests for this long after the drain began,
+  // so the listening port stays open.
   duration mBalancerDetectionTime{};
-  // The instance exits after this long even if requests are in progress.
+  // The instance exits this long after the drain began even if requests are in
+  // progress.
   duration mGrace{};
 };
 
 class drain_watch
 {
 public:
-  // All must outlive the watch.
+  // All arguments must outlive the watch.
   drain_watch(boost::asio::io_context& aIo,
               caller_server& aCallers,
               json_log& aLog);
--- a/thornhollow/daemon/json_log.cc
+++ b/thornhollow/daemon/json_log.cc
@@ -14,8 +14,8 @@
 // An overload causes thousands of refusals a second. Ten lines of each kind
 // carry the same information at negligible cost.
 constexpr std::uint32_t kLinesPerSecond = 10;
-// Maximum number of distinct events tracked; all counters are cleared beyond
-// it.
+// Maximum number of distinct events tracked; if there are more,
+// all counters are cleared.
 constexpr std::size_t kMaxCounters = 1024;
 
 std::string
--- a/thornhollow/daemon/relay_dispatcher.h
+++ b/thornhollow/daemon/relay_dispatcher.h
@@ -64,7 +64,7 @@
   // Runs periodic work. Call every 100 ms.
   void Tick(time_point aNow);
   // The process exits at `aShutdownAt`. From `aRefuseFrom` on, requests that
-  // cannot be answered completely before that are refused as not run.
+  // may not be answered completely before `aShutdownAt` are refused as not run.
   void SetShutdown(time_point aShutdownAt, time_point aRefuseFrom);
   // Whether a request that may take up to `aTimeout` is accepted.
   bool Accepts(duration aTimeout, time_point aNow) const;
--- a/thornhollow/daemon/relay_gateway.cc
+++ b/thornhollow/daemon/relay_gateway.cc
@@ -33,8 +33,9 @@
 // instance can serve it.
 constexpr duration kRefuseAfter = Milliseconds(2'500);
 // How long an instance reports a failed source call to its peers, during which
-// one more instance of its domain reads the source. Longer than most refusals,
-// and short enough that the usual set of readers is soon restored.
+// one more instance of its domain reads the source. Longer than the source
+// usually refuses calls, and short enough that the usual set of readers is soon
+// restored.
 constexpr duration kFailureReportPeriod = Seconds(5);
 // Reserved from the drain's grace period for process exit.
 constexpr duration kShutdownReserve = Milliseconds(400);
--- a/thornhollow/daemon/relay_peer_link.cc
+++ b/thornhollow/daemon/relay_peer_link.cc
@@ -168,9 +168,11 @@
     hello.mBrief = true;
     hello.mAddress = mSettings.mPeerAddress;
     hello.mDomain = mSettings.mDomain;
-    // If all instances read the source, a later revision shows instances whose
-    // own answer is late that the source has answered. If only a few read it,
-    // the later revision would only cause needless copy requests.
+    // If all instances read the source, the revision up to which this copy is
+    // complete tells an instance with a late answer that the source has
+    // answered others. If only a few instances read the source, that revision
+    // would cause copy requests without changes, so the one of the last change
+    // is sent.
     hello.mRevisions = mPeers.AllReadInDomain() ? mCallbacks.mKnownRevisions()
                                                 : mCallbacks.mChangeRevisions();
     hello.mWantsAnswer = aWantAnswer;
--- a/thornhollow/daemon/relay_peer_link.h
+++ b/thornhollow/daemon/relay_peer_link.h
@@ -6,8 +6,8 @@
 //   link.Tick(now);           // every 100 ms
 //   link.OnItemsChanged();    // a local copy has a newer revision
 //
-// fleet/relay_peers.h decides what to send to whom; this module has the
-// sockets.
+// fleet/relay_peers.h decides which message to send to which peer; this module
+// sends and receives the messages.
 #ifndef THORNHOLLOW_DAEMON_RELAY_PEER_LINK_H_
 #define THORNHOLLOW_DAEMON_RELAY_PEER_LINK_H_
 
@@ -73,7 +73,7 @@
   // See fleet/relay_peers.h.
   std::size_t Count(time_point aNow) const;
   std::size_t Alive() const;
-  // This instance's turn among those of its domain that read the source.
+  // This instance's position among the readers of the source in its domain.
   watch_stagger Turn(time_point aNow) const;
   bool SourceFailsElsewhere(time_point aNow) const;
   std::optional<time_point> SourceAnswered() const;
--- a/thornhollow/daemon/source_link.cc
+++ b/thornhollow/daemon/source_link.cc
@@ -316,9 +316,9 @@
                  { "at", static_cast<std::int64_t>(mMirror.Revision()) } });
   }
 
-  // Writes a line only when the reason changes within a series of failures. One
-  // line for each failed call would, in an outage, push the seconds before it
-  // out of the retained log.
+  // Within a series of failures, writes a line only when the reason changes.
+  // During an outage, one line for each failed call would push the lines from
+  // just before the outage out of the retained log.
   void LogFailure(const source_failure& aFailure, duration aOpenFor)
   {
     ++mFailedCalls;
--- a/thornhollow/daemon/source_link.h
+++ b/thornhollow/daemon/source_link.h
@@ -1,5 +1,5 @@
-// Mirrors one prefix of a source: makes the calls that the follower chooses and
-// reports what changed.
+// Mirrors the items under one prefix of a source: makes the calls that a
+// `source_follower` chooses and reports the changed items.
 //
 //   source_link link(io, source, "servers/", "endpoints", onChanges, log);
 //   link.Start();
@@ -53,7 +53,7 @@
   // Makes an additional call, since the pending watch may never be answered.
   // Does nothing if another call would add no information.
   void OnWatchSuspected(suspicion_reason aWhy, time_point aNow);
-  // Sets this instance's turn among those that read the source.
+  // Sets this instance's position among the readers of the source.
   void SetStagger(const watch_stagger& aStagger);
   // Checks for overdue answers and for an outage. Call every 100 ms.
   void Tick(time_point aNow);
--- a/thornhollow/discovery/endpoint_roster.h
+++ b/thornhollow/discovery/endpoint_roster.h
@@ -7,21 +7,21 @@
 //   Apply(roster.Tick(now));
 //
 // Guards against an outage of the source. Entries are leases, and those of
-// healthy endpoints expire while the source is unavailable. All endpoints would
-// then disappear as soon as the source recovers, and the instance would reject
+// healthy endpoints expire while the source is unavailable. When the
+// source recovers, it would list no endpoints, and the instance would reject
 // every request until they have registered again. An entry that is missing
 // right after an outage is therefore kept for a grace period in which a live
 // endpoint can register again.
 //
-// Guards against treating endpoints that shut down as endpoints with an expired
-// lease, which would send them work for seconds after they have gone. Several
-// removals at once are no evidence of an outage: a copy from a peer batches the
-// changes of a few hundred milliseconds. Neither are failed calls of this
-// instance or of one peer, which may be caused by their own network path;
-// leases expire only if the source is unavailable to all. An outage is
-// therefore a period of failing calls in which, by all reports, the source
-// answered no instance. An instance that observes the recovery reports it to
-// its peers together with its copies.
+// Guards against mistaking endpoints that have shut down for live endpoints
+// whose lease expired: they would be sent work for seconds after they have
+// gone. Several removals at once are no evidence of an outage: a copy from a
+// peer batches the changes of a few hundred milliseconds. Neither are failed
+// calls of this instance or of one peer, which may be caused by their own
+// network path; leases expire only if the source is unavailable to all. An
+// outage is therefore a period of failing calls in which, by all reports, the
+// source answered no instance. An instance that observes the recovery reports
+// it to its peers together with its copies.
 //
 // Guards against a restart under the same name: the new process has no requests
 // in flight and no cached state. It is detected by its start time and reported
@@ -51,13 +51,14 @@
   // other pools.
   std::string mAddress;
   domain_name mDomain;
-  // Requests that it runs concurrently; 0 if not stated.
+  // Number of requests that the endpoint runs concurrently; 0 if not stated.
   std::uint32_t mSlots = 0;
   // Accepts no new work and will shut down soon.
   bool mDraining = false;
   // Remaining warm-up time after its start, as of when the entry was written.
   duration mWarmUp{};
-  // Start time of its process by its own clock; 0 if not stated. Only used to
+  // Start time of the endpoint's process by the endpoint's clock, in
+  // milliseconds; 0 if not stated. Only used to
   // distinguish lifetimes under the same name.
   std::int64_t mStartedMs = 0;
 
@@ -99,13 +100,15 @@
   // shorter so that a real removal also takes effect within two seconds of the
   // recovery.
   duration mRecoveryGracePeriod = Milliseconds(1800);
-  // Reports of the same recovery by different peers differ by their transit
-  // time. A reported recovery that is later by less than this is the same one;
-  // otherwise each report would extend the grace period.
+  // Peers' reports of one recovery give slightly different times because of
+  // their transit times. A reported recovery less than this after the known one
+  // is treated as the same; otherwise each report would extend the grace
+  // period.
   duration mSameRecoveryWindow = Seconds(1);
-  // Leases may have expired if the source answered no instance for this long.
-  // Each lease is renewed several times within its lifetime. Without changes,
-  // peers report an answer every second, and one of their messages may be lost.
+  // Failing calls are an outage if the source has answered no instance for this
+  // long. Shorter failures expire no lease, since each lease is renewed several
+  // times within its lifetime. Peers report an answer of the source every
+  // second even without changes, and one of their messages may be lost.
   duration mMinOutage = Seconds(2);
 
   friend bool operator==(const roster_settings&,
--- a/thornhollow/discovery/item_mirror.h
+++ b/thornhollow/discovery/item_mirror.h
@@ -9,7 +9,7 @@
 // Guards against reverting to older state: the source, its lagging replicas and
 // peers may answer late, and an older answer applied after a newer one would
 // restore a removed endpoint or a revoked token. Every update carries the
-// source's revision, and older revisions than that of the replica are ignored.
+// source's revision, and updates older than the replica's revision are ignored.
 #ifndef THORNHOLLOW_DISCOVERY_ITEM_MIRROR_H_
 #define THORNHOLLOW_DISCOVERY_ITEM_MIRROR_H_
 
@@ -46,21 +46,22 @@
 class item_mirror
 {
 public:
-  // Applies a complete listing as of `aRevision`. Returns the differences to
-  // the replica; empty if the replica is newer. A listing at the replica's own
-  // revision is still applied and corrects differences.
+  // Applies a complete listing as of `aRevision`. Returns the changes that it
+  // made to the replica; none if the replica is newer. A listing at the
+  // replica's own revision is still applied and corrects differences.
   std::vector<item_change> OnListing(const std::vector<source_item>& aItems,
                                      std::uint64_t aRevision);
 
   // Applies all changes of the source after the replica's revision, up to
-  // `aRevision`. Returns those that were not known yet.
+  // `aRevision`. Returns those that changed the replica.
   std::vector<item_change> OnChanges(const std::vector<item_change>& aChanges,
                                      std::uint64_t aRevision);
 
   // Applies a peer's answer to `ChangesSince(aRequestedAfter)`. The answer may
-  // omit items that were created and deleted meanwhile, so it is applied only
-  // if the replica is still at the requested revision: a replica that has
-  // advanced since may hold such an item and would never delete it.
+  // omit items that were created and deleted between the two revisions, so it
+  // is applied only if the replica is still at the requested revision: a
+  // replica that has advanced since may hold such an item and would never
+  // delete it.
   std::vector<item_change> OnPeerChanges(
     const std::vector<item_change>& aChanges,
     std::uint64_t aRequestedAfter,
@@ -71,7 +72,8 @@
   // The source's revision up to which the replica is complete; 0 initially.
   std::uint64_t Revision() const { return mRevision; }
   // The revision of the last update that contained a change. A peer whose
-  // replica is complete up to this revision has all changes of this one.
+  // replica is complete up to this revision has all changes that this replica
+  // has.
   std::uint64_t LastChangeRevision() const { return mLastChangeRevision; }
   std::size_t size() const { return mItems.size(); }
   std::vector<source_item> Items() const;
@@ -98,10 +100,12 @@
   std::uint64_t mLastChangeRevision = 0;
   std::map<std::string, stored_item> mItems;
 
-  // Changes kept in the history; several minutes of changes of a large site.
+  // Maximum number of changes in the history: several minutes of changes at a
+  // large site.
   static constexpr std::size_t kMaxHistory = 256;
   // Adds an update from `aBefore` to `aAfter` to the history. `aIsUnresolved`:
-  // the intermediate changes are not known.
+  // `aChanges` has only the last change of each item, so the state at revisions
+  // between the two is not known.
   void RecordHistory(const std::vector<item_change>& aChanges,
                      std::uint64_t aBefore,
                      std::uint64_t aAfter,
@@ -114,8 +118,8 @@
   std::deque<item_change> mHistory;
   // The history contains all changes after this revision.
   std::uint64_t mHistoryStart = 0;
-  // Updates, as first and last revision, whose intermediate changes are not
-  // known.
+  // Updates for which the state between their first and last revision is not
+  // known, as pairs of these revisions.
   std::deque<std::pair<std::uint64_t, std::uint64_t>> mUnresolvedSteps;
 };
 
--- a/thornhollow/discovery/item_source.h
+++ b/thornhollow/discovery/item_source.h
@@ -68,16 +68,16 @@
   item_source& operator=(const item_source&) = delete;
   virtual ~item_source() = default;
 
-  // Lists all items under `aPrefix`. Calls `aDone` once, asynchronously, with a
-  // failure if no part of the response arrives for `aIdleTimeout`.
+  // Lists all items under `aPrefix`. Calls `aDone` once, asynchronously; with a
+  // failure if `aIdleTimeout` passes without any part of the response arriving.
   virtual void List(const std::string& aPrefix,
                     duration aIdleTimeout,
                     response_progress aOnBytes,
                     std::function<void(list_outcome)> aDone) = 0;
 
   // Waits up to `aWait` for changes after revision `aAfter`. Calls `aDone`
-  // once, asynchronously, with a failure if no part of the response arrives for
-  // `aIdleTimeout` beyond the wait.
+  // once, asynchronously; with a failure if, after the wait has elapsed,
+  // `aIdleTimeout` passes without any part of the response arriving.
   virtual void Watch(const std::string& aPrefix,
                      std::uint64_t aAfter,
                      duration aWait,
--- a/thornhollow/discovery/pending_calls.h
+++ b/thornhollow/discovery/pending_calls.h
@@ -8,11 +8,11 @@
 //   calls.Clear();                        // a response is complete, or
 //                                         // none is expected any more
 //
-// Guards against giving up on a slow transfer: a response of hundreds of
-// kilobytes takes longer on a narrow link than the time-out for an unresponsive
-// source. Concurrent calls would accumulate, each with a smaller share of the
-// bandwidth, until none of them completes. A response is therefore overdue only
-// while no data arrives.
+// Guards against repeating a call during a slow transfer: a response of
+// hundreds of kilobytes takes longer on a narrow link than the time-out that
+// detects an unresponsive source. Concurrent calls would accumulate, each with
+// a smaller share of the bandwidth, until none of them completes. A response is
+// therefore overdue only while no data arrives.
 #ifndef THORNHOLLOW_DISCOVERY_PENDING_CALLS_H_
 #define THORNHOLLOW_DISCOVERY_PENDING_CALLS_H_
 
@@ -25,10 +25,11 @@
 
 struct pending_calls_settings
 {
-  // No probe is made for a younger call; responses take a few milliseconds.
+  // No probe is made if the newest call was sent less than this long ago; a
+  // response usually takes a few milliseconds.
   duration mMinProbeAge = Milliseconds(200);
-  // Maximum gap between two parts of a response; a lost packet is retransmitted
-  // within it.
+  // A response counts as still arriving for this long after its last part; long
+  // enough for a lost packet to be retransmitted.
   duration mMaxPartGap = Milliseconds(600);
 
   friend bool operator==(const pending_calls_settings&,
@@ -52,11 +53,12 @@
 
   // Whether any call is pending.
   bool IsPending() const { return mNewest.has_value(); }
-  // Whether part of a response arrived recently.
+  // Whether part of a response arrived within the last `mMaxPartGap`.
   bool IsReceiving(time_point aNow) const;
   // Whether the newest call is overdue and no data arrives for any call.
   bool IsOverdue(time_point aNow) const;
-  // Whether a suspicion about the pending calls justifies another call.
+  // Whether another call is to be made as a probe, given that the pending calls
+  // are suspected for `aReason` to never be answered.
   bool AllowsProbe(suspicion_reason aReason, time_point aNow) const;
   // Time since the newest call was made; zero if none is pending.
   duration NewestCallAge(time_point aNow) const;
--- a/thornhollow/discovery/source_follower.cc
+++ b/thornhollow/discovery/source_follower.cc
@@ -103,9 +103,9 @@
                              mMaxRecentDelay / 2);
 }
 
-// An event that ends all instances' watches at once, such as a change, also
-// starts the next ones together. Each instance first waits until its own
-// position, and for a full round of all readers from then on.
+// After an event that ends all instances' watches at once, such as a change,
+// the next watches start together. The first of them ends at the instance's own
+// position within the round; each later one lasts a full round of all readers.
 duration
 source_follower::WatchWait() const
 {
@@ -203,8 +203,8 @@
   if (!mFailingSince) {
     mFailingSince = aNow;
   }
-  // A waiting watch doesn't show the end of an outage until something changes;
-  // a listing is answered at once.
+  // A watch shows the end of an outage only when an item changes or its wait
+  // elapses; a listing is answered at once.
   mMustList = mMustList || InOutage(aNow);
 }
 
--- a/thornhollow/discovery/source_follower.h
+++ b/thornhollow/discovery/source_follower.h
@@ -11,8 +11,8 @@
 //
 // Guards against a source that is unresponsive for a moment. Watches that were
 // open then, and calls made then, are never answered, even after the source
-// recovers. If all instances wait for such calls, a change is acknowledged but
-// takes effect nowhere. Three measures bound the delay to less than two
+// recovers. If all instances wait for such calls, the source accepts a change
+// but no instance learns of it. Three measures bound the delay to less than two
 // seconds, whatever the length of the outage:
 //
 // - In each failure domain one instance's watch ends every second, in turn,
@@ -21,9 +21,9 @@
 // - If a response is overdue and no data arrives, another call is made
 //   concurrently, and the first response to either is used. A slow source is
 //   still usable.
-// - An open watch that is suspected to be dead also triggers such a call: the
-//   process' other call is overdue, a peer's call failed, or a peer reported a
-//   change that this watch should have returned.
+// - Another call is also made if the open watch is suspected to be dead: a call
+//   of this process for another prefix is overdue or failed, a peer's call
+//   failed, or a peer reported a change that this watch should have returned.
 //
 #ifndef THORNHOLLOW_DISCOVERY_SOURCE_FOLLOWER_H_
 #define THORNHOLLOW_DISCOVERY_SOURCE_FOLLOWER_H_
@@ -48,8 +48,8 @@
   // Zero-based position, unique among the `mCount` readers.
   std::size_t mIndex = 0;
   std::size_t mCount = 1;
-  // In (0, 1]: the domain's offset as a fraction of the interval, so that the
-  // domains don't call the source at the same moment.
+  // In (0, 1]: the domain's offset as a fraction of `mStaggerInterval`, so that
+  // readers of different domains don't call the source at the same moment.
   double mPhase = 1;
 
   friend bool operator==(const watch_stagger&, const watch_stagger&) = default;
@@ -81,9 +81,9 @@
   duration mMaxBackoff = Milliseconds(400);
   // Delay between a watch that returned changes and the next watch, to batch
   // further changes: otherwise each engine of a group that starts one after the
-  // other costs one call per instance. A single change isn't delayed; following
-  // ones are delayed by at most an eighth of the two seconds within which they
-  // must be known.
+  // other costs one call per instance. A single change isn't delayed; changes
+  // that follow it are delayed by at most an eighth of the two seconds within
+  // which every instance must know them.
   duration mCoalesceDelay = Milliseconds(250);
   // Failures that last this long are an outage. Shorter ones are a broken
   // connection or a single failed call, during which no lease expires.
@@ -92,28 +92,29 @@
   // a change must take effect; the other half allows for a late response and
   // for updating peers.
   duration mStaggerInterval = Seconds(1);
-  // Maximum length of a watch, in intervals.
+  // Maximum length of a watch, in units of `mStaggerInterval`.
   std::size_t mMaxStaggerSlots = 20;
   // Wait of a watch that only probes whether the source responds.
   duration mProbeWait = Milliseconds(1);
-  // A response is overdue this long after the largest recent delay, within the
-  // bounds below.
+  // A response is overdue if it is later than the largest recent delay plus
+  // this margin. The sum is limited to the two bounds below.
   duration mTimeoutMargin = Milliseconds(100);
   duration mMinResponseTimeout = Milliseconds(150);
   duration mMaxResponseTimeout = Milliseconds(600);
-  // While the source fails: interval between calls, per instance of the domain
-  // and within the bounds below. It keeps the calls of a large fleet below the
-  // capacity of the source.
+  // While the source fails, an instance makes a call at this interval times the
+  // number of readers in its domain, limited to the two bounds below. This
+  // keeps the call rate of a large fleet below the capacity of the source.
   duration mRetryIntervalPerInstance = Milliseconds(50);
   duration mMinRetryInterval = Milliseconds(400);
   duration mMaxRetryInterval = Seconds(1);
-  // Assumed largest delay before the first response.
+  // Largest recent delay that is assumed until the first response arrives.
   duration mInitialDelay = Milliseconds(250);
   // A call is abandoned if no data arrives for this long after the response was
   // due or after its last part.
   duration mIdleTimeout = Seconds(2);
-  // Minimum interval between probes triggered by the same process' other call,
-  // or by a peer's failure. Many instances receive such reports, for seconds.
+  // Minimum intervals between probes that are triggered by another call of the
+  // same process, and by a peer's failure. The latter is longer because many
+  // instances receive the reports of one peer's failure, for several seconds.
   duration mOwnProbeInterval = Seconds(1);
   duration mPeerProbeInterval = Seconds(3);
 
@@ -130,7 +131,7 @@
   duration mSendDelay{};
   // How long a watch waits for changes; zero for a listing.
   duration mWait{};
-  // If no data arrives for this long beyond the wait, the response is overdue
+  // If no data arrives within this time after the wait, the response is overdue
   // and `OnOverdue` is to be called. A later response is still used, up to
   // `mIdleTimeout`. See `pending_calls`.
   duration mResponseTimeout{};
@@ -158,8 +159,8 @@
                                          time_point aNow);
   // Sets the position of this instance among the readers.
   void SetStagger(const watch_stagger& aStagger);
-  // Records how long after its due time a response arrived; adjusts the
-  // time-out of later ones.
+  // Records how long after its due time a response arrived, which adjusts the
+  // time-out of later responses.
   void RecordDelay(duration aDelay);
 
   // Applies the response to `aMirror`, appends the changes to `aChanges`, and
@@ -201,14 +202,15 @@
   std::optional<time_point> mLastAnswer;
   duration mBackoff;
   watch_stagger mStagger;
-  // The last watch elapsed without changes and the position is unchanged, so
-  // the watches are staggered.
+  // The last watch elapsed without changes and `mStagger` has not changed
+  // since, so this instance's watches already end at its own position.
   bool mIsStaggered = false;
   // The next watch is a probe.
   bool mProbing = false;
-  // The last probe triggered by a suspicion.
+  // When the last probe was made because a watch was suspected to be dead.
   std::optional<time_point> mLastProbe;
-  // Of recent responses; halved with each new one.
+  // Largest recent delay of a response beyond its due time; the previous value
+  // counts only half with each new response.
   duration mMaxRecentDelay;
   // A listing is needed: the source dropped the required history or was in an
   // outage.
--- a/thornhollow/listing/platform_list.h
+++ b/thornhollow/listing/platform_list.h
@@ -33,8 +33,8 @@
   friend bool operator==(const platform_list&, const platform_list&) = default;
 };
 
-// Returns nothing if the text is not a list of the protocol. Entries with an
-// unknown role are skipped.
+// Returns nothing if the text is not a valid list of the platform's protocol.
+// Entries with an unknown role are skipped.
 std::optional<platform_list>
 ReadPlatformList(std::string_view aJson, std::uint64_t aVersion);
 
--- a/thornhollow/listing/platform_watch.cc
+++ b/thornhollow/listing/platform_watch.cc
@@ -16,14 +16,14 @@
 // A long poll counts as one call, so a longer wait reduces the call rate. But a
 // poll on a dead connection hides a change for the wait plus the grace period,
 // and an endpoint that leaves must receive no new work after a few seconds.
-// These values bound that to 3 s, and 420 instances make 210 calls/s out of the
-// limit of 2,000 calls/s for all readers.
+// These values bound that to 3 s, and 420 instances make 210 calls/s of the
+// 2,000 calls/s that all callers together may make.
 constexpr duration kLongPollWait = Seconds(2);
 // A response is due within this time beyond the wait; otherwise the poll is
 // abandoned and repeated on a new connection.
 constexpr duration kResponseGrace = Seconds(1);
 // Mean delay after a failure, so that readers don't poll an unavailable service
-// in a tight loop; jittered so that they don't return at the same moment.
+// in a tight loop; jittered so that they don't retry at the same moment.
 constexpr double kMeanRetrySeconds = 0.5;
 
 } // namespace
--- a/thornhollow/listing/platform_watch.h
+++ b/thornhollow/listing/platform_watch.h
@@ -4,8 +4,8 @@
 //   platform_watch watch(io, address, "/v1/instances", listener);
 //   watch.Start();
 //
-// Never reports a version below one reported before: the service has lagging
-// replicas.
+// Reports only versions above the last one reported, since a lagging replica of
+// the platform's service may return an older version.
 #ifndef THORNHOLLOW_LISTING_PLATFORM_WATCH_H_
 #define THORNHOLLOW_LISTING_PLATFORM_WATCH_H_
 
--- a/thornhollow/routing/routing_document.h
+++ b/thornhollow/routing/routing_document.h
@@ -24,7 +24,8 @@
 {
   // May be executed any number of times.
   kIdempotent,
-  // Must be executed at most once; a second execution is a second order.
+  // Must be executed at most once; a second execution could, for example, place
+  // a second order.
   kAtMostOnce,
   // An event stream that must be executed at most once.
   kStream,
--- a/thornhollow/routing/routing_table.h
+++ b/thornhollow/routing/routing_table.h
@@ -68,10 +68,11 @@
 // Priority of a request for an engine, from 0 (most urgent) to 9: by its
 // route's tier first, then by its effective tier.
 //
-// Load pattern: an engine that runs out of slots or memory preempts the newest
-// of its least urgent requests. If the team's tier came first, also with the
-// route's second, a driver's note or a short tag would be preempted while
-// another team's plan of many pages, which may wait, continues.
+// The route's tier comes first because an engine that runs out of slots or
+// memory preempts the newest of its least urgent requests. If the effective
+// tier, which may be the team's, came first, a driver's note or a short tag
+// would be preempted while another team's plan of many pages, which can wait,
+// continues.
 std::uint32_t
 EnginePriority(const route& aRoute, tier_number aTier);
 
