--- a/thornhollow/daemon/relay_gateway.cc
+++ b/thornhollow/daemon/relay_gateway.cc
@@ -24,13 +24,13 @@
 
 using boost::system::error_code;
 
-// The balancer probes once a second and removes an instance after two failed
-// probes. Until then new connections arrive and are served; after it, idle
-// connections are closed.
+// The load balancer probes readiness once a second and removes an instance
+// after two failed probes. For this long after a drain begins, new connections
+// still arrive and are served; after that, idle connections are closed.
 constexpr duration kBalancerDetectionTime = Milliseconds(2'300);
-// After this delay a draining instance accepts only requests that it can answer
-// completely before it exits. A longer answer would be truncated, and another
-// instance can serve it.
+// From this long after the drain began, a draining instance accepts only
+// requests that it can answer completely before it exits. A longer answer would
+// be truncated, and another instance can serve it.
 constexpr duration kRefuseAfter = Milliseconds(2'500);
 // How long an instance reports a failed source call to its peers, during which
 // one more instance of its domain reads the source. Longer than the source
@@ -201,8 +201,8 @@
   }
 
   // Returns only the changes if the mirror still has them, otherwise all items.
-  // The listing of a large site is 30 KB and a change to it 300 bytes, and each
-  // is sent to every instance.
+  // The listing of a large site has 30 KB and a change 300 bytes, and every
+  // change causes a copy to every instance.
   items_answer MakeCopy(const items_request& aRequest)
   {
     const item_mirror& mirror = LinkOf(aRequest.mWhich).Mirror();
@@ -228,7 +228,8 @@
   void ApplyCopy(const items_request& aRequest, const items_answer& aCopy)
   {
     source_link& link = LinkOf(aCopy.mWhich);
-    // A reader has observed the source's outages itself.
+    // An instance that reads the source observes recoveries itself and ignores
+    // those that peers report.
     if (aCopy.mSourceBackFor && !mReadsSource) {
       mRoster.OnRecoveryReported(Now() - *aCopy.mSourceBackFor);
     }
--- a/thornhollow/daemon/relay_peer_link.cc
+++ b/thornhollow/daemon/relay_peer_link.cc
@@ -22,8 +22,8 @@
 constexpr duration kMaxAnswerAge = Seconds(10);
 // Copies of at least this size are sent compressed.
 constexpr std::size_t kMinCompressedBytes = 4'096;
-// Limits a hello to 1,100 bytes: 18 for each entry, the rest for addresses and
-// demand.
+// Maximum load entries in a hello, which limits it to 1,100 bytes: 18 bytes for
+// each entry, the rest for addresses and demand.
 constexpr std::size_t kMaxWorkEntries = 44;
 
 peer_transport_settings
@@ -135,8 +135,9 @@
     hello.mPeers = mPeers.SamplePeers();
     hello.mLoads = mCallbacks.mWork();
     if (hello.mLoads.size() > kMaxWorkEntries) {
-      // Rotates the entries without queued work, so that the prefill speed of
-      // each endpoint is reported eventually.
+      // Entries with the most queued prefill come first. The rotation varies
+      // which of the entries without queued work are kept, so that the prefill
+      // speed of each endpoint is reported eventually.
       const auto rotation =
         static_cast<std::ptrdiff_t>(mWorkRotation++ % hello.mLoads.size());
       std::rotate(hello.mLoads.begin(),
--- a/thornhollow/daemon/relay_session.cc
+++ b/thornhollow/daemon/relay_session.cc
@@ -26,36 +26,39 @@
 constexpr duration kConnectTimeout = Milliseconds(300);
 // Maximum failed connection attempts for one request.
 constexpr std::uint32_t kMaxUnsent = 6;
-// Maximum total time spent in failed connection attempts: three attempts that
-// time out instead of being refused.
+// No further connection attempt is made for a request once its failed attempts
+// have taken this long in total, which is after three that timed out.
 constexpr duration kMaxUnsentTime = Milliseconds(800);
-// Maximum idle time of a kept connection that is reused. A request that must
-// run at most once is not sent on a connection that may be about to close,
-// since a close would be indistinguishable from a failure after the request
-// ran.
+// A kept connection is reused if it has been idle for at most this long, for
+// repeatable requests and for those that must run at most once. The limit is
+// shorter for the latter, since the endpoint may be about to close the
+// connection, and a close can't be distinguished from a failure after the
+// request ran.
 constexpr duration kMaxIdleRepeatable = Seconds(30);
 constexpr duration kMaxIdleOnce = Seconds(20);
 // How long an endpoint's host may stay unresponsive before its connection
 // counts as lost. Repeatable requests fail over quickly: callers leave a stream
 // after two seconds without an event. An at-most-once request is lost with its
 // connection, whereas a partitioned domain is often reachable again within a
-// few seconds and the answer continues. With three 3 s partitions of a domain
-// within 30 s, the value of the answers that callers received was 0.70 with 2 s
-// for all requests and 0.71 with these values (mean of three draws on two
-// deployments, real processes); with partitioned endpoints, 0.82 and 0.83. More
-// than 8 s would leave little of the 15 s that callers wait.
+// few seconds and the answer continues. With three partitions of a domain,
+// 3 s each, within 30 s, the value of the answers that callers received was
+// 0.70 with 2 s for all requests and 0.71 with these values (mean of three
+// draws on two deployments, real processes); with partitioned endpoints, 0.82
+// and 0.83. More than 8 s would leave little of the 15 s that callers wait.
 constexpr duration kPeerSilenceRepeatable = Seconds(2);
 constexpr duration kPeerSilenceOnce = Seconds(8);
-// A repeatable request that receives no bytes for this long is sent to another
-// endpoint: a multiple of its target, and at least the time that an engine
-// needs for a prompt of medium length.
+// A repeatable request that is not a stream is sent to another endpoint if no
+// bytes are received for this multiple of its route's target, but not before
+// the minimum below, in which an engine can process a prompt of medium length.
 constexpr int kSilenceTargetFactor = 4;
 constexpr duration kMinSilenceTimeout = Milliseconds(600);
-// Callers leave a stream after two seconds without an event.
+// A repeatable stream that sends no bytes for this long is resumed at another
+// endpoint, before its caller leaves after two seconds without an event.
 constexpr duration kStreamSilenceTimeout = Milliseconds(1'300);
 // A request whose timeout is below this fraction of its route's timeout counts
-// as a retry: the caller has spent the rest on an earlier attempt. The minimum
-// retry delay sent to callers is a tenth of most timeouts.
+// as a retry: the caller has spent the rest on an earlier attempt. Refused
+// callers are told to wait at least a tenth of most timeouts before they retry,
+// so a retry has at most this fraction left.
 constexpr double kRetryTimeoutFraction = 0.9;
 // Limit for answers that are not streamed, which are buffered until complete.
 constexpr std::size_t kMaxBufferedAnswerBytes = std::size_t{ 8 } << 20U;
@@ -104,7 +107,8 @@
   profile.mEnginePriority = EnginePriority(aRoute, aTier);
   profile.mTarget = aRoute.mTarget;
   profile.mPause = aRoute.mEventGapTarget;
-  // The last part is specific to this request, the others are shared.
+  // The last part of the prompt is specific to this request; the other parts
+  // are shared with other requests.
   for (std::size_t at = 0; at + 1 < aRequest.mParts.size(); ++at) {
     const prompt_part& part = aRequest.mParts[at];
     profile.mSharedTokens += part.mTokens;
@@ -113,7 +117,8 @@
   }
   profile.mSharedTokens =
     std::min(profile.mSharedTokens, profile.mPromptTokens);
-  // More than two parts: at least two of them are shared.
+  // With more than two parts, at least two are shared, so the first one is a
+  // shorter prefix that more requests may share than the whole shared prefix.
   if (aRequest.mParts.size() > 2) {
     const prompt_part& first = aRequest.mParts.front();
     profile.mFirstBlock = Hash64(first.mId);
@@ -458,8 +463,8 @@
     }
     mEvents.DropUnfinished();
     const relay_step step = NextStep(progress);
-    // A request that has not reached any endpoint adds no load, so it is not
-    // charged to the retry budget.
+    // A request that has not reached any endpoint has caused no load yet, so
+    // its next attempt is not charged to the retry budget.
     const bool firstArrival = progress.mAttempts == 0;
     const bool retryCharged =
       std::exchange(mRetryCharged, false) || firstArrival;
@@ -474,8 +479,9 @@
     StartNextAttempt();
   }
 
-  // Guards against refusing a request within milliseconds when some of many
-  // endpoints have crashed: their hosts refuse connections immediately.
+  // Whether another attempt may follow failed connection attempts. Guards
+  // against refusing a request within milliseconds when some of many endpoints
+  // have crashed, as their hosts refuse connections immediately.
   bool MayRetryUnsent() const
   {
     return mUnsent < kMaxUnsent && mUnsentTime < kMaxUnsentTime;
@@ -534,7 +540,8 @@
       return;
     }
     if (now >= SilenceDeadline()) {
-      // No other endpoint can take over, and this one may still answer.
+      // No other endpoint can take over, and the current one may still answer,
+      // so the silence timeout starts again.
       mLastByte = now;
     }
     ArmTimer();
--- a/thornhollow/daemon/source_link.cc
+++ b/thornhollow/daemon/source_link.cc
@@ -64,7 +64,7 @@
       const auto self = weak.lock();
       if (!aError && self && self->mRound == round) {
         // Chooses the call again, since a peer may have supplied changes during
-        // the pause.
+        // the send delay.
         self->Send(self->mFollower.Start(self->mMirror), round);
       }
     });
@@ -139,7 +139,7 @@
     std::uint64_t mRound = 0;
     std::uint64_t mCallNumber = 0;
     time_point mSentAt{};
-    // When the answer is due if nothing changes.
+    // When the source is expected to answer if no item changes: after the wait.
     time_point mDueAt{};
   };
 
@@ -382,7 +382,7 @@
   bool mInOutage = false;
   // The number of the newest call.
   std::uint64_t mCallNumber = 0;
-  // The pending calls; none during a pause.
+  // The pending calls of the current round; none during a send delay.
   pending_calls mOpenCalls;
   // Size of the last answer received, complete or not.
   std::size_t mBytesReceived = 0;
--- a/thornhollow/discovery/endpoint_roster.cc
+++ b/thornhollow/discovery/endpoint_roster.cc
@@ -107,7 +107,8 @@
 endpoint_roster::Tick(time_point aNow)
 {
   roster_changes changes;
-  // Endpoints can't renew their registration during an outage.
+  // Nothing is removed during an outage, since live endpoints can't register
+  // again until the source recovers.
   if (IsSourceInOutage(aNow)) {
     return changes;
   }
--- a/thornhollow/discovery/endpoint_roster_test.cc
+++ b/thornhollow/discovery/endpoint_roster_test.cc
@@ -29,8 +29,9 @@
   }
 };
 
-// Guards against sending work to endpoints that have gone, where a peer reads
-// the source and one copy contains several removals.
+// Guards against sending work to endpoints that have gone, if this instance
+// receives several removals in one copy from a peer and takes them for an
+// outage.
 TEST_CASE_FIXTURE(roster_with_two_endpoints,
                   "endpoint_roster/two_removed_at_once/both_are_gone_at_once")
 {
@@ -38,8 +39,8 @@
   CHECK(mRoster.OnRemoved(endpoint_name("b"), mNow).size() == 1);
 }
 
-// Guards against dropping live endpoints where a peer reads the source and the
-// outage isn't observed locally.
+// Guards against dropping live endpoints after an outage that this instance did
+// not observe, because a peer reads the source for it.
 TEST_CASE_FIXTURE(roster_with_two_endpoints,
                   "endpoint_roster/told_of_an_outage/lapsed_ones_count_on")
 {
@@ -93,7 +94,8 @@
   CHECK(mRoster.OnRemoved(endpoint_name("a"), mNow).size() == 1);
 }
 
-// Guards against treating a source without traffic as one in an outage.
+// Guards against treating a source that has not answered for long as one in an
+// outage although no call failed.
 TEST_CASE_FIXTURE(roster_with_two_endpoints,
                   "endpoint_roster/no_answer_for_long_and_no_failure/no_outage")
 {
@@ -103,8 +105,8 @@
   CHECK(mRoster.OnRemoved(endpoint_name("a"), mNow).size() == 1);
 }
 
-// Guards against restarting the grace period with each short failure after it
-// began.
+// Guards against restarting the grace period with each short failure of the
+// source within that period.
 TEST_CASE_FIXTURE(roster_with_two_endpoints,
                   "endpoint_roster/fails_again_after_an_outage/window_stays")
 {
--- a/thornhollow/discovery/item_mirror.cc
+++ b/thornhollow/discovery/item_mirror.cc
@@ -67,7 +67,8 @@
                    bool aIsUnresolved)
 {
   std::vector<item_change> applied;
-  // Includes deletions of items that are unknown here, as a peer may hold them.
+  // Unlike `applied`, includes deletions of items that this replica doesn't
+  // hold, as a peer that requests changes may hold them.
   std::vector<item_change> recorded;
   for (const item_change& each : aChanges) {
     if (each.mRevision <= mRevision) {
--- a/thornhollow/discovery/item_mirror_test.cc
+++ b/thornhollow/discovery/item_mirror_test.cc
@@ -141,7 +141,7 @@
         all.push_back(item);
       }
       history.emplace_back(all, revision);
-      // An answer of any age arrives.
+      // A randomly chosen earlier or current listing arrives.
       const auto& [items, at] = history[random() % history.size()];
       for (const item_change& each : mirror.OnListing(items, at)) {
         CHECK(each.mRevision >= newestRevisions[each.mKey]);
--- a/thornhollow/discovery/knowledge_search_test.cc
+++ b/thornhollow/discovery/knowledge_search_test.cc
@@ -60,8 +60,8 @@
 struct delta
 {
   std::vector<item_change> mChanges;
-  // The revision for which a peer was asked; nothing for a response of the
-  // source.
+  // The revision after which changes were requested from a peer; nothing for a
+  // response of the source.
   std::optional<std::uint64_t> mRequestedAfter = std::nullopt;
 };
 
@@ -224,8 +224,9 @@
 }
 
 // Instances that can't reach the source depend on copies from peers, which may
-// be older or newer than their own. Guards against restoring a removed endpoint
-// and against permanently losing a change between two responses.
+// be older or newer than the instances' own mirrors. Guards against restoring a
+// removed endpoint and against permanently losing a change between two
+// responses.
 TEST_CASE("knowledge_search/cuts and late answers/never back, never a gap")
 {
   for (std::uint64_t seed = 1; seed <= Seeds(); ++seed) {
--- a/thornhollow/discovery/source_follower.cc
+++ b/thornhollow/discovery/source_follower.cc
@@ -98,14 +98,15 @@
 void
 source_follower::RecordDelay(duration aDelay)
 {
-  // Bounded so that a single very late response doesn't prolong the time-out.
+  // Bounded so that a single very late response doesn't prolong the time-out of
+  // many following ones.
   mMaxRecentDelay = std::max(std::min(aDelay, mSettings.mMaxResponseTimeout),
                              mMaxRecentDelay / 2);
 }
 
 // After an event that ends all instances' watches at once, such as a change,
 // the next watches start together. The first of them ends at the instance's own
-// position within the round; each later one lasts a full round of all readers.
+// position within the round; later ones last a full round of all readers.
 duration
 source_follower::WatchWait() const
 {
--- a/thornhollow/discovery/source_follower_test.cc
+++ b/thornhollow/discovery/source_follower_test.cc
@@ -37,8 +37,8 @@
   CHECK(mChanges.size() == 1);
 }
 
-// Guards against one call per change: ninety engines started one after the
-// other, and each of ninety instances made a call for every one of them.
+// Guards against one call per change: when ninety engines started one after the
+// other, each of ninety instances made a call for each of these engines.
 TEST_CASE_FIXTURE(follower_after_listing,
                   "source_follower/news/what_follows_is_gathered")
 {
@@ -118,10 +118,10 @@
   CHECK(mFollower.InOutage(mNow + Milliseconds(1000)));
 }
 
-// The source is unresponsive for six seconds. Guards against abandoning open
-// watches during the outage and issuing new long ones into it: their 22 s waits
-// delayed a configuration change for 12 s after the recovery, on all instances
-// at once.
+// The source is unresponsive for six seconds. Guards against replacing open
+// watches by new long ones during the outage, which are never answered: with
+// waits of 22 s, a configuration change took effect only 12 s after the
+// recovery, on all instances.
 struct eight_followers_of_unresponsive_source
 {
   static constexpr int kFollowerCount = 8;
@@ -259,11 +259,12 @@
   CHECK(result->mWait <= Milliseconds(500));
   CHECK(result->mResponseTimeout <= Milliseconds(500));
   CHECK_FALSE(suspect(Seconds(1)));
-  // After a response, probes are still limited by the interval.
+  // A response doesn't reset the minimum interval between probes.
   mFollower.OnWatched(source_changes{ {}, 10 }, mMirror, mChanges, mNow);
   CHECK_FALSE(suspect(Milliseconds(2'900)));
   CHECK(suspect(Seconds(3)));
-  // A recent response of its own outweighs a peer's failure.
+  // The source answered this instance recently, so a peer's failure causes no
+  // probe.
   mFollower.OnWatched(
     source_changes{ {}, 10 }, mMirror, mChanges, mNow + Seconds(7));
   CHECK_FALSE(suspect(Seconds(7) + Milliseconds(500)));
@@ -281,8 +282,9 @@
   CHECK(suspect(Seconds(1)));
 }
 
-// Guards against ignoring that a peer had a change first: the instance's own
-// watch was dead, and the following change took effect two seconds late.
+// Guards against ignoring that a peer had a change first: in that case the
+// instance's own watch was dead, and the next change took effect two seconds
+// late.
 TEST_CASE_FIXTURE(follower_after_listing,
                   "source_follower/peer_knew_first/asks_beside_its_watch")
 {
@@ -325,8 +327,9 @@
   CHECK(mFollower.Start(mMirror).mResponseTimeout == Milliseconds(150));
 }
 
-// Guards against watches that a change starts all at once: the first of them
-// ended three seconds later, and an outage in between went unnoticed.
+// Guards against watches that end at the same time because a change started
+// them together: the first of them ended three seconds after the change, and an
+// outage within these seconds went unnoticed.
 TEST_CASE("source_follower/news_for_all/watches_end_a_second_apart")
 {
   constexpr std::size_t kInstances = 3;
@@ -342,11 +345,13 @@
                         changes,
                         time_point());
     CHECK(ToSeconds(result.mWait) == static_cast<double>(index) + 0.5);
-    // From then on each instance waits a full round.
+    // After its first watch, each instance waits a full round: one second for
+    // each reader.
     result = subject.OnWatched(
       source_changes{ {}, 12 }, mirror, changes, time_point());
     CHECK(result.mWait == Seconds(3));
-    // A change in the number of readers changes the positions.
+    // A new number of readers changes the positions, so the next watch again
+    // ends at the instance's own position.
     subject.SetStagger({ index, kInstances + 1, 0.5 });
     CHECK(ToSeconds(subject.Start(mirror).mWait) ==
           static_cast<double>(index) + 0.5);
--- a/thornhollow/platform/store_client.cc
+++ b/thornhollow/platform/store_client.cc
@@ -147,9 +147,9 @@
       return;
     }
     auto& page = std::get<store_page>(read);
-    // Pages are not a consistent snapshot: the listing is only complete as of
-    // the first page's revision, and later changes are returned again by the
-    // first watch.
+    // Pages are not a consistent snapshot, since items may change between two
+    // requests. The listing is only complete as of the smallest revision of its
+    // pages; the first watch returns all changes after that revision.
     mListing.mRevision =
       mIsFirstPage ? page.mListing.mRevision
                    : std::min(mListing.mRevision, page.mListing.mRevision);
