--- a/thornhollow/daemon/drain_watch.cc
+++ b/thornhollow/daemon/drain_watch.cc
@@ -55,8 +55,9 @@
   }
 }
 
-// A request can arrive between the check and the end of listening. Exiting at
-// once would close its connection without an answer, so listening stops first,
+// Whether the instance may exit before the grace period ends. A request can
+// arrive between the check and the end of listening. Exiting at once would
+// close that request's connection without an answer, so listening stops first,
 // and the process exits only if the next check still finds no request.
 bool
 drain_watch::CanEnd(duration aElapsed)
--- a/thornhollow/daemon/json_log.cc
+++ b/thornhollow/daemon/json_log.cc
@@ -11,10 +11,11 @@
 namespace thornhollow {
 namespace {
 
-// An overload causes thousands of refusals a second. Ten lines of each kind
-// carry the same information at negligible cost.
+// An overload causes thousands of refusals a second. Ten lines a second for
+// each combination of event and first field carry the same information at
+// negligible cost.
 constexpr std::uint32_t kLinesPerSecond = 10;
-// Maximum number of distinct events tracked; if there are more,
+// Maximum number of distinct events whose lines are counted; if there are more,
 // all counters are cleared.
 constexpr std::size_t kMaxCounters = 1024;
 
--- a/thornhollow/daemon/relay_dispatcher.cc
+++ b/thornhollow/daemon/relay_dispatcher.cc
@@ -13,15 +13,16 @@
 namespace thornhollow {
 namespace {
 
-// How often idle connections are checked. Idle limits are in the order of
-// seconds.
+// How often idle connections are checked for exceeding their idle limits, which
+// are in the order of seconds.
 constexpr duration kConnectionCheckInterval = Seconds(1);
 // Refused callers retry after one to three times this delay: longer than an
 // engine takes for one prefill chunk, shorter than most callers' timeouts.
 constexpr duration kMinRetryDelay = Milliseconds(150);
 
-// Formats the demand as "target/pause: requests/s, tokens/s, open" for each
-// workload kind.
+// Formats the demand for each workload kind as
+// "target/pause: requests/s, tokens/s, open", with target and pause in
+// milliseconds.
 std::string
 DemandText(const demand_by_kind& aDemand)
 {
@@ -119,8 +120,9 @@
 {
   mTable = std::move(aTable);
   mMetrics.OnConfiguration(mTable->Document().mVersion);
-  // Engine pools choose endpoints by different rules. Rebuilds each pool that
-  // the new table turns into an engine pool, or back.
+  // Pools of engines choose endpoints by other rules than pools of plain
+  // services. Rebuilds each pool that the new table changes from one to the
+  // other.
   for (const auto& [name, each] : mEndpoints) {
     GetOrCreatePool(each.mEntry.mPool);
   }
--- a/thornhollow/daemon/relay_gateway.cc
+++ b/thornhollow/daemon/relay_gateway.cc
@@ -308,7 +308,8 @@
     }
   }
 
-  // Applies the work and demand that other instances have reported.
+  // Applies the endpoints' load and the pools' demand that other instances have
+  // reported.
   void ApplyPeerState(time_point aNow)
   {
     mDispatcher.SetInstanceCount(mPeers.Count(aNow));
@@ -375,8 +376,8 @@
     }
   }
 
-  // A document that cannot be parsed, or that is older than the current one,
-  // leaves the current one in force.
+  // Puts a configuration document in force, unless the document cannot be
+  // parsed or is older than the current one.
   void ApplyDocument(const std::string& aBytes, std::uint64_t aRevision)
   {
     boost::leaf::try_handle_all(
--- a/thornhollow/daemon/relay_session.cc
+++ b/thornhollow/daemon/relay_session.cc
@@ -239,8 +239,8 @@
     ArmTimer();
   }
 
-  // Returns the endpoint of the next attempt. The first one was chosen on
-  // admission.
+  // Returns the endpoint of the next attempt. The endpoint of the first attempt
+  // was chosen when the request was admitted.
   std::optional<relay_pick> NextEndpoint(relay_pool* aPool, time_point aNow)
   {
     if (aPool == nullptr) {
@@ -438,7 +438,8 @@
 
   bool Sent() const { return mAttempt && mAttempt->Sent(); }
 
-  // `aClose`: close the connection instead of reading the rest of the answer.
+  // Ends the current attempt and starts the next one or gives up. `aClose`:
+  // close the attempt's connection instead of reading the rest of the answer.
   void OnFailure(attempt_failure aFailure,
                  const std::string& aDetail,
                  bool aClose)
--- a/thornhollow/discovery/endpoint_roster.cc
+++ b/thornhollow/discovery/endpoint_roster.cc
@@ -32,7 +32,8 @@
   if (found == mRecords.end()) {
     return {};
   }
-  // An endpoint that announced its shutdown does not register again.
+  // A draining endpoint does not register again, so it is not kept for the
+  // grace period.
   if (!RecentlyRecovered(aNow) || found->second.mEntry.mDraining) {
     mRecords.erase(found);
     return { endpoint_gone{ aName } };
--- a/thornhollow/discovery/endpoint_roster_test.cc
+++ b/thornhollow/discovery/endpoint_roster_test.cc
@@ -132,8 +132,8 @@
                   "endpoint_roster/lapsed_in_an_outage/counts_till_it_returns")
 {
   // Guards against 503 responses for a second after an outage: leases expired
-  // meanwhile, so the first listing afterwards is empty, and the endpoints,
-  // which never stopped serving, register again a moment later.
+  // during the outage, so the first listing after it is empty, although the
+  // endpoints never stopped serving and register again within two seconds.
   mRoster.OnSourceFailed(mNow + Seconds(1));
   mNow += Seconds(5);
   CHECK(mRoster.IsSourceInOutage(mNow));
--- a/thornhollow/discovery/item_mirror_test.cc
+++ b/thornhollow/discovery/item_mirror_test.cc
@@ -31,8 +31,8 @@
                   "item_mirror/older_listing/changes_nothing")
 {
   // Guards against accepting a revoked token again: a partitioned instance
-  // requests a copy from a peer, the copy predates the revocation and arrives
-  // after the source's own answer.
+  // requests a copy from a peer, and the copy, which is older than the
+  // revocation, arrives after the source's own answer.
   CHECK(mMirror.OnListing({ { "a", "old", 4 } }, 9).empty());
   CHECK(mMirror.Items().size() == 2);
   CHECK(mMirror.Revision() == 10);
--- a/thornhollow/discovery/pending_calls.cc
+++ b/thornhollow/discovery/pending_calls.cc
@@ -27,9 +27,10 @@
   return mNewest && aNow >= mNewest->mDueAt && !IsReceiving(aNow);
 }
 
-// Without a pending call there is nothing to suspect: the next call is due
-// anyway. A very recent call already serves as a probe, unless a peer had a
-// change first: that says nothing about a call made before the peer's message.
+// Without a pending call there is nothing to probe for, since no call can be
+// dead. A very recent call already serves as a probe, unless a peer reported a
+// change first: the report doesn't show whether a call made before it is
+// answered.
 bool
 pending_calls::AllowsProbe(suspicion_reason aReason, time_point aNow) const
 {
--- a/thornhollow/platform/document_reader.cc
+++ b/thornhollow/platform/document_reader.cc
@@ -32,7 +32,7 @@
   return read;
 }
 
-// An unknown kind is treated as the strictest one.
+// An unknown kind is treated as at-most-once, which allows the fewest retries.
 request_kind
 ReadKind(std::string_view aKind, bool aResumable)
 {
@@ -84,7 +84,8 @@
   BOOST_LEAF_ASSIGN(
     read.mTarget,
     OptionalMilliseconds(aRoute, "target_latency_ms", read.mTimeout));
-  // The longest gap between two events of a stream, not the time to the first.
+  // The target for the longest gap between two events of a stream, not for the
+  // time to the first event.
   BOOST_LEAF_ASSIGN(
     read.mEventGapTarget,
     OptionalMilliseconds(aRoute, "gap_target_ms", duration::zero()));
@@ -103,7 +104,7 @@
   read.mSlots = ClampToUint32(slots);
   BOOST_LEAF_ASSIGN(read.mMemoryTokens,
                     OptionalCount(aEngine, "kv_cache_tokens", 0));
-  // The number of tokens in one event of a stream.
+  // "stride" is the maximum number of tokens in one event of a stream.
   BOOST_LEAF_AUTO(stride, OptionalCount(aEngine, "stride", 1));
   read.mTokensPerEvent = ClampToUint32(stride);
   return read;
--- a/thornhollow/platform/endpoint_reader.cc
+++ b/thornhollow/platform/endpoint_reader.cc
@@ -49,7 +49,8 @@
   BOOST_LEAF_AUTO(slots, CountField(fields, "slots"));
   read.mSlots = ClampToUint32(slots);
   BOOST_LEAF_ASSIGN(read.mDraining, ReadDraining(fields));
-  // The remaining warm-up time, not the time since the start.
+  // "cold_remaining_ms" is the remaining warm-up time, not the time since the
+  // process started.
   BOOST_LEAF_ASSIGN(read.mWarmUp,
                     MillisecondsField(fields, "cold_remaining_ms"));
   BOOST_LEAF_CHECK(CountField(fields, "sequence_number"));
--- a/thornhollow/platform/json_fields.cc
+++ b/thornhollow/platform/json_fields.cc
@@ -10,8 +10,8 @@
 namespace thornhollow::platform {
 namespace {
 
-// Configurations nest four levels; the bound keeps malicious input from
-// exhausting the stack.
+// Configurations have four nested levels; the bound prevents malicious input
+// with deep nesting from exhausting the stack.
 constexpr std::size_t kMaxDepth = 16;
 constexpr double kMaxMilliseconds = 86'400'000;
 
--- a/thornhollow/platform/readers_test.cc
+++ b/thornhollow/platform/readers_test.cc
@@ -165,7 +165,8 @@
 
 TEST_CASE("store_client/value_that_is_no_base64/is_an_empty_value")
 {
-  // One invalid value must not make the other entries unreadable.
+  // A value that is not valid base64 must not make the other entries
+  // unreadable.
   const auto page = Read(ReadStorePage(
     R"({"entries":[{"key":"a","value":"!!!","revision":4}],"at":9})"));
   REQUIRE(page.has_value());
--- a/thornhollow/platform/store_client.cc
+++ b/thornhollow/platform/store_client.cc
@@ -21,7 +21,7 @@
 constexpr duration kConnectTimeout = Milliseconds(500);
 constexpr unsigned kStatusOk = 200;
 constexpr unsigned kStatusGone = 410;
-// At most two pages of a megabyte, encoded in base64 and JSON.
+// Room for two pages of one megabyte, encoded in base64 and JSON.
 constexpr std::size_t kMaxResponseBytes = std::size_t{ 4 } << 20U;
 
 std::optional<std::string>
@@ -38,15 +38,15 @@
   if (length < 0) {
     return std::nullopt;
   }
-  // Padding is decoded to zero bytes.
+  // `EVP_DecodeBlock` decodes the padding to zero bytes, which are removed.
   const std::size_t padding = aText.size() - aText.find_last_not_of('=') - 1;
   bytes.resize(static_cast<std::size_t>(length) -
                std::min<std::size_t>(aText.empty() ? 0 : padding, 2));
   return bytes;
 }
 
-// An item with an undecodable value gets an empty value, so that its reader
-// sees that the previous value was overwritten.
+// An item whose value can't be decoded gets an empty value, so that the parser
+// of the item's value sees that the previous value was overwritten.
 result<source_item>
 ReadItem(const boost::json::object& aItem)
 {
--- a/thornhollow/routing/routing_table_test.cc
+++ b/thornhollow/routing/routing_table_test.cc
@@ -86,9 +86,9 @@
 
 TEST_CASE("routing_table/engine_rank/orders_by_route_then_by_tier")
 {
-  // Guards against preempting a driver's note on an engine while a plan
-  // continues, because the plan's team has a higher tier and the engine was
-  // given only the team's tier.
+  // Guards against an engine that preempts a driver's note while a plan
+  // continues. This happened when the engine's priority was derived from the
+  // team's tier only and the plan's team was served before the note's team.
   route note = MakeRoute("a.example", "/notes/", "notes");
   note.mTier = 0;
   route plan = MakeRoute("a.example", "/plans/", "plans");
