--- a/thornhollow/daemon/log_output.h
+++ b/thornhollow/daemon/log_output.h
@@ -34,7 +34,8 @@
 
   std::uint64_t Dropped() const { return mTotalDropped; }
 
-  // Holds at most a few seconds of the lines that json_log writes.
+  // Maximum bytes buffered: at most a few seconds of the lines that json_log
+  // writes.
   static constexpr std::size_t kMaxPending = std::size_t{ 256 } << 10U;
 
 private:
--- a/thornhollow/daemon/relay_dispatcher.h
+++ b/thornhollow/daemon/relay_dispatcher.h
@@ -66,7 +66,8 @@
   // The process exits at `aShutdownAt`. From `aRefuseFrom` on, requests that
   // may not be answered completely before `aShutdownAt` are refused as not run.
   void SetShutdown(time_point aShutdownAt, time_point aRefuseFrom);
-  // Whether a request that may take up to `aTimeout` is accepted.
+  // Whether a request that may take up to `aTimeout` is accepted in view of the
+  // limits that `SetShutdown` set; always before that call.
   bool Accepts(duration aTimeout, time_point aNow) const;
   // Call after this process was paused: closes kept connections and discards
   // state that is out of date.
@@ -88,15 +89,16 @@
   // A message from another instance, in failure domain `aDomain`, was received.
   void OnPeerMessage(const domain_name& aDomain, time_point aNow);
 
-  // For sessions.
+  // The following are used by relay sessions.
   boost::asio::io_context& Io() { return mIo; }
   const relay_names& Names() const { return mNames; }
   json_log& Log() { return mLog; }
   metrics& Metrics() { return mMetrics; }
   endpoint_connections& Connections() { return mConnections; }
   relay_pool* Pool(const pool_name& aName);
-  // An endpoint could not be connected to or stopped responding. Its failure
-  // domain may be unreachable.
+  // A connection attempt to an endpoint failed, or the endpoint stopped
+  // responding. Informs all pools, as the endpoint's whole failure domain may
+  // be unreachable.
   void OnUnreachable(const relay_pick& aPick, time_point aNow);
   shared_retry_budget& Retries() { return mRetries; }
   void OnSessionBegin() { ++mSessions; }
--- a/thornhollow/daemon/relay_gateway.h
+++ b/thornhollow/daemon/relay_gateway.h
@@ -1,5 +1,6 @@
-// One entry instance that relays requests unchanged: listeners, mirrored
-// configuration and endpoints, and graceful shutdown.
+// Runs one instance that relays requests unchanged: opens the listeners,
+// mirrors configuration and endpoints from the source, and shuts down
+// gracefully.
 //
 //   relay_gateway gateway(io, settings, std::move(adapter), log, onTick);
 //   BOOST_LEAF_CHECK(gateway.Start());
--- a/thornhollow/daemon/source_link.h
+++ b/thornhollow/daemon/source_link.h
@@ -47,28 +47,31 @@
   void Start();
   // Discards pending answers and calls the source again immediately.
   void Restart();
-  // Whether the source is called at all. Answers to pending calls are still
-  // applied after reading stops, and peers supply further changes.
+  // Sets whether this instance calls the source at all. Answers to pending
+  // calls are still applied after reading stops, and peers supply further
+  // changes.
   void SetReading(bool aReads);
-  // Makes an additional call, since the pending watch may never be answered.
-  // Does nothing if another call would add no information.
+  // Makes an additional call, since the pending watch is suspected for `aWhy`
+  // to never be answered. Does nothing if another call would add no
+  // information.
   void OnWatchSuspected(suspicion_reason aWhy, time_point aNow);
   // Sets this instance's position among the readers of the source.
   void SetStagger(const watch_stagger& aStagger);
   // Checks for overdue answers and for an outage. Call every 100 ms.
   void Tick(time_point aNow);
 
-  // Applies a peer's listing, or a peer's changes since a revision that the
-  // mirror had. Ignored unless newer than the mirror.
+  // Applies a peer's listing. Ignored unless newer than the mirror.
   void OnPeerListing(const std::vector<source_item>& aItems,
                      std::uint64_t aRevision);
-  // `aAfter`: the revision after which changes were requested.
+  // Applies a peer's changes after revision `aAfter`. Ignored unless newer than
+  // the mirror, and unless the mirror is still at `aAfter`.
   void OnPeerChanges(const std::vector<item_change>& aChanges,
                      std::uint64_t aAfter,
                      std::uint64_t aRevision);
 
   const item_mirror& Mirror() const;
-  // Whether the last call to the source failed.
+  // Whether the last call to the source failed, or two responses in a row were
+  // overdue.
   bool Failing() const;
   // When the source itself last answered, and how long ago; nullopt before its
   // first answer.
--- a/thornhollow/discovery/item_mirror.h
+++ b/thornhollow/discovery/item_mirror.h
@@ -71,9 +71,9 @@
   bool Listed() const { return mListed; }
   // The source's revision up to which the replica is complete; 0 initially.
   std::uint64_t Revision() const { return mRevision; }
-  // The revision of the last update that contained a change. A peer whose
-  // replica is complete up to this revision has all changes that this replica
-  // has.
+  // The mirror's revision after the last update that contained a change. A peer
+  // whose replica is complete up to this revision has all changes that this
+  // replica has.
   std::uint64_t LastChangeRevision() const { return mLastChangeRevision; }
   std::size_t size() const { return mItems.size(); }
   std::vector<source_item> Items() const;
