--- a/thornhollow/daemon/log_output.cc
+++ b/thornhollow/daemon/log_output.cc
@@ -12,9 +12,8 @@
 namespace {
 
 // A pipe that `poll` reports as writable accepts this many bytes without
-// blocking. The
-// descriptor is not set to non-blocking mode, since it may be shared with other
-// processes.
+// blocking. The descriptor is not set to non-blocking mode, since it may be
+// shared with other processes.
 constexpr std::size_t kMaxWriteBytes = PIPE_BUF;
 
 bool
