--- a/thornhollow/daemon/relay_gateway.cc
+++ b/thornhollow/daemon/relay_gateway.cc
@@ -24,17 +24,18 @@
 
 using boost::system::error_code;
 
-// The balancer probes once a second and removes an instance after two failed
-// probes. Until then new connections arrive and are served; after it, idle
-// connections are closed.
+// The load balancer probes readiness once a second and removes an instance
+// after two failed probes. For this long after a drain begins, new connections
+// still arrive and are served; after that, idle connections are closed.
 constexpr duration kBalancerDetectionTime = Milliseconds(2'300);
-// After this delay a draining instance accepts only requests that it can answer
-// completely before it exits. A longer answer would be truncated, and another
-// instance can serve it.
+// From this long after the drain began, a draining instance accepts only
+// requests that it can answer completely before it exits. A longer answer would
+// be truncated, and another instance can serve it.
 constexpr duration kRefuseAfter = Milliseconds(2'500);
 // How long an instance reports a failed source call to its peers, during which
-// one more instance of its domain reads the source. Longer than most refusals,
-// and short enough that the usual set of readers is soon restored.
+// one more instance of its domain reads the source. Longer than the source
+// usually refuses calls, and short enough that the usual set of readers is soon
+// restored.
 constexpr duration kFailureReportPeriod = Seconds(5);
 // Reserved from the drain's grace period for process exit.
 constexpr duration kShutdownReserve = Milliseconds(400);
@@ -200,8 +201,8 @@
   }
 
   // Returns only the changes if the mirror still has them, otherwise all items.
-  // The listing of a large site is 30 KB and a change to it 300 bytes, and each
-  // is sent to every instance.
+  // The listing of a large site has 30 KB and a change 300 bytes, and every
+  // change causes a copy to every instance.
   items_answer MakeCopy(const items_request& aRequest)
   {
     const item_mirror& mirror = LinkOf(aRequest.mWhich).Mirror();
@@ -227,7 +228,8 @@
   void ApplyCopy(const items_request& aRequest, const items_answer& aCopy)
   {
     source_link& link = LinkOf(aCopy.mWhich);
-    // A reader has observed the source's outages itself.
+    // An instance that reads the source observes recoveries itself and ignores
+    // those that peers report.
     if (aCopy.mSourceBackFor && !mReadsSource) {
       mRoster.OnRecoveryReported(Now() - *aCopy.mSourceBackFor);
     }
@@ -306,7 +308,8 @@
     }
   }
 
-  // Applies the work and demand that other instances have reported.
+  // Applies the endpoints' load and the pools' demand that other instances have
+  // reported.
   void ApplyPeerState(time_point aNow)
   {
     mDispatcher.SetInstanceCount(mPeers.Count(aNow));
@@ -373,8 +376,8 @@
     }
   }
 
-  // A document that cannot be parsed, or that is older than the current one,
-  // leaves the current one in force.
+  // Puts a configuration document in force, unless the document cannot be
+  // parsed or is older than the current one.
   void ApplyDocument(const std::string& aBytes, std::uint64_t aRevision)
   {
     boost::leaf::try_handle_all(
--- a/thornhollow/daemon/relay_peer_link.cc
+++ b/thornhollow/daemon/relay_peer_link.cc
@@ -22,8 +22,8 @@
 constexpr duration kMaxAnswerAge = Seconds(10);
 // Copies of at least this size are sent compressed.
 constexpr std::size_t kMinCompressedBytes = 4'096;
-// Limits a hello to 1,100 bytes: 18 for each entry, the rest for addresses and
-// demand.
+// Maximum load entries in a hello, which limits it to 1,100 bytes: 18 bytes for
+// each entry, the rest for addresses and demand.
 constexpr std::size_t kMaxWorkEntries = 44;
 
 peer_transport_settings
@@ -135,8 +135,9 @@
     hello.mPeers = mPeers.SamplePeers();
     hello.mLoads = mCallbacks.mWork();
     if (hello.mLoads.size() > kMaxWorkEntries) {
-      // Rotates the entries without queued work, so that the prefill speed of
-      // each endpoint is reported eventually.
+      // Entries with the most queued prefill come first. The rotation varies
+      // which of the entries without queued work are kept, so that the prefill
+      // speed of each endpoint is reported eventually.
       const auto rotation =
         static_cast<std::ptrdiff_t>(mWorkRotation++ % hello.mLoads.size());
       std::rotate(hello.mLoads.begin(),
@@ -168,9 +169,11 @@
     hello.mBrief = true;
     hello.mAddress = mSettings.mPeerAddress;
     hello.mDomain = mSettings.mDomain;
-    // If all instances read the source, a later revision shows instances whose
-    // own answer is late that the source has answered. If only a few read it,
-    // the later revision would only cause needless copy requests.
+    // If all instances read the source, the revision up to which this copy is
+    // complete tells an instance with a late answer that the source has
+    // answered others. If only a few instances read the source, that revision
+    // would cause copy requests without changes, so the one of the last change
+    // is sent.
     hello.mRevisions = mPeers.AllReadInDomain() ? mCallbacks.mKnownRevisions()
                                                 : mCallbacks.mChangeRevisions();
     hello.mWantsAnswer = aWantAnswer;
--- a/thornhollow/daemon/source_link.cc
+++ b/thornhollow/daemon/source_link.cc
@@ -64,7 +64,7 @@
       const auto self = weak.lock();
       if (!aError && self && self->mRound == round) {
         // Chooses the call again, since a peer may have supplied changes during
-        // the pause.
+        // the send delay.
         self->Send(self->mFollower.Start(self->mMirror), round);
       }
     });
@@ -139,7 +139,7 @@
     std::uint64_t mRound = 0;
     std::uint64_t mCallNumber = 0;
     time_point mSentAt{};
-    // When the answer is due if nothing changes.
+    // When the source is expected to answer if no item changes: after the wait.
     time_point mDueAt{};
   };
 
@@ -316,9 +316,9 @@
                  { "at", static_cast<std::int64_t>(mMirror.Revision()) } });
   }
 
-  // Writes a line only when the reason changes within a series of failures. One
-  // line for each failed call would, in an outage, push the seconds before it
-  // out of the retained log.
+  // Within a series of failures, writes a line only when the reason changes.
+  // During an outage, one line for each failed call would push the lines from
+  // just before the outage out of the retained log.
   void LogFailure(const source_failure& aFailure, duration aOpenFor)
   {
     ++mFailedCalls;
@@ -382,7 +382,7 @@
   bool mInOutage = false;
   // The number of the newest call.
   std::uint64_t mCallNumber = 0;
-  // The pending calls; none during a pause.
+  // The pending calls of the current round; none during a send delay.
   pending_calls mOpenCalls;
   // Size of the last answer received, complete or not.
   std::size_t mBytesReceived = 0;
--- a/thornhollow/discovery/endpoint_roster.cc
+++ b/thornhollow/discovery/endpoint_roster.cc
@@ -32,7 +32,8 @@
   if (found == mRecords.end()) {
     return {};
   }
-  // An endpoint that announced its shutdown does not register again.
+  // A draining endpoint does not register again, so it is not kept for the
+  // grace period.
   if (!RecentlyRecovered(aNow) || found->second.mEntry.mDraining) {
     mRecords.erase(found);
     return { endpoint_gone{ aName } };
@@ -107,7 +108,8 @@
 endpoint_roster::Tick(time_point aNow)
 {
   roster_changes changes;
-  // Endpoints can't renew their registration during an outage.
+  // Nothing is removed during an outage, since live endpoints can't register
+  // again until the source recovers.
   if (IsSourceInOutage(aNow)) {
     return changes;
   }
--- a/thornhollow/discovery/item_mirror_test.cc
+++ b/thornhollow/discovery/item_mirror_test.cc
@@ -31,8 +31,8 @@
                   "item_mirror/older_listing/changes_nothing")
 {
   // Guards against accepting a revoked token again: a partitioned instance
-  // requests a copy from a peer, the copy predates the revocation and arrives
-  // after the source's own answer.
+  // requests a copy from a peer, and the copy, which is older than the
+  // revocation, arrives after the source's own answer.
   CHECK(mMirror.OnListing({ { "a", "old", 4 } }, 9).empty());
   CHECK(mMirror.Items().size() == 2);
   CHECK(mMirror.Revision() == 10);
@@ -141,7 +141,7 @@
         all.push_back(item);
       }
       history.emplace_back(all, revision);
-      // An answer of any age arrives.
+      // A randomly chosen earlier or current listing arrives.
       const auto& [items, at] = history[random() % history.size()];
       for (const item_change& each : mirror.OnListing(items, at)) {
         CHECK(each.mRevision >= newestRevisions[each.mKey]);
