--- a/thornhollow/daemon/router.h
+++ b/thornhollow/daemon/router.h
@@ -77,7 +77,7 @@
   // catalog.
   void SetRouters(const instance_name& aOwn,
                   const std::vector<instance_name>& aRouters);
-  // Must be called every `clock_gap::kTickEvery`.
+  // Must be called every `clock_gap::kTickInterval`.
   void Tick();
   // `Pressure` returns the pressure of each pool here, to report to peers;
   // `OnPeerPressure` takes the highest pressure that peers reported.
--- a/thornhollow/policy/scheduler.h
+++ b/thornhollow/policy/scheduler.h
@@ -130,10 +130,10 @@
   // requests for which there is capacity.
   decisions Advance(time_point aNow);
 
-  // Like `Advance`; to be called every `clock_gap::kTickEvery`. After the first
-  // call of `Tick`, a longer step of the clock between two calls of any kind is
-  // taken as a pause of this process, and state estimated before the pause is
-  // discarded.
+  // Like `Advance`; to be called every `clock_gap::kTickInterval`. After the
+  // first call of `Tick`, a longer step of the clock between two calls of any
+  // kind is taken as a pause of this process, and state estimated before the
+  // pause is discarded.
   decisions Tick(time_point aNow);
 
   // When `Advance` next has work to do, or nothing if no work is pending.
