--- a/thornhollow/daemon/json_log_test.cc
+++ b/thornhollow/daemon/json_log_test.cc
@@ -33,9 +33,9 @@
 
 TEST_CASE_FIXTURE(captured_log, "json_log/same_event_repeated/is_bounded")
 {
-  // Guards against thousands of equal refusals a second under overload, which
-  // would fill the log collector's storage and slow an instance that is already
-  // short of CPU time.
+  // Guards against logging thousands of identical refusals per second under
+  // overload, which would fill the log collector's storage and slow an instance
+  // that is already short of CPU time.
   for (int line = 0; line < 1000; ++line) {
     mLog.Write(log_level::kInfo, "refused", { { "kind", "queue_full" } });
   }
--- a/thornhollow/daemon/metrics.h
+++ b/thornhollow/daemon/metrics.h
@@ -27,7 +27,8 @@
 {
   // Requests without a final answer.
   std::size_t mInFlight = 0;
-  // Those in flight that have no attempt at an endpoint.
+  // Requests in flight that currently have no attempt at an endpoint. Included
+  // in `mInFlight`.
   std::size_t mWaiting = 0;
 
   friend bool operator==(const held_requests&, const held_requests&) = default;
--- a/thornhollow/daemon/peer_link.cc
+++ b/thornhollow/daemon/peer_link.cc
@@ -283,7 +283,8 @@
   std::optional<stream_message> Answer(const instance_name& aSender,
                                        const claim_request& aRequest)
   {
-    // An instance may claim, use up or release keys only in its own name.
+    // An instance may claim idempotency keys, mark them as used, or release
+    // them only for itself.
     if (aRequest.mHolder.mName != aSender) {
       return std::nullopt;
     }
--- a/thornhollow/daemon/source_link.h
+++ b/thornhollow/daemon/source_link.h
@@ -63,8 +63,9 @@
   // Applies a peer's listing. Ignored unless newer than the mirror.
   void OnPeerListing(const std::vector<source_item>& aItems,
                      std::uint64_t aRevision);
-  // Applies a peer's changes after revision `aAfter`. Ignored unless newer than
-  // the mirror, and unless the mirror is still at `aAfter`.
+  // Applies a peer's changes, which lead from revision `aAfter` to `aRevision`.
+  // They are ignored if the mirror has no listing yet or is not at revision
+  // `aAfter`, or if `aRevision` is not newer than the mirror's revision.
   void OnPeerChanges(const std::vector<item_change>& aChanges,
                      std::uint64_t aAfter,
                      std::uint64_t aRevision);
--- a/thornhollow/discovery/source_follower.h
+++ b/thornhollow/discovery/source_follower.h
@@ -157,7 +157,8 @@
   std::optional<source_call> OnSuspected(suspicion_reason aReason,
                                          const item_mirror& aMirror,
                                          time_point aNow);
-  // Sets the position of this instance among the readers.
+  // Sets the position of this instance among the readers of the source in its
+  // failure domain, which staggers the ends of their watches.
   void SetStagger(const watch_stagger& aStagger);
   // Records how long after its due time a response arrived, which adjusts the
   // time-out of later responses.
--- a/thornhollow/discovery/source_follower_test.cc
+++ b/thornhollow/discovery/source_follower_test.cc
@@ -132,8 +132,8 @@
     item_mirror mMirror;
     source_call mCall;
     time_point mEndsAt{};
-    // Whether the source will answer at `mEndsAt`; otherwise the call is
-    // overdue then.
+    // If true, the source answers the call at `mEndsAt`; if false, the call
+    // times out at that time.
     bool mWillAnswer = true;
   };
 
--- a/thornhollow/fleet/demand_aggregation.h
+++ b/thornhollow/fleet/demand_aggregation.h
@@ -54,8 +54,8 @@
   std::size_t mLevel = 0;
   // Sum over the 2^`mLevel` instances that end with the sender in ring order.
   aggregated_views mBlock;
-  // Sum over the N mod 2^`mLevel` instances that end with the sender in ring
-  // order, where N is the number of all instances.
+  // Sum of the views of the sender and its predecessors on the ring, N mod
+  // 2^`mLevel` instances in total, where N is the number of all instances.
   aggregated_views mRemainder;
 
   friend bool operator==(const aggregation_message&,
--- a/thornhollow/fleet/relay_peers.h
+++ b/thornhollow/fleet/relay_peers.h
@@ -169,7 +169,8 @@
   // Interval at which seeds that have not answered and newly learned addresses
   // are tried.
   duration mSeedInterval = Milliseconds(500);
-  // Peer addresses in one hello.
+  // Maximum number of peer addresses, chosen at random, that a hello (the
+  // periodic gossip message) contains.
   std::size_t mAddressesPerHello = 6;
   // Readers of a failure domain with more than `mAllReadUpTo` instances. 0
   // makes every instance a reader; other values should be at least two, so that
--- a/thornhollow/fleet/shared_state.h
+++ b/thornhollow/fleet/shared_state.h
@@ -52,7 +52,8 @@
 
   // Unexpired pressures reported by peers, ordered by pool name.
   std::vector<pool_pressure> PeerPressures(time_point aNow) const;
-  // Pressures to send to peers: the tightest own or peer pressure of each pool.
+  // Pressures to send to peers: for each pool, the unexpired pressure, own or
+  // reported by a peer, that admits the fewest tiers.
   std::vector<pool_pressure> PressuresToSend(time_point aNow) const;
 
   // Creates a new report that `aEndpoint` is leaving.
@@ -61,7 +62,7 @@
                               time_point aNow);
   // Merges a report. Returns whether it is new and still valid.
   bool MergeLeaving(const leaving_endpoint& aLeaving, time_point aNow);
-  // The reports that are still valid.
+  // Unexpired reports of leaving endpoints.
   std::vector<leaving_endpoint> Leaving(time_point aNow) const;
   bool IsLeaving(const endpoint_name& aEndpoint, time_point aNow) const;
 
--- a/thornhollow/policy/engine_partition.cc
+++ b/thornhollow/policy/engine_partition.cc
@@ -19,7 +19,8 @@
 // Workload kinds with a lower request rate are ignored.
 constexpr double kMinRequestsPerSecond = 0.05;
 
-// Targets that define a load of 1 for a side.
+// Load targets of one side of the partition (bulk or interactive). `SideLoad`
+// returns the load relative to these targets.
 struct side_targets
 {
   // Fraction of their time that the engines of the side spend on prefill.
--- a/thornhollow/policy/engine_partition.h
+++ b/thornhollow/policy/engine_partition.h
@@ -71,9 +71,10 @@
   // Minimum time between two moves: longer than a stream lasts, shorter than a
   // wave of arrivals.
   duration mMinMoveInterval = Milliseconds(700);
-  // A different set of kinds must qualify for this long before it replaces the
-  // current one. Streams that started earlier are on the wrong engines until
-  // they end, which takes some seconds.
+  // A set of separated workload kinds is replaced only after the criteria have
+  // selected a different set for this long (less soon after the first demand),
+  // because streams that started before the change are on the wrong engines
+  // until they end, which takes some seconds.
   duration mKindChangeDelay = Seconds(3);
   // Fraction of all engines that change sides in one move, at least one engine;
   // one of nine by default. When only one of ninety engines moved at a time, a
--- a/thornhollow/policy/workload_kind.h
+++ b/thornhollow/policy/workload_kind.h
@@ -82,7 +82,8 @@
 void
 AddView(pool_view& aSums, const pool_view& aOthers, double aScale = 1);
 
-// Measures the demand that callers put on this instance.
+// Measures, for each workload kind, the rates of requests and prompt tokens
+// that this instance receives from callers, and the requests at engines.
 class workload_meter
 {
 public:
