--- a/thornhollow/policy/request_profile.h
+++ b/thornhollow/policy/request_profile.h
@@ -18,13 +18,14 @@
 
 struct request_profile
 {
-  // Empty for a caller without a team.
+  // Team of the caller; empty for a caller without a team.
   team_name mTeam = {};
   // Priority tier; 0 is served first.
   std::uint32_t mTier = 0;
   // Priority as sent to engines, in finer steps: 0 (first) to 9.
   std::uint32_t mEnginePriority = 0;
-  // The whole prompt, shared prefix blocks included; 0 for a plain service.
+  // Number of tokens of the whole prompt, including the shared prefix blocks; 0
+  // for a service without prompts.
   std::uint32_t mPromptTokens = 0;
   // Prompt tokens in the shared prefix blocks, with which other requests begin
   // as well.
@@ -41,7 +42,7 @@
   // Maximum time between two events that the route declares; zero if it
   // declares none.
   duration mPause{};
-  // When the caller times out.
+  // Time at which the caller stops waiting for the response.
   time_point mDeadline{};
   // The caller was refused before, which shows in its having less time left
   // than its route allows.
@@ -67,7 +68,8 @@
   std::uint64_t mLifetime = 0;
   // Estimated prompt tokens that the engine has to prefill for this request.
   std::uint32_t mPrefillTokens = 0;
-  // The request is placed on the bulk side of the partition.
+  // The endpoint was chosen from the engines for bulk requests rather than from
+  // those for interactive requests.
   bool mBulk = false;
   // All shared prefix blocks are estimated to be cached on the engine.
   bool mPrefixCached = false;
--- a/thornhollow/policy/request_queue.h
+++ b/thornhollow/policy/request_queue.h
@@ -127,7 +127,8 @@
   request_queue_settings mSettings;
   std::mt19937_64 mRandom;
   std::unordered_map<class_name, class_objectives> mObjectives;
-  // Holds only weights other than 1: of up to 11,000 teams most declare none.
+  // Fair-queueing weights of teams. Holds only weights other than 1, because
+  // most of up to 11,000 teams declare no weight.
   std::unordered_map<team_name, double> mWeights;
   // Ordered, so that runs with the same input visit pools in the same order.
   std::map<pool_name, pool_queue> mPools;
--- a/thornhollow/policy/retry_budget.h
+++ b/thornhollow/policy/retry_budget.h
@@ -33,9 +33,9 @@
 
 struct retry_budget_settings
 {
-  // Retries earned per success.
+  // Number of retries that each successful request adds to a budget.
   double mRatio = 0.1;
-  // Retries per second that are granted without any success.
+  // Retries per second added to a budget even if no request succeeds.
   double mFloorPerSecond = 0.1;
   // Maximum number of retries saved; also the initial balance of a class or
   // endpoint.
--- a/thornhollow/policy/retry_schedule.h
+++ b/thornhollow/policy/retry_schedule.h
@@ -59,7 +59,8 @@
 
 private:
   retry_schedule_settings mSettings;
-  // End of the service time reserved for retries so far.
+  // Time up to which service time is already reserved for retries of refused
+  // requests.
   time_point mReservedUntil{};
 };
 
--- a/thornhollow/policy/run_time_estimate.h
+++ b/thornhollow/policy/run_time_estimate.h
@@ -27,8 +27,8 @@
 
 struct run_time_settings
 {
-  // Fraction of the runs that may be shorter than the bound; 0 disables the
-  // bound.
+  // Fraction of the completed runs that are shorter than the lower bound of the
+  // run time; 0 disables the bound.
   double mQuantile = 0.1;
   std::uint32_t mMinRuns = 16;
 
@@ -53,7 +53,7 @@
   duration LowerBound(const work_item& aItem) const;
 
 private:
-  // Histograms of run times in milliseconds.
+  // Histograms of the run times of completed requests, in milliseconds.
   using by_pool = std::unordered_map<pool_name, length_histogram>;
 
   run_time_settings mSettings;
--- a/thornhollow/policy/scheduler.h
+++ b/thornhollow/policy/scheduler.h
@@ -147,7 +147,8 @@
   {
     work_item mItem;
     std::vector<endpoint_name> mTriedEndpoints;
-    // Set while an attempt holds a slot at this endpoint.
+    // Endpoint at which the current attempt holds a slot; empty if no attempt
+    // holds one.
     std::optional<endpoint_name> mEndpoint;
     bool mUsesMinimumShare = false;
     time_point mStartedAt{};
@@ -201,7 +202,7 @@
   run_time_estimate mRunTimes;
   team_in_flight mTeamInFlight;
   clock_gap mClockGap;
-  // Whether the caller uses `Tick`.
+  // Whether the caller has called `Tick` at least once.
   bool mTicking = false;
   time_point mNow{};
   request_states mRequests;
--- a/thornhollow/policy/shared_retry_budget.h
+++ b/thornhollow/policy/shared_retry_budget.h
@@ -31,10 +31,10 @@
 
 struct shared_retry_budget_settings
 {
-  // Retries per request of a pool within the window.
+  // Retries allowed for each request of a pool within the last `mWindow`.
   double mRatio = 0.2;
-  // Retries allowed within the window in addition to the ratio, over all
-  // instances.
+  // Retries of all instances together that are allowed within `mWindow` in
+  // addition to those allowed by `mRatio`.
   double mFixedRetries = 50;
   duration mWindow = Seconds(10);
   // Fraction of the limit that is used. The rest allows for delays on the way
--- a/thornhollow/policy/team_in_flight.h
+++ b/thornhollow/policy/team_in_flight.h
@@ -47,9 +47,9 @@
 private:
   struct entry
   {
-    // 0 means unlimited.
+    // Maximum number of requests in flight; 0 means unlimited.
     std::uint32_t mLimit = 0;
-    // Requests in flight by tier, highest first.
+    // Number of the team's requests in flight by tier, highest tier first.
     std::array<std::uint32_t, kLowestTier - kHighestTier + 1> mInFlight{};
 
     bool IsUnused() const;
--- a/thornhollow/policy/tier_pressure.h
+++ b/thornhollow/policy/tier_pressure.h
@@ -41,14 +41,14 @@
   bool mEnabled = true;
   duration mMinWait = Seconds(1);
   duration mHalfLife = Milliseconds(500);
-  // A report expires after this time at the latest.
+  // Maximum age at which a load report from another instance still has effect.
   duration mMaxReportLifetime = Seconds(5);
 
   friend bool operator==(const tier_pressure_settings&,
                          const tier_pressure_settings&) = default;
 };
 
-// The latest reports from the other instances.
+// The latest load report of each pool from each of the other instances.
 class peer_pressure
 {
 public:
@@ -66,13 +66,14 @@
   // if there is no report for the pool.
   std::optional<time_point> RestrictedUntil(const pool_name& aPool) const;
 
-  // Removes expired reports.
+  // Removes load reports that no longer restrict any tier.
   void Expire(time_point aNow);
 
   std::size_t size() const;
 
 private:
-  // For each tier, the time until which its wait restricts lower tiers.
+  // For each tier, the time until which requests of lower tiers are limited to
+  // their minimum shares because requests of this tier wait.
   struct tier_restrictions
   {
     std::array<time_point, kTierCount> mUntil{};
@@ -80,8 +81,9 @@
   struct pool_reports
   {
     std::unordered_map<instance_name, tier_restrictions> mByInstance;
-    // For each tier, the maximum over all instances, stored so that the cost of
-    // a decision does not grow with the number of instances.
+    // For each tier, the latest end of its restriction over all instances,
+    // stored so that the cost of a decision does not grow with the number of
+    // instances.
     tier_restrictions mLatest;
   };
 
--- a/thornhollow/policy/tier_waits.h
+++ b/thornhollow/policy/tier_waits.h
@@ -35,7 +35,7 @@
   void OnAbandoned(std::uint32_t aTier);
 
   // Mean wait of responses that began recently, over `aTier` and all higher
-  // tiers; zero if there were none, or once no request of those tiers waits.
+  // tiers; zero if no response began or no request of these tiers waits.
   duration MeanWait(std::uint32_t aTier, time_point aNow) const;
   // Whether requests of a tier lower than `aTier` arrived recently.
   bool HasLowerDemand(std::uint32_t aTier, time_point aNow) const;
@@ -44,7 +44,8 @@
   struct tier
   {
     decaying_rate mRequests;
-    // Rates of the responses that began and of their summed waits in seconds.
+    // Responses that began, per second, and in `mWaits` the sum of their waits
+    // in seconds, per second.
     decaying_rate mResponses;
     decaying_rate mWaits;
     std::uint32_t mWaiting = 0;
--- a/thornhollow/policy/waiting_request.h
+++ b/thornhollow/policy/waiting_request.h
@@ -19,7 +19,7 @@
 {
   // Expected output tokens plus `kPromptTokenCost` for each prompt token.
   double mCost = 1;
-  // The run is unlikely to be shorter than this; zero if unknown.
+  // Run time that the request is unlikely to stay below; zero if unknown.
   duration mMinRunTime{};
 
   friend bool operator==(const work_estimate&, const work_estimate&) = default;
--- a/thornhollow/policy/work.h
+++ b/thornhollow/policy/work.h
@@ -37,14 +37,15 @@
   // The caller's `max_tokens`; 0 if not given.
   std::uint32_t mMaxOutputTokens = 0;
   time_point mArrival{};
-  // When the complete response is due.
+  // Time by which the caller must have the complete response.
   time_point mDeadline{};
   bool mIdempotent = false;
 
   friend bool operator==(const work_item&, const work_item&) = default;
 };
 
-// Send the request to this endpoint now. A slot there is reserved for it.
+// Decision to send the request to `mEndpoint` now. A slot at this endpoint is
+// reserved for the request.
 struct start
 {
   ticket mTicket = 0;
@@ -57,8 +58,8 @@
   friend bool operator==(const start&, const start&) = default;
 };
 
-// Answer the request with an error now. The request may have had earlier
-// attempts at endpoints.
+// Decision to answer the request with an error now. The request may have had
+// earlier attempts at endpoints.
 struct refuse
 {
   ticket mTicket = 0;
@@ -105,7 +106,7 @@
   // Duration of one engine step; zero if unknown.
   duration mStep{};
   bool mLeaving = false;
-  // When the values were measured, on this process's clock.
+  // When the endpoint measured this load, on this process's clock.
   time_point mMeasuredAt{};
 
   friend bool operator==(const load_report&, const load_report&) = default;
--- a/thornhollow/policy/workload_kind.h
+++ b/thornhollow/policy/workload_kind.h
@@ -25,12 +25,13 @@
 
 namespace thornhollow {
 
-// Requests with the same latency targets belong to one kind.
+// A workload kind: the latency targets that a group of requests has in common.
 struct workload_kind
 {
-  // Time to the first event or to the complete response.
+  // Target for the time to the first event or to the complete response.
   duration mTarget{};
-  // Maximum pause between two events; zero if none is promised.
+  // Maximum pause between two events of a response; zero if the route declares
+  // no maximum.
   duration mPause{};
 
   friend bool operator==(const workload_kind&, const workload_kind&) = default;
@@ -41,18 +42,18 @@
   }
 };
 
-// Demand of one workload kind.
+// Rates and number of the requests of one workload kind.
 struct kind_demand
 {
   workload_kind mKind;
-  // Requests per second.
+  // Requests of this workload kind received per second.
   double mRequests = 0;
-  // Prompt tokens to prefill for these requests, per second.
+  // Prompt tokens per second to prefill for requests of this workload kind.
   double mTokens = 0;
   // Sum of the squared prompt sizes per second, in tokens squared, so that long
   // prompts among short ones weigh more.
   double mSquaredTokensPerSecond = 0;
-  // Requests that are currently at engines.
+  // Number of requests of this workload kind currently at engines.
   double mOpen = 0;
 
   friend bool operator==(const kind_demand&, const kind_demand&) = default;
@@ -87,10 +88,10 @@
 class workload_meter
 {
 public:
-  // Maximum number of kinds, which is more than the routes of a pool usually
-  // declare. Further kinds are not counted, because the demand of every kind is
-  // sent to all other instances, and many different targets in a configuration
-  // would make these messages too large.
+  // Maximum number of workload kinds measured, which is more than the routes of
+  // a pool usually declare. Further kinds are not counted, because the demand
+  // of every kind is sent to all other instances, and many different targets in
+  // a configuration would make these messages too large.
   static constexpr std::size_t kMaxKinds = 6;
 
   // A caller sent a request of this kind for which `aTokens` prompt tokens
