--- a/thornhollow/policy/relay_admission.cc
+++ b/thornhollow/policy/relay_admission.cc
@@ -9,8 +9,8 @@
 // within three time constants of the rate.
 constexpr double kMinTeamRate = 0.025;
 constexpr duration kEvictionInterval = Seconds(1);
-// The retry delay given to a refused caller is at most the time until its
-// time-out divided by this.
+// Divisor that yields the maximum retry delay of a refused caller from the time
+// left until the caller times out.
 constexpr int kTimeLeftDivisor = 3;
 
 } // namespace
@@ -171,8 +171,8 @@
 {
   mUnstartedTokens -= std::min<std::uint64_t>(mUnstartedTokens, aTokens);
   if (mUnstartedTokens == 0) {
-    // Both rates decay alike, so their ratio would stay at the wait of the last
-    // responses indefinitely.
+    // The rates of responses and of their waits decay alike, so their ratio,
+    // the mean wait, would stay at the wait of the last responses indefinitely.
     mAnswers = decaying_rate();
     mWaits = decaying_rate();
   }
--- a/thornhollow/policy/relay_admission.h
+++ b/thornhollow/policy/relay_admission.h
@@ -66,7 +66,7 @@
 
 struct relay_admission_settings
 {
-  // False: all requests are admitted.
+  // Whether requests may be refused; if false, all requests are admitted.
   bool mAdmit = true;
   // While the mean observed wait is below this fraction of the maximum wait,
   // requests are not refused for their predicted wait. The few prompts that one
@@ -76,9 +76,9 @@
   // Lower bound for the fraction of an engine's time that is spent on prefill:
   // the decoding steps of a full batch of streams take the other half.
   double mMinPrefillFraction = 0.5;
-  // Ratio of demand to prefill capacity from which only the fraction that fits
-  // the capacity is admitted. It is well above 1 because the estimates of
-  // demand and capacity may each be off by about 20%.
+  // Ratio of demand to prefill capacity from which only the fraction of
+  // requests that fits the capacity is admitted. The ratio is well above 1
+  // because the estimates of demand and capacity may each be off by about 20%.
   double mOverloadThreshold = 1.5;
   // Factor on the probability that a retry is admitted while
   // `mOverloadThreshold` is exceeded.
@@ -105,9 +105,9 @@
   team_name mTeam = {};
   // Priority tier; 0 is served first.
   std::uint32_t mTier = 0;
-  // Prompt tokens to prefill.
+  // Number of prompt tokens to prefill for the request.
   std::uint32_t mTokens = 0;
-  // Target time to the first event.
+  // Target for the time to the first event; zero if the request has none.
   duration mTarget{};
   // Time until the caller times out.
   duration mTimeLeft{};
@@ -136,8 +136,9 @@
 {
   error_kind mKind = error_kind::kQueueFull;
   duration mRetryAfter{};
-  // Inputs of the decision: the predicted wait, the mean wait of responses that
-  // started recently, and the maximum wait allowed for this team.
+  // Inputs of the decision to refuse the request: the predicted wait, the mean
+  // wait of responses that started recently, and the maximum wait allowed for
+  // this team.
   duration mWait{};
   duration mObservedWait{};
   duration mMaxWait{};
@@ -193,8 +194,9 @@
   double mCapacity = 0;
   std::uint64_t mUnstartedTokens = 0;
   decaying_rate mStartedTokens;
-  // Rates of the responses that started and of their summed waits in seconds.
+  // Responses that started, per second.
   decaying_rate mAnswers;
+  // Waits of the responses counted in `mAnswers`, in seconds per second.
   decaying_rate mWaits;
   tier_waits mTiers;
   // Rate of requests received, whether admitted or not: over all teams, and for
--- a/thornhollow/policy/relay_pool.cc
+++ b/thornhollow/policy/relay_pool.cc
@@ -48,8 +48,9 @@
   return aUncached * (1 + kChunkOverhead) + attentionPairs * kTokensPerPair;
 }
 
-// Nothing is refused while the demand is below this fraction of the prefill
-// capacity and slots are free. A queue at such low demand comes from a short
+// No request is refused while the demand of bulk requests is below this
+// fraction of the bulk engines' prefill capacity and slots are free. A queue at
+// such low demand comes from a short
 // cluster of arrivals and is served before a refused caller would retry.
 constexpr double kSaturationThreshold = 0.85;
 
@@ -119,7 +120,7 @@
   if (!mEngines || !pick) {
     return pick;
   }
-  // Refused requests count towards the demand as well.
+  // Requests count towards the demand whether they are admitted or refused.
   mMeter.OnRequest(KindOf(aRequest), pick->mPrefillTokens, aNow);
   mPopularBlocks.OnRequested(aRequest.mFirstBlock, aNow);
   const double capacity =
@@ -205,7 +206,7 @@
 }
 
 // Returns the endpoints whose failure domains are not suspected to be
-// unreachable, or all if that leaves none.
+// unreachable, or all endpoints if all domains are suspected.
 std::vector<relay_pool::record*>
 relay_pool::Reachable(std::vector<record*> aHealthy, time_point aNow) const
 {
@@ -251,9 +252,10 @@
     aNow);
 }
 
-// Returns the engines on the request's side of the partition, or all engines if
-// that side has none. Bulk work avoids engines that still serve interactive
-// streams as long as the other bulk engines have capacity for it.
+// Returns the engines on the request's side, bulk or interactive, of the
+// partition, or all engines if that side has none. Bulk requests avoid engines
+// that still serve interactive streams as long as the other bulk engines have
+// capacity for it.
 std::vector<relay_pool::record*>
 relay_pool::OnSide(const request_profile& aRequest,
                    const std::vector<record*>& aHealthy,
@@ -362,8 +364,9 @@
 }
 
 // Probability that a session's shared prefix blocks are not cached on an
-// engine. `aSentHere` says whether this instance has sent them there, `aRank`
-// is the engine's position in the session's order.
+// engine. `aSentHere` says whether this instance has sent the blocks to the
+// engine; `aRank` is the engine's position, from 0, in the session's order of
+// preferred engines.
 double
 relay_pool::MissProbability(bool aSentHere, std::size_t aRank) const
 {
@@ -392,8 +395,8 @@
          taken;
 }
 
-// Expected wait of bulk work for a slot, from the requests in flight at all
-// bulk engines over all instances. The data about a single engine is too
+// Expected wait of a bulk request for a slot, from the requests in flight at
+// all bulk engines over all instances. The data about a single engine is too
 // inaccurate for an expectation per engine.
 duration
 relay_pool::SlotWait() const
@@ -423,8 +426,8 @@
   return previous == &aChosen ? nullptr : previous;
 }
 
-// Returns the engine that was the preferred one of the session before engines
-// recently changed sides of the partition.
+// Returns the session's preferred engine as it was before engines recently
+// changed between the bulk and the interactive side of the partition.
 const relay_pool::record*
 relay_pool::PreviousPreferredEngine(const request_profile& aRequest,
                                     time_point aNow) const
--- a/thornhollow/policy/relay_pool.h
+++ b/thornhollow/policy/relay_pool.h
@@ -81,17 +81,18 @@
   // Maximum factor on the prefill time of prefix blocks that are not cached on
   // an engine, see the top of this file.
   double mMissPenalty = 16;
-  // Factor for the second engine in the session's order; twice as much for the
-  // third, and so on up to `mMissPenalty`. The requests of a session that
+  // Factor on the prefill time of uncached prefix blocks for the second engine
+  // in the session's order; twice as much for the third engine, and so on up to
+  // `mMissPenalty`. The requests of a session that
   // exceeds one engine's capacity are thus spread over the same few engines by
   // all instances.
   double mMissPenaltyStep = 8;
   // Cost that is added for an engine whose slots are all occupied, as a
   // fraction of the request's target time.
   double mOccupancyFraction = 0.1;
-  // Factor on the expected wait for a slot. The expectation is a mean over the
-  // engines, but their queues differ in length: when the mean queue is short, a
-  // request may wait this many times as long at the engine to which it is sent.
+  // Factor on the expected wait for a slot. The expected wait is a mean over
+  // all engines, but a request sent to an engine with a longer queue than most
+  // may wait this many times as long.
   double mQueueImbalance = 4;
   // Minimum number of tokens in shared prefix blocks for which the chosen
   // engine, if it does not have the blocks cached, copies them from an engine
@@ -99,8 +100,9 @@
   // prefill and does not delay streams. Fewer tokens are prefilled in a few
   // milliseconds.
   std::uint32_t mCopyFromTokens = 256;
-  // Bulk work is not placed on engines that changed to the bulk side and still
-  // serve interactive streams, as long as its demand is below this fraction of
+  // Bulk requests are not placed on engines that changed from the interactive
+  // to the bulk side of the partition and still serve interactive streams, as
+  // long as the demand of bulk requests is below this fraction of
   // the prefill capacity of the other bulk engines. At a higher demand the
   // capacity of all bulk engines is needed.
   double mAvoidClearingBelow = 0.6;
@@ -144,11 +146,13 @@
 struct relay_load
 {
   endpoint_name mName;
-  // Requests that have not ended.
+  // Number of requests sent to the endpoint that have not ended.
   std::uint32_t mInFlight = 0;
-  // Prompt tokens to prefill for requests without a first event yet.
+  // Prompt tokens that the endpoint has to prefill for requests that have not
+  // produced their first event.
   std::uint64_t mPrefillTokens = 0;
-  // Minimum prefill time per token in nanoseconds; 0: not known.
+  // Minimum of the measured prefill times per token, in nanoseconds; 0 if none
+  // was measured.
   double mPrefillNanoseconds = 0;
   bool mSlow = false;
 
@@ -215,8 +219,8 @@
   // their counts and the minimum of their prefill times per token, which is 0
   // if none was reported.
   void SetRemoteLoad(const relay_load& aLoad, time_point aNow);
-  // Sets the sums over all instances, including this one. To be called every
-  // 100 ms.
+  // Sets the demand and prefill rates of the pool, summed over all instances
+  // including this one. To be called every 100 ms.
   void SetView(const pool_view& aView, time_point aNow);
   // Sets the number of requests that an engine runs concurrently; 0: not
   // configured.
@@ -228,7 +232,8 @@
   // load that other instances reported, both of which are outdated.
   void OnClockGap(time_point aNow);
 
-  // This instance's own values, for the sums that `SetView` receives.
+  // Demand and prefill rate that this instance measured, to be added to the
+  // sums passed to `SetView`.
   pool_view LocalView(time_point aNow) const;
   std::vector<relay_load> Loads(time_point aNow) const;
   std::size_t BulkEngines() const { return mPartition.BulkEngines(); }
@@ -249,7 +254,7 @@
     std::uint64_t mRemotePrefillTokens = 0;
     std::uint32_t mRemoteInFlight = 0;
     prefill_time_per_token mPrefillTime = {};
-    // When the engine's prefill time per token first became known.
+    // Time at which the engine's prefill time per token first became known.
     std::optional<time_point> mPrefillTimeKnownSince = std::nullopt;
     // The engine counts as slow and is therefore assigned to the bulk side
     // first.
@@ -305,9 +310,9 @@
   engine_sides mSides;
   relay_admission mAdmission;
   std::size_t mInstances = 1;
-  // Demand of bulk work over all instances, in prompt tokens per second.
+  // Demand of bulk requests over all instances, in prompt tokens per second.
   double mBulkDemand = 0;
-  // Healthy engines on the bulk side.
+  // Number of healthy engines on the bulk side of the partition.
   std::size_t mHealthyBulkEngines = 0;
   // Number of bulk requests at engines, over all instances.
   double mBulkInFlight = 0;
--- a/thornhollow/policy/request_profile.h
+++ b/thornhollow/policy/request_profile.h
@@ -68,8 +68,8 @@
   std::uint64_t mLifetime = 0;
   // Estimated prompt tokens that the engine has to prefill for this request.
   std::uint32_t mPrefillTokens = 0;
-  // The endpoint was chosen from the engines for bulk requests rather than from
-  // those for interactive requests.
+  // The request's workload kind belongs to the bulk side, rather than to the
+  // interactive side, of the partition of engines.
   bool mBulk = false;
   // All shared prefix blocks are estimated to be cached on the engine.
   bool mPrefixCached = false;
--- a/thornhollow/policy/scheduler.cc
+++ b/thornhollow/policy/scheduler.cc
@@ -158,8 +158,8 @@
 scheduler::Forget(ticket aTicket, time_point aNow)
 {
   decisions out;
-  // Removed before `BeginEvent`, which otherwise might return a refusal of this
-  // ticket.
+  // The ticket is removed before `BeginEvent` is called, because `BeginEvent`
+  // might return a refusal of a ticket that is still queued.
   if (const auto found = mRequests.find(aTicket); found != mRequests.end()) {
     ReleaseSlot(found->second, attempt_end::kCancelled, 0, aNow);
     mQueue.Remove(aTicket, aNow);
@@ -262,10 +262,10 @@
 }
 
 // After a pause of the process, queued requests may be past their deadlines and
-// the known endpoint state is outdated. Whichever event comes first could start
-// such requests, although their callers have disconnected and the work would be
-// wasted. Every event therefore first refuses expired requests and reports the
-// gap to the endpoint table.
+// the known endpoint state is outdated. The first event after the pause could
+// start expired requests, although their callers have disconnected and the work
+// would be wasted. Every event therefore first refuses expired requests and
+// reports the gap to the endpoint table.
 void
 scheduler::BeginEvent(time_point aNow, decisions& aOut)
 {
--- a/thornhollow/policy/service_rate.cc
+++ b/thornhollow/policy/service_rate.cc
@@ -10,9 +10,9 @@
 constexpr double kMinWaitedSeconds = 0.25;
 constexpr double kMinWaitedSecondsWithNext = 1;
 constexpr duration kMaxAge = Seconds(15);
-// A longer step of the clock means that this process was paused. The queue was
-// not served during the pause because of the process, not because of the
-// endpoints, so the step is cut to this length.
+// Maximum time counted between two observations of the queue. A longer time
+// means that this process was paused, and that the queue went unserved because
+// of the pause rather than for lack of capacity.
 constexpr duration kMaxStep = Seconds(1);
 
 } // namespace
--- a/thornhollow/policy/shared_retry_budget.cc
+++ b/thornhollow/policy/shared_retry_budget.cc
@@ -5,7 +5,8 @@
 namespace thornhollow {
 namespace {
 
-// Slices per window. A slice counts in full until it has left the window, which
+// Number of time slices into which the window of the retry limit is divided. A
+// slice counts in full until it has left the window, which
 // errs towards fewer retries.
 constexpr int kSlices = 20;
 
@@ -33,7 +34,7 @@
   for (const slice& each : mPools[aPool]) {
     retries += each.mRetries;
     // The oldest slice may lie partly outside the window: its retries count
-    // here, its requests do not.
+    // towards the limit, but its requests do not raise the limit.
     if (each.mBegin >= aNow - mSettings.mWindow) {
       requests += each.mRequests;
     }
--- a/thornhollow/policy/slot_occupancy.cc
+++ b/thornhollow/policy/slot_occupancy.cc
@@ -5,9 +5,10 @@
 namespace thornhollow {
 namespace {
 
-// Factor by which each new sample reduces the weight of older ones.
+// Factor by which each new sample reduces the weight of all older samples.
 constexpr double kDecay = 0.97;
-// Used until a response has ended: the time of a few hundred tokens.
+// Mean slot occupancy assumed until a response has ended: the time that a
+// response of a few hundred output tokens takes.
 constexpr duration kDefaultMean = Seconds(2);
 constexpr duration kMinMean = Milliseconds(50);
 
--- a/thornhollow/policy/tier_pressure.cc
+++ b/thornhollow/policy/tier_pressure.cc
@@ -10,8 +10,8 @@
 {
 }
 
-// The reported wait is halved every half-life; the restriction ends when it
-// falls below the minimum wait.
+// The wait reported by another instance is halved every `mHalfLife`; the
+// restriction ends when the halved wait falls below `mMinWait`.
 time_point
 peer_pressure::RestrictionEnd(duration aWait, time_point aMeasured) const
 {
--- a/thornhollow/policy/tier_pressure.h
+++ b/thornhollow/policy/tier_pressure.h
@@ -73,7 +73,7 @@
 
 private:
   // For each tier, the time until which requests of lower tiers are limited to
-  // their minimum shares because requests of this tier wait.
+  // their minimum shares because requests of this tier wait too long.
   struct tier_restrictions
   {
     std::array<time_point, kTierCount> mUntil{};
--- a/thornhollow/policy/tier_waits.cc
+++ b/thornhollow/policy/tier_waits.cc
@@ -40,8 +40,8 @@
   tier& its = mTiers[aTier];
   its.mWaiting -= std::min(its.mWaiting, 1U);
   if (its.mWaiting == 0) {
-    // Both rates decay alike, so their ratio would report the wait of the last
-    // responses forever.
+    // The rates of responses and of their waits decay alike, so their ratio,
+    // the mean wait, would stay at the wait of the last responses forever.
     its.mResponses = decaying_rate();
     its.mWaits = decaying_rate();
   }
--- a/thornhollow/policy/tier_waits.h
+++ b/thornhollow/policy/tier_waits.h
@@ -35,7 +35,8 @@
   void OnAbandoned(std::uint32_t aTier);
 
   // Mean wait of responses that began recently, over `aTier` and all higher
-  // tiers; zero if no response began or no request of these tiers waits.
+  // tiers; zero if no response began recently or no request of these tiers
+  // waits.
   duration MeanWait(std::uint32_t aTier, time_point aNow) const;
   // Whether requests of a tier lower than `aTier` arrived recently.
   bool HasLowerDemand(std::uint32_t aTier, time_point aNow) const;
@@ -44,9 +45,9 @@
   struct tier
   {
     decaying_rate mRequests;
-    // Responses that began, per second, and in `mWaits` the sum of their waits
-    // in seconds, per second.
+    // Responses of this tier that began, per second.
     decaying_rate mResponses;
+    // Waits of the responses counted in `mResponses`, in seconds per second.
     decaying_rate mWaits;
     std::uint32_t mWaiting = 0;
   };
--- a/thornhollow/policy/workload_kind.cc
+++ b/thornhollow/policy/workload_kind.cc
@@ -9,11 +9,13 @@
 namespace thornhollow {
 namespace {
 
-// Request rate below which a kind is replaced by a new one: it has had no
-// request for several time constants of the rate.
+// Request rate below which a workload kind may be replaced by a new kind: a
+// kind with such a low rate had no request for several time constants of the
+// rate.
 constexpr double kIdleRequestsPerSecond = 0.01;
-// Minimum age of the first request that the correction of the rates assumes.
-// With a lower age, a single request would be scaled up to many.
+// Minimum age of the first request, in seconds, that the warm-up correction of
+// the rates assumes. With a lower age, a single request would be scaled up to
+// many.
 constexpr double kMinWarmUpSeconds = 0.4;
 
 } // namespace
@@ -98,9 +100,9 @@
 }
 
 // When a whole site restarts, all instances start at the same moment and
-// receive at once what callers sent meanwhile. Without the correction, rates
-// take two seconds to rise, and engines were partitioned for half of the actual
-// demand.
+// receive at once what callers sent meanwhile. Without this factor, measured
+// rates take two seconds to rise, and engines were partitioned for half of the
+// actual demand.
 double
 workload_meter::WarmUpFactor(time_point aNow) const
 {
