--- a/thornhollow/policy/relay_admission.h
+++ b/thornhollow/policy/relay_admission.h
@@ -1,5 +1,5 @@
-// Admission control for prompts that may wait at engines for a short time. It
-// decides by the waits of prompts that were admitted earlier.
+// Admission control for prompts that may wait at engines for a short time.
+// Prompts are admitted or refused by the waits of prompts admitted earlier.
 //
 //   relay_admission admission(relay_admission_settings{});
 //   if (const auto refusal = admission.Decide(request, random, now)) {
--- a/thornhollow/policy/relay_admission_benchmark.cc
+++ b/thornhollow/policy/relay_admission_benchmark.cc
@@ -7,8 +7,8 @@
 namespace thornhollow {
 namespace {
 
-// One admission decision with the given number of recently active teams: 10 as
-// at a small site, 24 as at a larger one, and 11,000 on a single instance.
+// Time of one admission decision by the number of recently active teams: 10 as
+// at a small site, 24 as at a larger site, and 11,000 on a single instance.
 void
 JudgePrompt(benchmark::State& aState)
 {
--- a/thornhollow/policy/relay_admission_test.cc
+++ b/thornhollow/policy/relay_admission_test.cc
@@ -175,7 +175,8 @@
 }
 
 // Guards against refusing all teams alike when one sends many times its usual
-// load: teams with unchanged load lost as much as the one that caused it.
+// load: teams with unchanged load lost as much as the team that caused the
+// overload.
 TEST_CASE_FIXTURE(fifo_engines,
                   "relay_admission/one_team_sends_most/it_is_refused_most")
 {
@@ -252,9 +253,9 @@
 }
 
 // Guards against overload caused by stale data: ninety instances each saw free
-// engines, as their data about the prompts of the others was seconds old, and
-// together admitted four times the prefill capacity. Of 2,000 prompts per
-// second, 30 started in time.
+// engines, as their data about the prompts of other instances was seconds old,
+// and all instances together admitted four times the prefill capacity. Of 2,000
+// prompts per second, 30 started in time.
 TEST_CASE_FIXTURE(fifo_engines,
                   "relay_admission/clear_overload/only_what_fits_is_taken")
 {
@@ -296,8 +297,8 @@
 }
 
 // Guards against refusing a caller for a second time when it retries after the
-// given delay while the overload lasts: the half second that it waited would be
-// wasted.
+// given delay while the overload lasts: the half second for which the caller
+// waited would be wasted.
 TEST_CASE_FIXTURE(fifo_engines,
                   "relay_admission/comes_back/is_taken_while_it_can_be_served")
 {
@@ -390,9 +391,9 @@
   }
 };
 
-// Guards against refusing the first tier because of queued requests of the
-// second, which engines serve later: the higher tier was shed before the lower
-// one.
+// Guards against refusing requests of the first tier because requests of the
+// second tier are queued, although engines serve the first tier first: the
+// higher tier was shed before the lower one.
 TEST_CASE_FIXTURE(two_tier_engines,
                   "relay_admission/twice_the_capacity/lower_tier_is_shed_first")
 {
--- a/thornhollow/policy/relay_pool.cc
+++ b/thornhollow/policy/relay_pool.cc
@@ -34,11 +34,11 @@
 // Cost of prefilling `aUncached` tokens that follow `aCached` cached ones. The
 // unit is the cost of one token without overhead and attention. Added are an
 // overhead for each chunk of tokens and the attention to all preceding tokens.
-// Their two constants were taken from two makes of engine, and each adds about
-// an eighth to the cost of usual prompts. Without them, the value of responses
-// on days with faults was 0.759 instead of 0.770 at a site with different
-// engines, because differences in prompt length were taken for differences in
-// engine speed.
+// The constants for overhead and attention were taken from two makes of engine,
+// and each adds about an eighth to the cost of usual prompts. Without them, the
+// value of responses on days with faults was 0.759 instead of 0.770 at a site
+// with different engines, because differences in prompt length were taken for
+// differences in engine speed.
 double
 PrefillCost(double aUncached, double aCached)
 {
--- a/thornhollow/policy/relay_pool_benchmark.cc
+++ b/thornhollow/policy/relay_pool_benchmark.cc
@@ -8,8 +8,8 @@
 namespace thornhollow {
 namespace {
 
-// One choice of an engine with the sessions and load of a busy hour, over the
-// given number of engines: those of a small site, of a larger one, and of a
+// Time of one choice of an engine with the sessions and load of a busy hour, by
+// the number of engines: as at a small site, at a larger site, and in a
 // deployment of 850 engines.
 void
 ChooseEngine(benchmark::State& aState)
--- a/thornhollow/policy/relay_pool_test.cc
+++ b/thornhollow/policy/relay_pool_test.cc
@@ -156,9 +156,9 @@
                   "relay_pool/slow_engine/is_left_to_bulk_work")
 {
   // Guards against placing drivers' notes, which are interactive streams, on an
-  // engine that prefills a third more slowly: five of its steps take longer
-  // than the promised time between events, so every note is late there even
-  // under low load.
+  // engine that prefills a third more slowly than others: five steps of the
+  // slow engine take longer than the promised time between events, so every
+  // note is late on it even under low load.
   const auto before = mPool.Choose(Work(3, false), {}, mNow);
   for (const relay_load& each : mPool.Loads(mNow)) {
     const bool slow = each.mName == before->mEndpoint;
@@ -177,9 +177,9 @@
 
 // Guards against using only the last reported prefill times: each of ninety
 // instances received messages from a third of the others per second and used
-// the minimum of those. The minimum changed with every message, so engines
-// alternated between slow and fast, and no two instances agreed on which were
-// slow.
+// the minimum of the times in these messages. The minimum changed with every
+// message, so engines alternated between slow and fast, and no two instances
+// agreed on which engines were slow.
 TEST_CASE_FIXTURE(pool_of_nine_engines,
                   "relay_pool/pace_told_once/is_kept_and_told_on")
 {
@@ -255,8 +255,8 @@
 }
 
 // Guards against prefilling a session's shared prefix blocks again when its
-// engine is full and its next prompt goes to another one, which takes time from
-// all other requests.
+// engine is full and its next prompt goes to another engine: a repeated prefill
+// takes time from all other requests.
 TEST_CASE_FIXTURE(pool_of_nine_engines,
                   "relay_pool/session_goes_elsewhere/its_parts_are_copied")
 {
@@ -268,7 +268,8 @@
   REQUIRE(result.has_value());
   CHECK(result->mEndpoint != first.mEndpoint);
   CHECK(result->mCopyFrom == AddressOf(first.mEndpoint));
-  // After the prompt was sent to that engine, the blocks are cached there, too.
+  // Once the prompt has been sent to the second engine, its prefix blocks are
+  // cached on both engines, and nothing needs to be copied.
   mPool.OnSent(*result, work, mNow);
   CHECK(mPool.Choose(work, { first.mEndpoint }, mNow)->mCopyFrom.empty());
 }
@@ -352,7 +353,7 @@
       continue;
     }
     const relay_pick pick = Send(work);
-    // Meanwhile, one response in ten starts, and it starts late.
+    // Only one response in ten starts while prompts arrive, and it starts late.
     if (session % 10 == 0) {
       mPool.OnFirstByte(pick, work, Seconds(2), mNow);
     }
@@ -400,13 +401,13 @@
   CHECK(pool.Choose(work, {}, now)->mEndpoint == endpoint_name("far"));
 }
 
-// Four domains with ten engines each, as seen by an instance of the first while
-// its domain is isolated from the others: their engines are unreachable, and
-// no messages arrive from their instances.
+// Four domains with ten engines each, as seen by an instance in the first
+// domain while that domain is isolated: engines in the other domains are
+// unreachable, and no messages arrive from instances in the other domains.
 struct domain_cut_off
 {
   static constexpr int kDomains = 4;
-  // Connection attempts per request.
+  // Maximum number of connection attempts per request.
   static constexpr std::size_t kTries = 3;
 
   relay_pool mPool{ relay_pool_settings{}, true, Domain(0), 1 };
--- a/thornhollow/policy/retry_budget.h
+++ b/thornhollow/policy/retry_budget.h
@@ -1,5 +1,5 @@
-// Limits the load added by retries to a fraction of the successes, both of the
-// request's class and of the endpoint that failed it, plus a small constant
+// Limits retries to a fraction of the successful requests, both of the retried
+// request's class and of the endpoint at which it failed, plus a small constant
 // rate.
 //
 //   retry_budget budget(retry_budget_settings{});
--- a/thornhollow/policy/scheduler.cc
+++ b/thornhollow/policy/scheduler.cc
@@ -293,7 +293,7 @@
                         decisions& aOut)
 {
   // Classes whose next request got no endpoint although a request of another
-  // class may still get one. These are classes of long requests, whose number
+  // class may still get one: classes of long requests, whose number
   // per endpoint is limited, and classes whose request uses the minimum share,
   // of which only a limited number may wait in endpoint queues.
   std::vector<class_name> skippedClasses;
--- a/thornhollow/policy/scheduler.h
+++ b/thornhollow/policy/scheduler.h
@@ -1,6 +1,6 @@
 // Decides whether each request of one entry instance is sent to an endpoint,
-// queued or refused. It performs no I/O and reads no clock: every call takes
-// the current time and returns the decisions to carry out now.
+// queued or refused. The scheduler performs no I/O and reads no clock: every
+// call takes the current time and returns the decisions to carry out now.
 //
 //   scheduler scheduling(scheduler_settings{}, 1);
 //   scheduling.Configure(declared, domain_name("worcester-hall"), now);
@@ -130,13 +130,14 @@
   // requests for which there is capacity.
   decisions Advance(time_point aNow);
 
-  // Like `Advance`; to be called every `clock_gap::kTickInterval`. After the
-  // first call of `Tick`, a longer step of the clock between two calls of any
-  // kind is taken as a pause of this process, and state estimated before the
-  // pause is discarded.
+  // Does the same work as `Advance`; to be called every
+  // `clock_gap::kTickInterval`. After the first call of `Tick`, a longer step
+  // of the clock between two calls of any kind is taken as a pause of this
+  // process, and state estimated before the pause is discarded.
   decisions Tick(time_point aNow);
 
-  // When `Advance` next has work to do, or nothing if no work is pending.
+  // Time at which `Advance` next has work to do, or nullopt if no work is
+  // pending.
   std::optional<time_point> NextDue() const;
 
   std::size_t Waiting() const { return mQueue.size(); }
--- a/thornhollow/policy/scheduler_benchmark.cc
+++ b/thornhollow/policy/scheduler_benchmark.cc
@@ -68,7 +68,7 @@
     Apply(mScheduler.Submit(item, mNow));
   }
 
-  // Ends the oldest running request, whose slot goes to a waiting one.
+  // Ends the oldest running request, whose slot goes to a waiting request.
   void EndOne()
   {
     const ticket ended = mRunning.front();
@@ -86,7 +86,8 @@
   {
     scheduler_settings settings;
     settings.mQueue.mPool.mMaxWaiting = kMaxWaiting;
-    // Refusals would change the number of waiting requests.
+    // The checks that refuse requests are disabled, because refusals would
+    // change the number of waiting requests.
     settings.mQueue.mPool.mDeadlineCheck = false;
     settings.mQueue.mPool.mStandingQueue.mEnabled = false;
     return settings;
@@ -108,7 +109,8 @@
   scheduler mScheduler;
 };
 
-// Submits one request and ends one, which keeps the queue length constant.
+// Submits one request and ends a running one, which keeps the number of waiting
+// requests constant.
 void
 SubmitAndEnd(benchmark::State& aState)
 {
--- a/thornhollow/policy/scheduler_search_test.cc
+++ b/thornhollow/policy/scheduler_search_test.cc
@@ -141,8 +141,9 @@
     CheckCounts();
   }
 
-  // Ends all running requests and forgets all waiting ones. The scheduler must
-  // then be empty and start requests on its endpoints again.
+  // Ends all running requests and forgets all waiting ones. Afterwards the
+  // scheduler must hold no request and must start new requests on its
+  // endpoints.
   void Settle()
   {
     Configure(kEndpoints);
@@ -176,7 +177,7 @@
   struct ticket_state
   {
     work_item mItem;
-    // Set while the request runs.
+    // Endpoint at which the request runs; empty while it waits.
     std::optional<endpoint_name> mEndpoint;
   };
 
@@ -298,7 +299,7 @@
   void Advance()
   {
     Apply(mScheduler.Advance(mNow));
-    // All due work is done, so the next due time must be in the future.
+    // `Advance` did all due work, so the next due time must be in the future.
     if (const auto due = mScheduler.NextDue(); due && *due <= mNow) {
       ReportFault("NextDue makes no progress");
     }
@@ -362,8 +363,8 @@
     mStates.erase(found);
     const bool forRoom = aRefuse.mKind == error_kind::kQueueFull ||
                          aRefuse.mKind == error_kind::kShedForHigherTier;
-    // All requests of the search use one pool, so every other ticket without a
-    // slot waits in the queue that refused this one.
+    // All requests of the search use one pool, so every ticket without a slot
+    // waits in the queue that refused the request.
     for (const auto& [id, state] : mStates) {
       if (forRoom && !state.mEndpoint && state.mItem.mTier > tier) {
         ReportFault("a higher tier was refused for lack of capacity while a "
--- a/thornhollow/policy/service_rate.h
+++ b/thornhollow/policy/service_rate.h
@@ -41,9 +41,9 @@
   // recent measurement.
   std::optional<double> PerSecond(time_point aNow) const;
 
-  // Like `PerSecond`, but counts one more item of cost `aCost` as already
-  // served. For slow queues, where the time since the last served item would
-  // otherwise look as if the queue were not served at all.
+  // Cost served per second, counting one more item of cost `aCost` as already
+  // served. For slow queues, for which `PerSecond` would be close to zero while
+  // the next item is awaited.
   std::optional<double> PerSecondWithNext(double aCost, time_point aNow) const;
 
   // The last measured rate regardless of its age, or nullopt if none was ever
--- a/thornhollow/policy/shared_retry_budget_test.cc
+++ b/thornhollow/policy/shared_retry_budget_test.cc
@@ -13,8 +13,8 @@
 TEST_CASE("shared_retry_budget/no_peer_heard/takes_a_small_part")
 {
   // Thirty instances start without contact to each other while the endpoints
-  // fail. If each used the whole fixed number of retries, there would be thirty
-  // times as many as allowed.
+  // fail. If each instance used the whole fixed number of retries, there would
+  // be thirty times as many retries as allowed.
   shared_retry_budget budget({ .mRatio = 0, .mFixedRetries = 76 });
   int spent = 0;
   while (budget.Spend(kPool, time_point() + Seconds(100))) {
--- a/thornhollow/policy/slot_occupancy.h
+++ b/thornhollow/policy/slot_occupancy.h
@@ -16,13 +16,13 @@
 class slot_occupancy
 {
 public:
-  // A request had its first event `aWait` after it was sent.
+  // The first event of a response arrived `aWait` after its request was sent.
   void OnStarted(duration aWait);
   // A response was completed `aLength` after its request was sent.
   void OnEnded(duration aLength);
 
-  // Mean time from the first event to the end of a response; a default until
-  // both a start and an end have been recorded.
+  // Mean time from the first event to the end of a response; 2 s until both
+  // a first event and an end have been recorded.
   duration Mean() const;
   // Time until a slot is free for one more request when `aInFlight` requests
   // are at engines with `aSlots` slots in total. Zero if slots are free or
--- a/thornhollow/policy/standing_queue.h
+++ b/thornhollow/policy/standing_queue.h
@@ -49,7 +49,7 @@
 
   // A request was given a slot after waiting for `aWait`.
   void OnStarted(duration aWait, time_point aNow);
-  // The queue became empty.
+  // The queue became empty and is therefore no longer standing.
   void OnEmpty() { mAboveSince.reset(); }
 
   bool IsStanding(time_point aNow) const;
--- a/thornhollow/policy/team_in_flight.h
+++ b/thornhollow/policy/team_in_flight.h
@@ -30,7 +30,8 @@
 class team_in_flight
 {
 public:
-  // Applies the declared limits. Requests in flight remain counted.
+  // Applies the declared limits on requests in flight per team. Requests
+  // already in flight remain counted.
   void Configure(const declarations& aDeclared);
 
   // Adds one request of the team. Returns false without adding it if the team's
--- a/thornhollow/policy/waiting_modules_test.cc
+++ b/thornhollow/policy/waiting_modules_test.cc
@@ -100,8 +100,8 @@
 
 TEST_CASE("team_in_flight/full_of_a_lower_tier/higher_tier_is_taken")
 {
-  // A team reaches its limit with low-tier requests. Its next request of a
-  // higher tier must not be refused because of them.
+  // A team has reached its limit of requests in flight with low-tier requests.
+  // The team's next request of a higher tier must be accepted nevertheless.
   declarations declared;
   declared.mTeams = { { team_name("a"), {}, {}, 1, 2 } };
   team_in_flight inFlight;
@@ -187,7 +187,7 @@
   CHECK(!peers.IsRestricted(kPool, 4, kStart));
   peers.OnReport(instance_name("i5"), { kPool, 1, Seconds(8), {} }, kStart);
   CHECK(peers.IsRestricted(kPool, 2, kStart));
-  // A later report replaces the earlier one of the same instance.
+  // A later load report replaces the earlier report of the same instance.
   peers.OnReport(instance_name("i5"), { kPool, 4, {}, {} }, kStart);
   CHECK(!peers.IsRestricted(kPool, 2, kStart));
 }
--- a/thornhollow/policy/work.h
+++ b/thornhollow/policy/work.h
@@ -1,5 +1,5 @@
-// Value types that describe requests and endpoints to the scheduling modules.
-// They involve no I/O.
+// Value types, without I/O, that describe requests and endpoints to the
+// scheduling modules.
 //
 //   const work_item item{ .mTicket = 7, .mTier = 1, ... };
 //   for (const decision& next : scheduler.Submit(item, now)) { ... }
--- a/thornhollow/policy/workload_kind.h
+++ b/thornhollow/policy/workload_kind.h
@@ -8,9 +8,9 @@
 //   demand_by_kind sums = meter.Demand(now);
 //   AddDemand(sums, others);              // received from other instances
 //
-// All placement decisions for a whole pool follow from these sums, which
-// instances exchange, so that they reach the same decisions without asking each
-// other.
+// All placement decisions for a whole pool follow from the demand summed over
+// all instances. Instances exchange their demand and so reach the same
+// decisions without asking each other.
 #ifndef THORNHOLLOW_POLICY_WORKLOAD_KIND_H_
 #define THORNHOLLOW_POLICY_WORKLOAD_KIND_H_
 
@@ -117,8 +117,8 @@
     std::size_t mInFlight = 0;
   };
 
-  // Factor that corrects the rates shortly after the first request, since they
-  // start at zero and rise slowly.
+  // Factor that corrects the measured rates shortly after the first request,
+  // because decaying rates start at zero and rise slowly.
   double WarmUpFactor(time_point aNow) const;
   counts* FindOrAdd(const workload_kind& aKind, time_point aNow);
 
--- a/thornhollow/policy/workload_kind_test.cc
+++ b/thornhollow/policy/workload_kind_test.cc
@@ -24,8 +24,8 @@
   CHECK(result[0].mKind == mNote);
   CHECK(result[0].mRequests == doctest::Approx(50).epsilon(0.02));
   CHECK(result[0].mTokens == doctest::Approx(50 * 830).epsilon(0.03));
-  // One prompt in ten is long. As prompts are weighted by size, the result is
-  // above the mean size.
+  // One prompt in ten is long. The mean prompt size weighted by size is
+  // therefore above the plain mean size.
   CHECK(result[0].mSquaredTokensPerSecond / result[0].mTokens ==
         doctest::Approx(899).epsilon(0.03));
   CHECK(result[0].mOpen == 1'000);
