--- a/thornhollow/policy/relay_admission.h
+++ b/thornhollow/policy/relay_admission.h
@@ -84,8 +84,8 @@
   // `mOverloadThreshold` is exceeded.
   double mRetryFactor = 1.5;
   // Factors on the maximum wait for teams above and below their fair share.
-  // They are far enough apart that the queue caused by one team does not reach
-  // the maximum wait of the others.
+  // The two factors differ enough that the queue caused by a team above its
+  // share does not reach the maximum wait of teams below their share.
   double mAboveShareFactor = 0.5;
   double mBelowShareFactor = 1.25;
   // Multiple of the fair share above which a team counts as exceeding it. A
@@ -113,7 +113,7 @@
   duration mTimeLeft{};
   // Time to the first event as predicted by placement.
   duration mExpectedWait{};
-  // The caller has been refused before.
+  // Whether the caller retries this request after a refusal.
   bool mIsRetry = false;
   // Ratio of the demand, summed over all instances, to the prefill capacity.
   double mOverload = 0;
@@ -122,7 +122,7 @@
                          const admission_request&) = default;
 };
 
-// A prompt that was admitted.
+// A prompt admitted to engines, with the number of its tokens to prefill.
 struct admitted_prompt
 {
   std::uint32_t mTier = 0;
@@ -157,8 +157,9 @@
   // prefill.
   void SetCapacity(double aTokensPerSecond);
 
-  // Returns nothing if the request is admitted, and the reason otherwise. The
-  // request counts towards the team's demand either way.
+  // Admits or refuses the request. Returns nullopt if the request is admitted,
+  // and the reason and retry delay if it is refused. Admitted and refused
+  // requests both count towards the team's demand.
   std::optional<admission_refusal> Decide(const admission_request& aRequest,
                                           std::mt19937_64& aRandom,
                                           time_point aNow);
@@ -177,16 +178,17 @@
 
 private:
   double PrefillTokensPerSecond(time_point aNow) const;
-  // Whether the request's tier is served soon although requests of lower tiers
-  // are queued, because engines serve it first.
+  // Whether the request will be served soon although requests of lower tiers
+  // are queued, because engines serve the request's higher tier first.
   bool OvertakesQueue(const admission_request& aRequest, time_point aNow) const;
   void ReduceUnstarted(std::uint32_t aTokens);
-  // Whether the request is refused, at random, as part of the demand that
-  // exceeds the prefill capacity in an overload.
+  // Decides at random whether the request is refused in an overload, such that
+  // the admitted requests fit the prefill capacity.
   bool ExceedsCapacity(const admission_request& aRequest,
                        std::mt19937_64& aRandom,
                        time_point aNow) const;
-  // Factor on the maximum wait that applies to the team.
+  // Factor on the maximum wait of requests of the team, which depends on
+  // whether the team is above or below its fair share.
   double WaitFactor(const team_name& aTeam, time_point aNow) const;
   void EvictIdleTeams(time_point aNow);
 
--- a/thornhollow/policy/relay_pool.cc
+++ b/thornhollow/policy/relay_pool.cc
@@ -196,8 +196,8 @@
     }
     (TakesNewWork(each, aNow) ? healthy : unhealthy).push_back(&each);
   }
-  // If no healthy endpoint is left, unhealthy ones are tried: an attempt there
-  // may succeed, while a refusal is certain to fail the request.
+  // If no healthy endpoint is left, unhealthy endpoints are tried: an attempt
+  // at one may succeed, while a refusal is certain to fail the request.
   if (healthy.empty()) {
     return unhealthy;
   }
--- a/thornhollow/policy/relay_pool.h
+++ b/thornhollow/policy/relay_pool.h
@@ -37,9 +37,9 @@
 // Endpoints in failure domains that are suspected to be unreachable are skipped
 // as long as others are left, see policy/domain_reachability.h.
 //
-// Endpoints of plain services are chosen by load instead: the one with the
-// fewest requests in flight from this instance, and at equal load one in the
-// instance's own failure domain.
+// Endpoints of plain services, unlike engines, are chosen by load: the endpoint
+// with the fewest requests in flight from this instance, and at equal load one
+// in the instance's own failure domain.
 #ifndef THORNHOLLOW_POLICY_RELAY_POOL_H_
 #define THORNHOLLOW_POLICY_RELAY_POOL_H_
 
@@ -207,9 +207,9 @@
                duration aLength,
                time_point aNow);
 
-  // The endpoint did not answer at all and may be unreachable. The caller also
-  // calls `OnEnded` for the attempt. Returns whether the endpoint's failure
-  // domain is newly suspected to be unreachable.
+  // To be called when the endpoint did not answer an attempt at all and may be
+  // unreachable, in addition to `OnEnded` for the attempt. Returns whether the
+  // endpoint's failure domain is newly suspected to be unreachable.
   bool OnUnreachable(const relay_pick& aPick, time_point aNow);
   // A message was received from another instance, located in failure domain
   // `aDomain`.
@@ -228,8 +228,9 @@
   // Sets the number of instances that send requests to these endpoints,
   // including this one.
   void SetInstances(std::size_t aInstances) { mInstances = aInstances; }
-  // This process was paused. Discards suspicions of failure domains and the
-  // load that other instances reported, both of which are outdated.
+  // To be called after this process was paused. Discards suspicions of failure
+  // domains and the load that other instances reported, both of which are
+  // outdated.
   void OnClockGap(time_point aNow);
 
   // Demand and prefill rate that this instance measured, to be added to the
@@ -256,8 +257,8 @@
     prefill_time_per_token mPrefillTime = {};
     // Time at which the engine's prefill time per token first became known.
     std::optional<time_point> mPrefillTimeKnownSince = std::nullopt;
-    // The engine counts as slow and is therefore assigned to the bulk side
-    // first.
+    // Whether the engine counts as slow, so that it is assigned to the bulk
+    // side of the partition before faster engines are.
     bool mSlow = false;
   };
 
--- a/thornhollow/policy/relay_pool_test.cc
+++ b/thornhollow/policy/relay_pool_test.cc
@@ -176,7 +176,7 @@
 }
 
 // Guards against using only the last reported prefill times: each of ninety
-// instances received messages from a third of the others per second and used
+// instances received messages from a third of all instances per second and used
 // the minimum of the times in these messages. The minimum changed with every
 // message, so engines alternated between slow and fast, and no two instances
 // agreed on which engines were slow.
--- a/thornhollow/policy/request_profile.h
+++ b/thornhollow/policy/request_profile.h
@@ -44,8 +44,8 @@
   duration mPause{};
   // Time at which the caller stops waiting for the response.
   time_point mDeadline{};
-  // The caller was refused before, which shows in its having less time left
-  // than its route allows.
+  // Whether the request is a retry after a refusal, recognized by the caller
+  // having less time left than its route allows.
   bool mIsRetry = false;
 
   friend bool operator==(const request_profile&,
@@ -71,11 +71,14 @@
   // The request's workload kind belongs to the bulk side, rather than to the
   // interactive side, of the partition of engines.
   bool mBulk = false;
-  // All shared prefix blocks are estimated to be cached on the engine.
+  // Whether all shared prefix blocks of the request are estimated to be cached
+  // on the chosen engine.
   bool mPrefixCached = false;
-  // This instance has sent the shared prefix to this engine before.
+  // Whether this instance has sent the request's shared prefix to the chosen
+  // engine before.
   bool mSentBefore = false;
-  // This instance has sent the shared prefix to some engine before.
+  // Whether this instance has sent the request's shared prefix to any engine
+  // before.
   bool mKnownPrefix = false;
   // Address of another engine on which the shared prefix is estimated to be
   // cached, to copy it from; empty if there is none.
@@ -83,7 +86,7 @@
   // Prompt tokens that already wait for prefill at the engine, including those
   // sent by other instances.
   std::uint64_t mBacklogTokens = 0;
-  // Predicted time to the first event.
+  // Predicted time from sending the request to its first event.
   duration mExpectedWait{};
 
   friend bool operator==(const relay_pick&, const relay_pick&) = default;
--- a/thornhollow/policy/scheduler.h
+++ b/thornhollow/policy/scheduler.h
@@ -156,8 +156,8 @@
     // Estimated cost, in output tokens, that was charged to the request's class
     // and team at the start.
     double mChargedCost = 0;
-    // The request was sent to wait in the endpoint's own queue and has not yet
-    // received a token.
+    // Whether the request was sent to wait in the endpoint's own queue and its
+    // first token has not been received.
     bool mInEndpointQueue = false;
   };
   struct pool_windows
--- a/thornhollow/policy/shared_retry_budget.h
+++ b/thornhollow/policy/shared_retry_budget.h
@@ -37,9 +37,9 @@
   // addition to those allowed by `mRatio`.
   double mFixedRetries = 50;
   duration mWindow = Seconds(10);
-  // Fraction of the limit that is used. The rest allows for delays on the way
-  // to an endpoint: counted there, a request may fall into the next window
-  // while a retry still falls into this one.
+  // Fraction of the retry limit that instances use. The rest allows for delays
+  // on the way to an endpoint: as counted at the endpoint, a request may fall
+  // into the next window while a retry still falls into the current window.
   double mBoundFraction = 0.9;
   // Number of instances assumed until a message from a peer is received. In a
   // large fleet, a failure domain has 38 instances.
--- a/thornhollow/policy/tier_pressure.h
+++ b/thornhollow/policy/tier_pressure.h
@@ -9,15 +9,15 @@
 // while another has only requests of low tiers. Each serves its own requests in
 // tier order, yet the second instance's requests take slots at the endpoints
 // for which the first instance's requests wait. So each instance publishes how
-// long its tiers wait; the others then start lower tiers only within their
-// classes' minimum shares until the report expires.
+// long its tiers wait. Until the report expires, all other instances start
+// lower tiers only within the minimum shares of their classes.
 //
 // Default values: a wait below 1 s does not restrict other instances, because
 // the endpoints' own queues already order work by tier for that long
 // (endpoint_queue_window.h), and a lower threshold improved no result of
 // `thornhollow-scenarios`. The reported wait is halved for every 500 ms of the
 // report's age, so that one lost message changes little and an instance that
-// disappeared restricts the others for a few seconds at most.
+// disappeared restricts other instances for a few seconds at most.
 #ifndef THORNHOLLOW_POLICY_TIER_PRESSURE_H_
 #define THORNHOLLOW_POLICY_TIER_PRESSURE_H_
 
@@ -62,8 +62,8 @@
   // higher tier waits at another instance.
   bool IsRestricted(const pool_name& aPool, int aTier, time_point aNow) const;
 
-  // Until when `IsRestricted` may remain true for any tier of the pool; empty
-  // if there is no report for the pool.
+  // Time until which `IsRestricted` may remain true for any tier of the pool;
+  // nullopt if no other instance reported load for the pool.
   std::optional<time_point> RestrictedUntil(const pool_name& aPool) const;
 
   // Removes load reports that no longer restrict any tier.
--- a/thornhollow/policy/work.h
+++ b/thornhollow/policy/work.h
@@ -50,9 +50,10 @@
 {
   ticket mTicket = 0;
   endpoint_name mEndpoint;
-  // The request is served from its class's minimum share. The endpoint must run
-  // it with the highest priority instead of its tier's; otherwise later
-  // requests of higher tiers would overtake it in the endpoint's queue.
+  // Whether the request is served from its class's minimum share. If so, the
+  // endpoint must run it with the highest priority instead of its tier's;
+  // otherwise later requests of higher tiers would overtake it in the
+  // endpoint's queue.
   bool mUsesMinimumShare = false;
 
   friend bool operator==(const start&, const start&) = default;
--- a/thornhollow/policy/workload_kind.h
+++ b/thornhollow/policy/workload_kind.h
@@ -109,9 +109,9 @@
   {
     decaying_rate mRequests;
     decaying_rate mTokens;
-    // Prompt sizes, unlike the rates, do not change with the number of callers.
-    // They are averaged over a longer time than the rates, because a few very
-    // long prompts dominate them.
+    // Prompt sizes are averaged over a longer time than rates, because a few
+    // very long prompts dominate the average. Unlike rates, prompt sizes do not
+    // change with the number of callers.
     decaying_rate mSizes{ kSizeTimeConstantSeconds };
     decaying_rate mSquaredSizes{ kSizeTimeConstantSeconds };
     std::size_t mInFlight = 0;
