--- a/thornhollow/policy/relay_pool.cc
+++ b/thornhollow/policy/relay_pool.cc
@@ -26,9 +26,9 @@
   return settings;
 }
 
-// Number of engines at the front of a session's order whose rank determines the
-// penalty. With the default settings, the third and all later engines are
-// charged the full penalty.
+// Number of engines at the front of a session's order of preferred engines for
+// which the penalty on uncached prefix blocks depends on the position. With the
+// default settings, the third and all later engines have the full penalty.
 constexpr std::size_t kPreferredRanks = 4;
 
 // Cost of prefilling `aUncached` tokens that follow `aCached` cached ones. The
@@ -206,7 +206,7 @@
 }
 
 // Returns the endpoints whose failure domains are not suspected to be
-// unreachable, or all endpoints if all domains are suspected.
+// unreachable, or all of `aHealthy` if no such endpoint is left.
 std::vector<relay_pool::record*>
 relay_pool::Reachable(std::vector<record*> aHealthy, time_point aNow) const
 {
@@ -447,8 +447,9 @@
   return preferred;
 }
 
-// A failing engine may not answer the engine that requests a copy, and the
-// request would wait until the requesting engine times out.
+// Whether prefix blocks may be copied from the engine. A failing engine may not
+// answer the engine that requests the copy, and the relayed request would wait
+// until the requesting engine times out.
 bool
 relay_pool::CanServeCopy(const record& aRecord)
 {
@@ -464,8 +465,8 @@
   return found == mRecords.end() ? nullptr : &found->second;
 }
 
-// Returns the first `aMaxCount` candidates in the session's order, which is the
-// same on every instance.
+// Returns the first `aMaxCount` candidates in the session's order of preferred
+// engines, which is the same on every instance.
 std::vector<const relay_pool::record*>
 relay_pool::PreferredEngines(const request_profile& aRequest,
                              const std::vector<record*>& aCandidates,
--- a/thornhollow/policy/request_profile.h
+++ b/thornhollow/policy/request_profile.h
@@ -22,7 +22,8 @@
   team_name mTeam = {};
   // Priority tier; 0 is served first.
   std::uint32_t mTier = 0;
-  // Priority as sent to engines, in finer steps: 0 (first) to 9.
+  // Priority as sent to engines, in finer steps than the tiers: 0 (served
+  // first) to 9 (served last).
   std::uint32_t mEnginePriority = 0;
   // Number of tokens of the whole prompt, including the shared prefix blocks; 0
   // for a service without prompts.
--- a/thornhollow/policy/request_queue.h
+++ b/thornhollow/policy/request_queue.h
@@ -1,5 +1,5 @@
 // All requests of one entry instance that wait for a slot at an endpoint, over
-// all pools, and the order in which they get one.
+// all pools, and the order in which the requests get a slot.
 //
 //   request_queue queue(request_queue_settings{}, 1);
 //   queue.Push(item, work, now);
@@ -66,7 +66,7 @@
                     std::span<const class_name> aSkippedClasses,
                     time_point aNow);
 
-  // Whether the request is queued.
+  // Whether the request with this ticket is queued.
   bool Contains(ticket aTicket) const { return mLocations.contains(aTicket); }
 
   // Removes a request that was given a slot. Unknown tickets are ignored.
@@ -91,10 +91,11 @@
   std::vector<pool_name> WaitingPools() const;
 
   // Earliest time at which `Expire` or `Next` may return something new although
-  // nothing else has happened; nullopt if there is none.
+  // nothing else has happened; nullopt if there is no such time.
   std::optional<time_point> NextDue(time_point aNow) const;
 
-  // Expected queueing time of a new request, from the measured service rate.
+  // Expected queueing time of `aItem` if it were queued now, from the measured
+  // service rate.
   duration PredictedWait(const work_item& aItem, time_point aNow) const;
 
   // The declared first-token target of a class; zero if it has none.
@@ -130,7 +131,8 @@
   // Fair-queueing weights of teams. Holds only weights other than 1, because
   // most of up to 11,000 teams declare no weight.
   std::unordered_map<team_name, double> mWeights;
-  // Ordered, so that runs with the same input visit pools in the same order.
+  // Queues of waiting requests by pool. The map is ordered, so that runs with
+  // the same input visit pools in the same order.
   std::map<pool_name, pool_queue> mPools;
   std::unordered_map<ticket, location> mLocations;
   latest_starts mLatestStarts;
--- a/thornhollow/policy/run_time_estimate.h
+++ b/thornhollow/policy/run_time_estimate.h
@@ -47,9 +47,9 @@
   // Records that a request like `aItem` was completed in `aRunTime`.
   void Learn(const work_item& aItem, duration aRunTime);
 
-  // Lower bound for the run time of `aItem`, which only the fraction
-  // `mQuantile` of runs stays below. Zero if the bound is disabled or has too
-  // few samples.
+  // Lower bound for the run time of `aItem`: only the fraction `mQuantile` of
+  // completed runs was shorter. Zero if the bound is disabled or fewer than
+  // `mMinRuns` runs were recorded.
   duration LowerBound(const work_item& aItem) const;
 
 private:
--- a/thornhollow/policy/scheduler_search_test.cc
+++ b/thornhollow/policy/scheduler_search_test.cc
@@ -245,7 +245,7 @@
     const bool isOver = state.mItem.mDeadline <= mNow;
     state.mEndpoint.reset();
     Apply(mScheduler.OnAttemptEnded(*found, how, 9, mNow));
-    // The caller retries no request after its deadline.
+    // As in the relaying code, a request is not retried after its deadline.
     if (how == attempt_end::kCompleted || how == attempt_end::kCancelled ||
         isOver || aEvent.mSecond % 5 == 0) {
       Drop(*found);
--- a/thornhollow/policy/scheduler_test.cc
+++ b/thornhollow/policy/scheduler_test.cc
@@ -64,9 +64,10 @@
   CHECK(mScheduler.Waiting() == 0);
 }
 
-// The process is paused for 20 s while requests wait. Whichever event it
-// handles first, the expired requests must be refused as not run. If started,
-// they would waste an endpoint's work because their callers have disconnected.
+// The process is paused for 20 s while requests wait. Whichever event the
+// scheduler handles first, expired requests must be refused as not run. If
+// started, expired requests would waste an endpoint's work because their
+// callers have disconnected.
 TEST_CASE_FIXTURE(one_slot_scheduler,
                   "scheduler/woke_late/deadlines_pass_before_anything_starts")
 {
--- a/thornhollow/policy/service_rate.h
+++ b/thornhollow/policy/service_rate.h
@@ -29,8 +29,8 @@
 class service_rate
 {
 public:
-  // Accounts for the time since the previous call. `aWaited` says whether work
-  // was waiting during that time.
+  // Accounts for the time since the previous call of `Observe`. `aWaited` says
+  // whether work was waiting in the queue since the previous call.
   void Observe(bool aWaited, time_point aNow);
 
   // Records that work of cost `aCost` left a non-empty queue for a slot. The
--- a/thornhollow/policy/shared_retry_budget.h
+++ b/thornhollow/policy/shared_retry_budget.h
@@ -13,9 +13,10 @@
 // of the requests plus a fixed number. Each instance applies the ratio to its
 // own requests and uses the fixed number divided by the number of instances
 // that it knows. The sum over all instances then keeps the limit as long as
-// none of them assumes fewer instances than there are. The caller therefore
-// sets the largest number seen recently, and an instance that has not yet
-// received a message from any peer assumes `mAssumedInstances`.
+// every instance assumes at least as many instances as there are. The caller
+// therefore sets the largest number of instances seen recently, and an instance
+// that has not yet received a message from any peer assumes
+// `mAssumedInstances`.
 #ifndef THORNHOLLOW_POLICY_SHARED_RETRY_BUDGET_H_
 #define THORNHOLLOW_POLICY_SHARED_RETRY_BUDGET_H_
 
--- a/thornhollow/policy/standing_queue.h
+++ b/thornhollow/policy/standing_queue.h
@@ -6,8 +6,8 @@
 //   if (predicted > standing.MaxWait(untilDeadline, now)) { refuse }
 //
 // Load pattern: sustained overload of a class whose deadline is many times its
-// first-token target. The queue grows until requests wait almost until their
-// deadline, and stays that long: no request meets its first-token target,
+// first-token target. The queue grows until its wait equals the deadline and
+// stays that long: every request is late and misses its first-token target,
 // although the throughput is the same as with a short queue. A short burst,
 // however, is better queued than refused. New requests are therefore accepted
 // with predicted waits of up to their deadline as long as some request recently
