--- a/thornhollow/policy/relay_admission.h
+++ b/thornhollow/policy/relay_admission.h
@@ -165,11 +165,13 @@
                                           time_point aNow);
 
   void OnSent(const admitted_prompt& aPrompt);
-  // The response started, `aWait` after the prompt was sent.
+  // To be called when the response to a prompt started, `aWait` after the
+  // prompt was sent.
   void OnStarted(const admitted_prompt& aPrompt,
                  duration aWait,
                  time_point aNow);
-  // The request ended before its response started.
+  // To be called when a request that was sent ended before its response
+  // started.
   void OnAborted(const admitted_prompt& aPrompt);
 
   // Mean wait of responses that started recently; zero once no admitted prompt
--- a/thornhollow/policy/relay_pool.h
+++ b/thornhollow/policy/relay_pool.h
@@ -192,13 +192,14 @@
   void OnSent(const relay_pick& aPick,
               const request_profile& aRequest,
               time_point aNow);
-  // The first event or the whole response started, `aWait` after the request
-  // was sent.
+  // To be called when the first byte of the response arrived, `aWait` after the
+  // request was sent.
   void OnFirstByte(const relay_pick& aPick,
                    const request_profile& aRequest,
                    duration aWait,
                    time_point aNow);
-  // The attempt ended `aLength` after the request was sent. `aStarted` says
+  // To be called when the attempt ended, `aLength` after the request was sent.
+  // `aStarted` says
   // whether the first byte of the response had arrived.
   void OnEnded(const relay_pick& aPick,
                const request_profile& aRequest,
@@ -211,8 +212,8 @@
   // unreachable, in addition to `OnEnded` for the attempt. Returns whether the
   // endpoint's failure domain is newly suspected to be unreachable.
   bool OnUnreachable(const relay_pick& aPick, time_point aNow);
-  // A message was received from another instance, located in failure domain
-  // `aDomain`.
+  // To be called when a message was received from another instance that is
+  // located in failure domain `aDomain`.
   void OnPeerMessage(const domain_name& aDomain, time_point aNow);
 
   // Sets the load that other instances reported for one endpoint: the sums of
--- a/thornhollow/policy/request_queue.h
+++ b/thornhollow/policy/request_queue.h
@@ -8,7 +8,7 @@
 //   }
 //
 // `pool_queue` orders and bounds the requests of each pool. This class manages
-// the set of pools, the deadlines and the pressure reported by other instances.
+// the set of pools, the deadlines and the load reports of other instances.
 #ifndef THORNHOLLOW_POLICY_REQUEST_QUEUE_H_
 #define THORNHOLLOW_POLICY_REQUEST_QUEUE_H_
 
--- a/thornhollow/policy/retry_budget.h
+++ b/thornhollow/policy/retry_budget.h
@@ -37,8 +37,8 @@
   double mRatio = 0.1;
   // Retries per second added to a budget even if no request succeeds.
   double mFloorPerSecond = 0.1;
-  // Maximum number of retries saved; also the initial balance of a class or
-  // endpoint.
+  // Maximum number of unused retries that a budget can hold; also the initial
+  // balance of a class or endpoint.
   double mReserve = 32;
 
   friend bool operator==(const retry_budget_settings&,
--- a/thornhollow/policy/scheduler.h
+++ b/thornhollow/policy/scheduler.h
@@ -46,10 +46,10 @@
   run_time_settings mRunTimes;
   clock_gap_settings mClockGap;
   endpoint_queue_window_settings mEndpointQueues;
-  // Whether pressure reports from other instances also apply to pools whose
-  // endpoints order their queues by tier. Off by default: in such pools the
-  // middle tiers lose more than the highest tier gains
-  // (docs/design/decisions_under_load.md).
+  // Whether the load that other instances report (`pool_pressure`) also
+  // restricts lower tiers in pools whose endpoints order their queues by tier.
+  // Off by default: in such pools the middle tiers lose more than the highest
+  // tier gains (docs/design/decisions_under_load.md).
   bool mApplyPressureToTieredPools = false;
   // The lowest tier, counted from 1 for the highest, whose requests may wait in
   // endpoints' own queues without using their class's minimum share.
@@ -86,10 +86,12 @@
   // that were already tried are avoided if others are available.
   decisions Resubmit(ticket aTicket, time_point aNow);
 
-  // The current attempt produced its first token.
+  // To be called when the current attempt of the request produced its first
+  // token.
   void OnFirstToken(ticket aTicket, time_point aNow);
 
-  // The current attempt ended, which releases its slot. `aTokens` is the number
+  // To be called when the current attempt of the request ended. Releases the
+  // attempt's slot. `aTokens` is the number
   // of output tokens that this attempt produced.
   decisions OnAttemptEnded(ticket aTicket,
                            attempt_end aHow,
@@ -109,7 +111,7 @@
 
   // Load of each pool on this instance, to be sent to the other instances.
   std::vector<pool_pressure> Pressure(time_point aNow) const;
-  // Handles a pressure report received from instance `aFrom`.
+  // Handles the load of a pool that instance `aFrom` reported.
   decisions OnPeerPressure(const instance_name& aFrom,
                            const pool_pressure& aPressure,
                            time_point aNow);
@@ -164,8 +166,9 @@
   {
     explicit pool_windows(const endpoint_queue_window_settings& aSettings);
 
-    // One window per tier, highest first, followed by the window of requests
-    // that use their class's minimum share.
+    // Limits on requests in endpoints' own queues: one window per tier, highest
+    // tier first, followed by the window of requests that use their class's
+    // minimum share.
     std::vector<endpoint_queue_window> mWindows;
   };
   using request_states = std::unordered_map<ticket, request_state>;
--- a/thornhollow/policy/service_rate.h
+++ b/thornhollow/policy/service_rate.h
@@ -46,8 +46,8 @@
   // the next item is awaited.
   std::optional<double> PerSecondWithNext(double aCost, time_point aNow) const;
 
-  // The last measured rate regardless of its age, or nullopt if none was ever
-  // measured.
+  // The last measured service rate, in cost per second, regardless of its age;
+  // nullopt if no rate was ever measured.
   std::optional<double> LastPerSecond() const;
 
 private:
--- a/thornhollow/policy/team_in_flight.h
+++ b/thornhollow/policy/team_in_flight.h
@@ -38,7 +38,7 @@
   // requests of this tier and of higher tiers have reached the limit.
   bool TryAdd(const team_name& aTeam, int aTier);
 
-  // Removes one request of the team that has ended.
+  // Removes one request of the team, in tier `aTier`, that has ended.
   void Remove(const team_name& aTeam, int aTier);
 
   // Number of teams with a limit or with requests in flight, for memory
--- a/thornhollow/policy/tier_waits.h
+++ b/thornhollow/policy/tier_waits.h
@@ -31,7 +31,7 @@
   void OnRequest(std::uint32_t aTier, time_point aNow);
   void OnSent(std::uint32_t aTier);
   void OnResponseStarted(std::uint32_t aTier, duration aWait, time_point aNow);
-  // A sent request ended before its response began.
+  // To be called when a request that was sent ended before its response began.
   void OnAbandoned(std::uint32_t aTier);
 
   // Mean wait of responses that began recently, over `aTier` and all higher
--- a/thornhollow/policy/work.h
+++ b/thornhollow/policy/work.h
@@ -72,8 +72,8 @@
   friend bool operator==(const refuse&, const refuse&) = default;
 };
 
-// Actions requested by the scheduler. A request for which no decision was
-// returned stays queued.
+// Action that the scheduler requests from its caller. A request for which no
+// decision was returned stays queued.
 using decision = std::variant<start, refuse>;
 using decisions = std::vector<decision>;
 
@@ -87,9 +87,9 @@
   kFailed,
   // The endpoint accepted the request and then stopped responding.
   kSilent,
-  // The endpoint reported that it did not run the request (busy).
+  // The endpoint reported that it did not run the request because it is busy.
   kDeclined,
-  // The endpoint reported that it is leaving and did not run the request.
+  // The endpoint reported that it is shutting down and did not run the request.
   kDeclinedLeaving,
   // The router cancelled the attempt: the caller disconnected or the deadline
   // passed.
--- a/thornhollow/policy/workload_kind.cc
+++ b/thornhollow/policy/workload_kind.cc
@@ -44,7 +44,7 @@
     return;
   }
   // Bounds the reported rate: if an instance reported engines a million times
-  // too fast, all others would send everything to them.
+  // too fast, all other instances would send every request to these engines.
   const double reported =
     std::clamp(aOthers.mPrefillRateSum / aOthers.mPrefillRateCount,
                prefill_rate::kMin,
