--- a/thornhollow/policy/relay_pool.h
+++ b/thornhollow/policy/relay_pool.h
@@ -192,8 +192,8 @@
   void OnSent(const relay_pick& aPick,
               const request_profile& aRequest,
               time_point aNow);
-  // To be called when the first byte of the response arrived, `aWait` after the
-  // request was sent.
+  // To be called when the first event of a stream, or the start of any other
+  // response, arrived `aWait` after the request was sent.
   void OnFirstByte(const relay_pick& aPick,
                    const request_profile& aRequest,
                    duration aWait,
--- a/thornhollow/policy/work.h
+++ b/thornhollow/policy/work.h
@@ -89,7 +89,8 @@
   kSilent,
   // The endpoint reported that it did not run the request because it is busy.
   kDeclined,
-  // The endpoint reported that it is shutting down and did not run the request.
+  // The endpoint reported that it is leaving, so that it takes no new work, and
+  // did not run the request.
   kDeclinedLeaving,
   // The router cancelled the attempt: the caller disconnected or the deadline
   // passed.
