--- a/thornhollow/policy/relay_admission.h
+++ b/thornhollow/policy/relay_admission.h
@@ -83,9 +83,9 @@
   // Factor on the probability that a retry is admitted while
   // `mOverloadThreshold` is exceeded.
   double mRetryFactor = 1.5;
-  // Factors on the maximum wait for teams above and below their fair share.
-  // The two factors differ enough that the queue caused by a team above its
-  // share does not reach the maximum wait of teams below their share.
+  // Factors on the maximum wait for teams above and below their fair share. The
+  // two factors differ enough that the queue caused by a team above its share
+  // does not reach the maximum wait of teams below their share.
   double mAboveShareFactor = 0.5;
   double mBelowShareFactor = 1.25;
   // Multiple of the fair share above which a team counts as exceeding it. A
@@ -185,7 +185,7 @@
   bool OvertakesQueue(const admission_request& aRequest, time_point aNow) const;
   void ReduceUnstarted(std::uint32_t aTokens);
   // Decides at random whether the request is refused in an overload, such that
-  // the admitted requests fit the prefill capacity.
+  // the admitted requests fit the prefill capacity. True: it is refused.
   bool ExceedsCapacity(const admission_request& aRequest,
                        std::mt19937_64& aRandom,
                        time_point aNow) const;
--- a/thornhollow/policy/relay_pool.cc
+++ b/thornhollow/policy/relay_pool.cc
@@ -50,8 +50,8 @@
 
 // No request is refused while the demand of bulk requests is below this
 // fraction of the bulk engines' prefill capacity and slots are free. A queue at
-// such low demand comes from a short
-// cluster of arrivals and is served before a refused caller would retry.
+// such low demand comes from a short cluster of arrivals and is served before a
+// refused caller would retry.
 constexpr double kSaturationThreshold = 0.85;
 
 // Maximum ratio assumed between the speed of an engine and the mean of its
--- a/thornhollow/policy/relay_pool.h
+++ b/thornhollow/policy/relay_pool.h
@@ -83,9 +83,8 @@
   double mMissPenalty = 16;
   // Factor on the prefill time of uncached prefix blocks for the second engine
   // in the session's order; twice as much for the third engine, and so on up to
-  // `mMissPenalty`. The requests of a session that
-  // exceeds one engine's capacity are thus spread over the same few engines by
-  // all instances.
+  // `mMissPenalty`. The requests of a session that exceeds one engine's
+  // capacity are thus spread over the same few engines by all instances.
   double mMissPenaltyStep = 8;
   // Cost that is added for an engine whose slots are all occupied, as a
   // fraction of the request's target time.
@@ -102,9 +101,9 @@
   std::uint32_t mCopyFromTokens = 256;
   // Bulk requests are not placed on engines that changed from the interactive
   // to the bulk side of the partition and still serve interactive streams, as
-  // long as the demand of bulk requests is below this fraction of
-  // the prefill capacity of the other bulk engines. At a higher demand the
-  // capacity of all bulk engines is needed.
+  // long as the demand of bulk requests is below this fraction of the prefill
+  // capacity of the other bulk engines. At a higher demand the capacity of all
+  // bulk engines is needed.
   double mAvoidClearingBelow = 0.6;
   // An engine counts as slow from when its prefill time per token exceeds
   // `mSlowThreshold` times the pool's minimum until it falls below
@@ -199,8 +198,7 @@
                    duration aWait,
                    time_point aNow);
   // To be called when the attempt ended, `aLength` after the request was sent.
-  // `aStarted` says
-  // whether the first byte of the response had arrived.
+  // `aStarted` says whether the first byte of the response had arrived.
   void OnEnded(const relay_pick& aPick,
                const request_profile& aRequest,
                attempt_end aHow,
--- a/thornhollow/policy/request_profile.h
+++ b/thornhollow/policy/request_profile.h
@@ -69,8 +69,8 @@
   std::uint64_t mLifetime = 0;
   // Estimated prompt tokens that the engine has to prefill for this request.
   std::uint32_t mPrefillTokens = 0;
-  // The request's workload kind belongs to the bulk side, rather than to the
-  // interactive side, of the partition of engines.
+  // Whether the request's workload kind belongs to the bulk side, rather than
+  // the interactive side, of the partition of engines.
   bool mBulk = false;
   // Whether all shared prefix blocks of the request are estimated to be cached
   // on the chosen engine.
--- a/thornhollow/policy/scheduler.cc
+++ b/thornhollow/policy/scheduler.cc
@@ -293,9 +293,9 @@
                         decisions& aOut)
 {
   // Classes whose next request got no endpoint although a request of another
-  // class may still get one: classes of long requests, whose number
-  // per endpoint is limited, and classes whose request uses the minimum share,
-  // of which only a limited number may wait in endpoint queues.
+  // class may still get one: classes of long requests, whose number per
+  // endpoint is limited, and classes whose request uses the minimum share, of
+  // which only a limited number may wait in endpoint queues.
   std::vector<class_name> skippedClasses;
   for (;;) {
     const next_request next = mQueue.Next(aPool, skippedClasses, aNow);
--- a/thornhollow/policy/scheduler.h
+++ b/thornhollow/policy/scheduler.h
@@ -91,8 +91,8 @@
   void OnFirstToken(ticket aTicket, time_point aNow);
 
   // To be called when the current attempt of the request ended. Releases the
-  // attempt's slot. `aTokens` is the number
-  // of output tokens that this attempt produced.
+  // attempt's slot. `aTokens` is the number of output tokens that this attempt
+  // produced.
   decisions OnAttemptEnded(ticket aTicket,
                            attempt_end aHow,
                            std::uint32_t aTokens,
--- a/thornhollow/policy/service_rate.h
+++ b/thornhollow/policy/service_rate.h
@@ -42,8 +42,8 @@
   std::optional<double> PerSecond(time_point aNow) const;
 
   // Cost served per second, counting one more item of cost `aCost` as already
-  // served. For slow queues, for which `PerSecond` would be close to zero while
-  // the next item is awaited.
+  // served. For slow queues: `PerSecond` would suggest that a queue is not
+  // served at all while its next item is awaited.
   std::optional<double> PerSecondWithNext(double aCost, time_point aNow) const;
 
   // The last measured service rate, in cost per second, regardless of its age;
--- a/thornhollow/policy/shared_retry_budget.cc
+++ b/thornhollow/policy/shared_retry_budget.cc
@@ -6,8 +6,8 @@
 namespace {
 
 // Number of time slices into which the window of the retry limit is divided. A
-// slice counts in full until it has left the window, which
-// errs towards fewer retries.
+// slice counts in full until it has left the window, which errs towards fewer
+// retries.
 constexpr int kSlices = 20;
 
 } // namespace
--- a/thornhollow/policy/slot_occupancy.h
+++ b/thornhollow/policy/slot_occupancy.h
@@ -21,8 +21,8 @@
   // A response was completed `aLength` after its request was sent.
   void OnEnded(duration aLength);
 
-  // Mean time from the first event to the end of a response; 2 s until both
-  // a first event and an end have been recorded.
+  // Mean time from the first event to the end of a response; 2 s until both a
+  // first event and an end have been recorded.
   duration Mean() const;
   // Time until a slot is free for one more request when `aInFlight` requests
   // are at engines with `aSlots` slots in total. Zero if slots are free or
