--- a/thornhollow/policy/relay_admission.h
+++ b/thornhollow/policy/relay_admission.h
@@ -1,5 +1,5 @@
-// Admission control for prompts that may wait at engines for a short time. It
-// decides by the waits of prompts that were admitted earlier.
+// Admission control for prompts that may wait at engines for a short time.
+// Prompts are admitted or refused by the waits of prompts admitted earlier.
 //
 //   relay_admission admission(relay_admission_settings{});
 //   if (const auto refusal = admission.Decide(request, random, now)) {
@@ -66,7 +66,7 @@
 
 struct relay_admission_settings
 {
-  // False: all requests are admitted.
+  // Whether requests may be refused; if false, all requests are admitted.
   bool mAdmit = true;
   // While the mean observed wait is below this fraction of the maximum wait,
   // requests are not refused for their predicted wait. The few prompts that one
@@ -76,16 +76,16 @@
   // Lower bound for the fraction of an engine's time that is spent on prefill:
   // the decoding steps of a full batch of streams take the other half.
   double mMinPrefillFraction = 0.5;
-  // Ratio of demand to prefill capacity from which only the fraction that fits
-  // the capacity is admitted. It is well above 1 because the estimates of
-  // demand and capacity may each be off by about 20%.
+  // Ratio of demand to prefill capacity from which only the fraction of
+  // requests that fits the capacity is admitted. The ratio is well above 1
+  // because the estimates of demand and capacity may each be off by about 20%.
   double mOverloadThreshold = 1.5;
   // Factor on the probability that a retry is admitted while
   // `mOverloadThreshold` is exceeded.
   double mRetryFactor = 1.5;
-  // Factors on the maximum wait for teams above and below their fair share.
-  // They are far enough apart that the queue caused by one team does not reach
-  // the maximum wait of the others.
+  // Factors on the maximum wait for teams above and below their fair share. The
+  // two factors differ enough that the queue caused by a team above its share
+  // does not reach the maximum wait of teams below their share.
   double mAboveShareFactor = 0.5;
   double mBelowShareFactor = 1.25;
   // Multiple of the fair share above which a team counts as exceeding it. A
@@ -105,15 +105,15 @@
   team_name mTeam = {};
   // Priority tier; 0 is served first.
   std::uint32_t mTier = 0;
-  // Prompt tokens to prefill.
+  // Number of prompt tokens to prefill for the request.
   std::uint32_t mTokens = 0;
-  // Target time to the first event.
+  // Target for the time to the first event; zero if the request has none.
   duration mTarget{};
   // Time until the caller times out.
   duration mTimeLeft{};
   // Time to the first event as predicted by placement.
   duration mExpectedWait{};
-  // The caller has been refused before.
+  // Whether the caller retries this request after a refusal.
   bool mIsRetry = false;
   // Ratio of the demand, summed over all instances, to the prefill capacity.
   double mOverload = 0;
@@ -122,7 +122,7 @@
                          const admission_request&) = default;
 };
 
-// A prompt that was admitted.
+// A prompt admitted to engines, with the number of its tokens to prefill.
 struct admitted_prompt
 {
   std::uint32_t mTier = 0;
@@ -136,8 +136,9 @@
 {
   error_kind mKind = error_kind::kQueueFull;
   duration mRetryAfter{};
-  // Inputs of the decision: the predicted wait, the mean wait of responses that
-  // started recently, and the maximum wait allowed for this team.
+  // Inputs of the decision to refuse the request: the predicted wait, the mean
+  // wait of responses that started recently, and the maximum wait allowed for
+  // this team.
   duration mWait{};
   duration mObservedWait{};
   duration mMaxWait{};
@@ -156,18 +157,21 @@
   // prefill.
   void SetCapacity(double aTokensPerSecond);
 
-  // Returns nothing if the request is admitted, and the reason otherwise. The
-  // request counts towards the team's demand either way.
+  // Admits or refuses the request. Returns nullopt if the request is admitted,
+  // and the reason and retry delay if it is refused. Admitted and refused
+  // requests both count towards the team's demand.
   std::optional<admission_refusal> Decide(const admission_request& aRequest,
                                           std::mt19937_64& aRandom,
                                           time_point aNow);
 
   void OnSent(const admitted_prompt& aPrompt);
-  // The response started, `aWait` after the prompt was sent.
+  // To be called when the response to a prompt started, `aWait` after the
+  // prompt was sent.
   void OnStarted(const admitted_prompt& aPrompt,
                  duration aWait,
                  time_point aNow);
-  // The request ended before its response started.
+  // To be called when a request that was sent ended before its response
+  // started.
   void OnAborted(const admitted_prompt& aPrompt);
 
   // Mean wait of responses that started recently; zero once no admitted prompt
@@ -176,16 +180,17 @@
 
 private:
   double PrefillTokensPerSecond(time_point aNow) const;
-  // Whether the request's tier is served soon although requests of lower tiers
-  // are queued, because engines serve it first.
+  // Whether the request will be served soon although requests of lower tiers
+  // are queued, because engines serve the request's higher tier first.
   bool OvertakesQueue(const admission_request& aRequest, time_point aNow) const;
   void ReduceUnstarted(std::uint32_t aTokens);
-  // Whether the request is refused, at random, as part of the demand that
-  // exceeds the prefill capacity in an overload.
+  // Decides at random whether the request is refused in an overload, such that
+  // the admitted requests fit the prefill capacity. True: it is refused.
   bool ExceedsCapacity(const admission_request& aRequest,
                        std::mt19937_64& aRandom,
                        time_point aNow) const;
-  // Factor on the maximum wait that applies to the team.
+  // Factor on the maximum wait of requests of the team, which depends on
+  // whether the team is above or below its fair share.
   double WaitFactor(const team_name& aTeam, time_point aNow) const;
   void EvictIdleTeams(time_point aNow);
 
@@ -193,8 +198,9 @@
   double mCapacity = 0;
   std::uint64_t mUnstartedTokens = 0;
   decaying_rate mStartedTokens;
-  // Rates of the responses that started and of their summed waits in seconds.
+  // Responses that started, per second.
   decaying_rate mAnswers;
+  // Waits of the responses counted in `mAnswers`, in seconds per second.
   decaying_rate mWaits;
   tier_waits mTiers;
   // Rate of requests received, whether admitted or not: over all teams, and for
--- a/thornhollow/policy/relay_pool.cc
+++ b/thornhollow/policy/relay_pool.cc
@@ -26,19 +26,19 @@
   return settings;
 }
 
-// Number of engines at the front of a session's order whose rank determines the
-// penalty. With the default settings, the third and all later engines are
-// charged the full penalty.
+// Number of engines at the front of a session's order of preferred engines for
+// which the penalty on uncached prefix blocks depends on the position. With the
+// default settings, the third and all later engines have the full penalty.
 constexpr std::size_t kPreferredRanks = 4;
 
 // Cost of prefilling `aUncached` tokens that follow `aCached` cached ones. The
 // unit is the cost of one token without overhead and attention. Added are an
 // overhead for each chunk of tokens and the attention to all preceding tokens.
-// Their two constants were taken from two makes of engine, and each adds about
-// an eighth to the cost of usual prompts. Without them, the value of responses
-// on days with faults was 0.759 instead of 0.770 at a site with different
-// engines, because differences in prompt length were taken for differences in
-// engine speed.
+// The constants for overhead and attention were taken from two makes of engine,
+// and each adds about an eighth to the cost of usual prompts. Without them, the
+// value of responses on days with faults was 0.759 instead of 0.770 at a site
+// with different engines, because differences in prompt length were taken for
+// differences in engine speed.
 double
 PrefillCost(double aUncached, double aCached)
 {
@@ -48,9 +48,10 @@
   return aUncached * (1 + kChunkOverhead) + attentionPairs * kTokensPerPair;
 }
 
-// Nothing is refused while the demand is below this fraction of the prefill
-// capacity and slots are free. A queue at such low demand comes from a short
-// cluster of arrivals and is served before a refused caller would retry.
+// No request is refused while the demand of bulk requests is below this
+// fraction of the bulk engines' prefill capacity and slots are free. A queue at
+// such low demand comes from a short cluster of arrivals and is served before a
+// refused caller would retry.
 constexpr double kSaturationThreshold = 0.85;
 
 // Maximum ratio assumed between the speed of an engine and the mean of its
@@ -119,7 +120,7 @@
   if (!mEngines || !pick) {
     return pick;
   }
-  // Refused requests count towards the demand as well.
+  // Requests count towards the demand whether they are admitted or refused.
   mMeter.OnRequest(KindOf(aRequest), pick->mPrefillTokens, aNow);
   mPopularBlocks.OnRequested(aRequest.mFirstBlock, aNow);
   const double capacity =
@@ -195,8 +196,8 @@
     }
     (TakesNewWork(each, aNow) ? healthy : unhealthy).push_back(&each);
   }
-  // If no healthy endpoint is left, unhealthy ones are tried: an attempt there
-  // may succeed, while a refusal is certain to fail the request.
+  // If no healthy endpoint is left, unhealthy endpoints are tried: an attempt
+  // at one may succeed, while a refusal is certain to fail the request.
   if (healthy.empty()) {
     return unhealthy;
   }
@@ -205,7 +206,7 @@
 }
 
 // Returns the endpoints whose failure domains are not suspected to be
-// unreachable, or all if that leaves none.
+// unreachable, or all of `aHealthy` if no such endpoint is left.
 std::vector<relay_pool::record*>
 relay_pool::Reachable(std::vector<record*> aHealthy, time_point aNow) const
 {
@@ -251,9 +252,10 @@
     aNow);
 }
 
-// Returns the engines on the request's side of the partition, or all engines if
-// that side has none. Bulk work avoids engines that still serve interactive
-// streams as long as the other bulk engines have capacity for it.
+// Returns the engines on the request's side, bulk or interactive, of the
+// partition, or all engines if that side has none. Bulk requests avoid engines
+// that still serve interactive streams as long as the other bulk engines have
+// capacity for it.
 std::vector<relay_pool::record*>
 relay_pool::OnSide(const request_profile& aRequest,
                    const std::vector<record*>& aHealthy,
@@ -362,8 +364,9 @@
 }
 
 // Probability that a session's shared prefix blocks are not cached on an
-// engine. `aSentHere` says whether this instance has sent them there, `aRank`
-// is the engine's position in the session's order.
+// engine. `aSentHere` says whether this instance has sent the blocks to the
+// engine; `aRank` is the engine's position, from 0, in the session's order of
+// preferred engines.
 double
 relay_pool::MissProbability(bool aSentHere, std::size_t aRank) const
 {
@@ -392,8 +395,8 @@
          taken;
 }
 
-// Expected wait of bulk work for a slot, from the requests in flight at all
-// bulk engines over all instances. The data about a single engine is too
+// Expected wait of a bulk request for a slot, from the requests in flight at
+// all bulk engines over all instances. The data about a single engine is too
 // inaccurate for an expectation per engine.
 duration
 relay_pool::SlotWait() const
@@ -423,8 +426,8 @@
   return previous == &aChosen ? nullptr : previous;
 }
 
-// Returns the engine that was the preferred one of the session before engines
-// recently changed sides of the partition.
+// Returns the session's preferred engine as it was before engines recently
+// changed between the bulk and the interactive side of the partition.
 const relay_pool::record*
 relay_pool::PreviousPreferredEngine(const request_profile& aRequest,
                                     time_point aNow) const
@@ -444,8 +447,9 @@
   return preferred;
 }
 
-// A failing engine may not answer the engine that requests a copy, and the
-// request would wait until the requesting engine times out.
+// Whether prefix blocks may be copied from the engine. A failing engine may not
+// answer the engine that requests the copy, and the relayed request would wait
+// until the requesting engine times out.
 bool
 relay_pool::CanServeCopy(const record& aRecord)
 {
@@ -461,8 +465,8 @@
   return found == mRecords.end() ? nullptr : &found->second;
 }
 
-// Returns the first `aMaxCount` candidates in the session's order, which is the
-// same on every instance.
+// Returns the first `aMaxCount` candidates in the session's order of preferred
+// engines, which is the same on every instance.
 std::vector<const relay_pool::record*>
 relay_pool::PreferredEngines(const request_profile& aRequest,
                              const std::vector<record*>& aCandidates,
--- a/thornhollow/policy/request_profile.h
+++ b/thornhollow/policy/request_profile.h
@@ -18,13 +18,15 @@
 
 struct request_profile
 {
-  // Empty for a caller without a team.
+  // Team of the caller; empty for a caller without a team.
   team_name mTeam = {};
   // Priority tier; 0 is served first.
   std::uint32_t mTier = 0;
-  // Priority as sent to engines, in finer steps: 0 (first) to 9.
+  // Priority as sent to engines, in finer steps than the tiers: 0 (served
+  // first) to 9 (served last).
   std::uint32_t mEnginePriority = 0;
-  // The whole prompt, shared prefix blocks included; 0 for a plain service.
+  // Number of tokens of the whole prompt, including the shared prefix blocks; 0
+  // for a service without prompts.
   std::uint32_t mPromptTokens = 0;
   // Prompt tokens in the shared prefix blocks, with which other requests begin
   // as well.
@@ -41,10 +43,10 @@
   // Maximum time between two events that the route declares; zero if it
   // declares none.
   duration mPause{};
-  // When the caller times out.
+  // Time at which the caller stops waiting for the response.
   time_point mDeadline{};
-  // The caller was refused before, which shows in its having less time left
-  // than its route allows.
+  // Whether the request is a retry after a refusal, recognized by the caller
+  // having less time left than its route allows.
   bool mIsRetry = false;
 
   friend bool operator==(const request_profile&,
@@ -67,13 +69,17 @@
   std::uint64_t mLifetime = 0;
   // Estimated prompt tokens that the engine has to prefill for this request.
   std::uint32_t mPrefillTokens = 0;
-  // The request is placed on the bulk side of the partition.
+  // Whether the request's workload kind belongs to the bulk side, rather than
+  // the interactive side, of the partition of engines.
   bool mBulk = false;
-  // All shared prefix blocks are estimated to be cached on the engine.
+  // Whether all shared prefix blocks of the request are estimated to be cached
+  // on the chosen engine.
   bool mPrefixCached = false;
-  // This instance has sent the shared prefix to this engine before.
+  // Whether this instance has sent the request's shared prefix to the chosen
+  // engine before.
   bool mSentBefore = false;
-  // This instance has sent the shared prefix to some engine before.
+  // Whether this instance has sent the request's shared prefix to any engine
+  // before.
   bool mKnownPrefix = false;
   // Address of another engine on which the shared prefix is estimated to be
   // cached, to copy it from; empty if there is none.
@@ -81,7 +87,7 @@
   // Prompt tokens that already wait for prefill at the engine, including those
   // sent by other instances.
   std::uint64_t mBacklogTokens = 0;
-  // Predicted time to the first event.
+  // Predicted time from sending the request to its first event.
   duration mExpectedWait{};
 
   friend bool operator==(const relay_pick&, const relay_pick&) = default;
--- a/thornhollow/policy/retry_budget.h
+++ b/thornhollow/policy/retry_budget.h
@@ -1,5 +1,5 @@
-// Limits the load added by retries to a fraction of the successes, both of the
-// request's class and of the endpoint that failed it, plus a small constant
+// Limits retries to a fraction of the successful requests, both of the retried
+// request's class and of the endpoint at which it failed, plus a small constant
 // rate.
 //
 //   retry_budget budget(retry_budget_settings{});
@@ -33,12 +33,12 @@
 
 struct retry_budget_settings
 {
-  // Retries earned per success.
+  // Number of retries that each successful request adds to a budget.
   double mRatio = 0.1;
-  // Retries per second that are granted without any success.
+  // Retries per second added to a budget even if no request succeeds.
   double mFloorPerSecond = 0.1;
-  // Maximum number of retries saved; also the initial balance of a class or
-  // endpoint.
+  // Maximum number of unused retries that a budget can hold; also the initial
+  // balance of a class or endpoint.
   double mReserve = 32;
 
   friend bool operator==(const retry_budget_settings&,
--- a/thornhollow/policy/scheduler.h
+++ b/thornhollow/policy/scheduler.h
@@ -1,6 +1,6 @@
 // Decides whether each request of one entry instance is sent to an endpoint,
-// queued or refused. It performs no I/O and reads no clock: every call takes
-// the current time and returns the decisions to carry out now.
+// queued or refused. The scheduler performs no I/O and reads no clock: every
+// call takes the current time and returns the decisions to carry out now.
 //
 //   scheduler scheduling(scheduler_settings{}, 1);
 //   scheduling.Configure(declared, domain_name("worcester-hall"), now);
@@ -46,10 +46,10 @@
   run_time_settings mRunTimes;
   clock_gap_settings mClockGap;
   endpoint_queue_window_settings mEndpointQueues;
-  // Whether pressure reports from other instances also apply to pools whose
-  // endpoints order their queues by tier. Off by default: in such pools the
-  // middle tiers lose more than the highest tier gains
-  // (docs/design/decisions_under_load.md).
+  // Whether the load that other instances report (`pool_pressure`) also
+  // restricts lower tiers in pools whose endpoints order their queues by tier.
+  // Off by default: in such pools the middle tiers lose more than the highest
+  // tier gains (docs/design/decisions_under_load.md).
   bool mApplyPressureToTieredPools = false;
   // The lowest tier, counted from 1 for the highest, whose requests may wait in
   // endpoints' own queues without using their class's minimum share.
@@ -86,11 +86,13 @@
   // that were already tried are avoided if others are available.
   decisions Resubmit(ticket aTicket, time_point aNow);
 
-  // The current attempt produced its first token.
+  // To be called when the current attempt of the request produced its first
+  // token.
   void OnFirstToken(ticket aTicket, time_point aNow);
 
-  // The current attempt ended, which releases its slot. `aTokens` is the number
-  // of output tokens that this attempt produced.
+  // To be called when the current attempt of the request ended. Releases the
+  // attempt's slot. `aTokens` is the number of output tokens that this attempt
+  // produced.
   decisions OnAttemptEnded(ticket aTicket,
                            attempt_end aHow,
                            std::uint32_t aTokens,
@@ -109,7 +111,7 @@
 
   // Load of each pool on this instance, to be sent to the other instances.
   std::vector<pool_pressure> Pressure(time_point aNow) const;
-  // Handles a pressure report received from instance `aFrom`.
+  // Handles the load of a pool that instance `aFrom` reported.
   decisions OnPeerPressure(const instance_name& aFrom,
                            const pool_pressure& aPressure,
                            time_point aNow);
@@ -130,13 +132,14 @@
   // requests for which there is capacity.
   decisions Advance(time_point aNow);
 
-  // Like `Advance`; to be called every `clock_gap::kTickInterval`. After the
-  // first call of `Tick`, a longer step of the clock between two calls of any
-  // kind is taken as a pause of this process, and state estimated before the
-  // pause is discarded.
+  // Does the same work as `Advance`; to be called every
+  // `clock_gap::kTickInterval`. After the first call of `Tick`, a longer step
+  // of the clock between two calls of any kind is taken as a pause of this
+  // process, and state estimated before the pause is discarded.
   decisions Tick(time_point aNow);
 
-  // When `Advance` next has work to do, or nothing if no work is pending.
+  // Time at which `Advance` next has work to do, or nullopt if no work is
+  // pending.
   std::optional<time_point> NextDue() const;
 
   std::size_t Waiting() const { return mQueue.size(); }
@@ -147,23 +150,25 @@
   {
     work_item mItem;
     std::vector<endpoint_name> mTriedEndpoints;
-    // Set while an attempt holds a slot at this endpoint.
+    // Endpoint at which the current attempt holds a slot; empty if no attempt
+    // holds one.
     std::optional<endpoint_name> mEndpoint;
     bool mUsesMinimumShare = false;
     time_point mStartedAt{};
     // Estimated cost, in output tokens, that was charged to the request's class
     // and team at the start.
     double mChargedCost = 0;
-    // The request was sent to wait in the endpoint's own queue and has not yet
-    // received a token.
+    // Whether the request was sent to wait in the endpoint's own queue and its
+    // first token has not been received.
     bool mInEndpointQueue = false;
   };
   struct pool_windows
   {
     explicit pool_windows(const endpoint_queue_window_settings& aSettings);
 
-    // One window per tier, highest first, followed by the window of requests
-    // that use their class's minimum share.
+    // Limits on requests in endpoints' own queues: one window per tier, highest
+    // tier first, followed by the window of requests that use their class's
+    // minimum share.
     std::vector<endpoint_queue_window> mWindows;
   };
   using request_states = std::unordered_map<ticket, request_state>;
@@ -201,7 +206,7 @@
   run_time_estimate mRunTimes;
   team_in_flight mTeamInFlight;
   clock_gap mClockGap;
-  // Whether the caller uses `Tick`.
+  // Whether the caller has called `Tick` at least once.
   bool mTicking = false;
   time_point mNow{};
   request_states mRequests;
--- a/thornhollow/policy/service_rate.h
+++ b/thornhollow/policy/service_rate.h
@@ -29,8 +29,8 @@
 class service_rate
 {
 public:
-  // Accounts for the time since the previous call. `aWaited` says whether work
-  // was waiting during that time.
+  // Accounts for the time since the previous call of `Observe`. `aWaited` says
+  // whether work was waiting in the queue since the previous call.
   void Observe(bool aWaited, time_point aNow);
 
   // Records that work of cost `aCost` left a non-empty queue for a slot. The
@@ -41,13 +41,13 @@
   // recent measurement.
   std::optional<double> PerSecond(time_point aNow) const;
 
-  // Like `PerSecond`, but counts one more item of cost `aCost` as already
-  // served. For slow queues, where the time since the last served item would
-  // otherwise look as if the queue were not served at all.
+  // Cost served per second, counting one more item of cost `aCost` as already
+  // served. For slow queues: `PerSecond` would suggest that a queue is not
+  // served at all while its next item is awaited.
   std::optional<double> PerSecondWithNext(double aCost, time_point aNow) const;
 
-  // The last measured rate regardless of its age, or nullopt if none was ever
-  // measured.
+  // The last measured service rate, in cost per second, regardless of its age;
+  // nullopt if no rate was ever measured.
   std::optional<double> LastPerSecond() const;
 
 private:
--- a/thornhollow/policy/shared_retry_budget.h
+++ b/thornhollow/policy/shared_retry_budget.h
@@ -13,9 +13,10 @@
 // of the requests plus a fixed number. Each instance applies the ratio to its
 // own requests and uses the fixed number divided by the number of instances
 // that it knows. The sum over all instances then keeps the limit as long as
-// none of them assumes fewer instances than there are. The caller therefore
-// sets the largest number seen recently, and an instance that has not yet
-// received a message from any peer assumes `mAssumedInstances`.
+// every instance assumes at least as many instances as there are. The caller
+// therefore sets the largest number of instances seen recently, and an instance
+// that has not yet received a message from any peer assumes
+// `mAssumedInstances`.
 #ifndef THORNHOLLOW_POLICY_SHARED_RETRY_BUDGET_H_
 #define THORNHOLLOW_POLICY_SHARED_RETRY_BUDGET_H_
 
@@ -31,15 +32,15 @@
 
 struct shared_retry_budget_settings
 {
-  // Retries per request of a pool within the window.
+  // Retries allowed for each request of a pool within the last `mWindow`.
   double mRatio = 0.2;
-  // Retries allowed within the window in addition to the ratio, over all
-  // instances.
+  // Retries of all instances together that are allowed within `mWindow` in
+  // addition to those allowed by `mRatio`.
   double mFixedRetries = 50;
   duration mWindow = Seconds(10);
-  // Fraction of the limit that is used. The rest allows for delays on the way
-  // to an endpoint: counted there, a request may fall into the next window
-  // while a retry still falls into this one.
+  // Fraction of the retry limit that instances use. The rest allows for delays
+  // on the way to an endpoint: as counted at the endpoint, a request may fall
+  // into the next window while a retry still falls into the current window.
   double mBoundFraction = 0.9;
   // Number of instances assumed until a message from a peer is received. In a
   // large fleet, a failure domain has 38 instances.
--- a/thornhollow/policy/standing_queue.h
+++ b/thornhollow/policy/standing_queue.h
@@ -7,10 +7,10 @@
 //
 // Load pattern: sustained overload of a class whose deadline is many times its
 // first-token target. The queue grows until its wait equals the deadline and
-// stays there: every request is late and none meets its target, although the
-// throughput is the same as with a short queue. A short burst, however, is
-// better queued than refused. New requests are therefore accepted with
-// predicted waits of up to their deadline as long as some request recently
+// stays that long: every request is late and misses its first-token target,
+// although the throughput is the same as with a short queue. A short burst,
+// however, is better queued than refused. New requests are therefore accepted
+// with predicted waits of up to their deadline as long as some request recently
 // started within the target wait, which is `mTargetFraction` of the first-token
 // target. Once all waits have exceeded the target wait for `mWindow`, the queue
 // is considered standing, and new requests are accepted only if their predicted
@@ -49,7 +49,7 @@
 
   // A request was given a slot after waiting for `aWait`.
   void OnStarted(duration aWait, time_point aNow);
-  // The queue became empty.
+  // The queue became empty and is therefore no longer standing.
   void OnEmpty() { mAboveSince.reset(); }
 
   bool IsStanding(time_point aNow) const;
--- a/thornhollow/policy/team_in_flight.h
+++ b/thornhollow/policy/team_in_flight.h
@@ -30,14 +30,15 @@
 class team_in_flight
 {
 public:
-  // Applies the declared limits. Requests in flight remain counted.
+  // Applies the declared limits on requests in flight per team. Requests
+  // already in flight remain counted.
   void Configure(const declarations& aDeclared);
 
   // Adds one request of the team. Returns false without adding it if the team's
   // requests of this tier and of higher tiers have reached the limit.
   bool TryAdd(const team_name& aTeam, int aTier);
 
-  // Removes one request of the team that has ended.
+  // Removes one request of the team, in tier `aTier`, that has ended.
   void Remove(const team_name& aTeam, int aTier);
 
   // Number of teams with a limit or with requests in flight, for memory
@@ -47,9 +48,9 @@
 private:
   struct entry
   {
-    // 0 means unlimited.
+    // Maximum number of requests in flight; 0 means unlimited.
     std::uint32_t mLimit = 0;
-    // Requests in flight by tier, highest first.
+    // Number of the team's requests in flight by tier, highest tier first.
     std::array<std::uint32_t, kLowestTier - kHighestTier + 1> mInFlight{};
 
     bool IsUnused() const;
--- a/thornhollow/policy/tier_pressure.h
+++ b/thornhollow/policy/tier_pressure.h
@@ -9,15 +9,15 @@
 // while another has only requests of low tiers. Each serves its own requests in
 // tier order, yet the second instance's requests take slots at the endpoints
 // for which the first instance's requests wait. So each instance publishes how
-// long its tiers wait; the others then start lower tiers only within their
-// classes' minimum shares until the report expires.
+// long its tiers wait. Until the report expires, all other instances start
+// lower tiers only within the minimum shares of their classes.
 //
 // Default values: a wait below 1 s does not restrict other instances, because
 // the endpoints' own queues already order work by tier for that long
 // (endpoint_queue_window.h), and a lower threshold improved no result of
 // `thornhollow-scenarios`. The reported wait is halved for every 500 ms of the
 // report's age, so that one lost message changes little and an instance that
-// disappeared restricts the others for a few seconds at most.
+// disappeared restricts other instances for a few seconds at most.
 #ifndef THORNHOLLOW_POLICY_TIER_PRESSURE_H_
 #define THORNHOLLOW_POLICY_TIER_PRESSURE_H_
 
@@ -41,14 +41,14 @@
   bool mEnabled = true;
   duration mMinWait = Seconds(1);
   duration mHalfLife = Milliseconds(500);
-  // A report expires after this time at the latest.
+  // Maximum age at which a load report from another instance still has effect.
   duration mMaxReportLifetime = Seconds(5);
 
   friend bool operator==(const tier_pressure_settings&,
                          const tier_pressure_settings&) = default;
 };
 
-// The latest reports from the other instances.
+// The latest load report of each pool from each of the other instances.
 class peer_pressure
 {
 public:
@@ -62,17 +62,18 @@
   // higher tier waits at another instance.
   bool IsRestricted(const pool_name& aPool, int aTier, time_point aNow) const;
 
-  // Until when `IsRestricted` may remain true for any tier of the pool; empty
-  // if there is no report for the pool.
+  // Time until which `IsRestricted` may remain true for any tier of the pool;
+  // nullopt if no other instance reported load for the pool.
   std::optional<time_point> RestrictedUntil(const pool_name& aPool) const;
 
-  // Removes expired reports.
+  // Removes load reports that no longer restrict any tier.
   void Expire(time_point aNow);
 
   std::size_t size() const;
 
 private:
-  // For each tier, the time until which its wait restricts lower tiers.
+  // For each tier, the time until which requests of lower tiers are limited to
+  // their minimum shares because requests of this tier wait too long.
   struct tier_restrictions
   {
     std::array<time_point, kTierCount> mUntil{};
@@ -80,8 +81,9 @@
   struct pool_reports
   {
     std::unordered_map<instance_name, tier_restrictions> mByInstance;
-    // For each tier, the maximum over all instances, stored so that the cost of
-    // a decision does not grow with the number of instances.
+    // For each tier, the latest end of its restriction over all instances,
+    // stored so that the cost of a decision does not grow with the number of
+    // instances.
     tier_restrictions mLatest;
   };
 
--- a/thornhollow/policy/tier_waits.h
+++ b/thornhollow/policy/tier_waits.h
@@ -31,11 +31,12 @@
   void OnRequest(std::uint32_t aTier, time_point aNow);
   void OnSent(std::uint32_t aTier);
   void OnResponseStarted(std::uint32_t aTier, duration aWait, time_point aNow);
-  // A sent request ended before its response began.
+  // To be called when a request that was sent ended before its response began.
   void OnAbandoned(std::uint32_t aTier);
 
   // Mean wait of responses that began recently, over `aTier` and all higher
-  // tiers; zero if there were none, or once no request of those tiers waits.
+  // tiers; zero if no response began recently or no request of these tiers
+  // waits.
   duration MeanWait(std::uint32_t aTier, time_point aNow) const;
   // Whether requests of a tier lower than `aTier` arrived recently.
   bool HasLowerDemand(std::uint32_t aTier, time_point aNow) const;
@@ -44,8 +45,9 @@
   struct tier
   {
     decaying_rate mRequests;
-    // Rates of the responses that began and of their summed waits in seconds.
+    // Responses of this tier that began, per second.
     decaying_rate mResponses;
+    // Waits of the responses counted in `mResponses`, in seconds per second.
     decaying_rate mWaits;
     std::uint32_t mWaiting = 0;
   };
--- a/thornhollow/policy/work.h
+++ b/thornhollow/policy/work.h
@@ -1,5 +1,5 @@
-// Value types that describe requests and endpoints to the scheduling modules.
-// They involve no I/O.
+// Value types, without I/O, that describe requests and endpoints to the
+// scheduling modules.
 //
 //   const work_item item{ .mTicket = 7, .mTier = 1, ... };
 //   for (const decision& next : scheduler.Submit(item, now)) { ... }
@@ -37,28 +37,30 @@
   // The caller's `max_tokens`; 0 if not given.
   std::uint32_t mMaxOutputTokens = 0;
   time_point mArrival{};
-  // When the complete response is due.
+  // Time by which the caller must have the complete response.
   time_point mDeadline{};
   bool mIdempotent = false;
 
   friend bool operator==(const work_item&, const work_item&) = default;
 };
 
-// Send the request to this endpoint now. A slot there is reserved for it.
+// Decision to send the request to `mEndpoint` now. A slot at this endpoint is
+// reserved for the request.
 struct start
 {
   ticket mTicket = 0;
   endpoint_name mEndpoint;
-  // The request is served from its class's minimum share. The endpoint must run
-  // it with the highest priority instead of its tier's; otherwise later
-  // requests of higher tiers would overtake it in the endpoint's queue.
+  // Whether the request is served from its class's minimum share. If so, the
+  // endpoint must run it with the highest priority instead of its tier's;
+  // otherwise later requests of higher tiers would overtake it in the
+  // endpoint's queue.
   bool mUsesMinimumShare = false;
 
   friend bool operator==(const start&, const start&) = default;
 };
 
-// Answer the request with an error now. The request may have had earlier
-// attempts at endpoints.
+// Decision to answer the request with an error now. The request may have had
+// earlier attempts at endpoints.
 struct refuse
 {
   ticket mTicket = 0;
@@ -70,8 +72,8 @@
   friend bool operator==(const refuse&, const refuse&) = default;
 };
 
-// Actions requested by the scheduler. A request for which no decision was
-// returned stays queued.
+// Action that the scheduler requests from its caller. A request for which no
+// decision was returned stays queued.
 using decision = std::variant<start, refuse>;
 using decisions = std::vector<decision>;
 
@@ -85,9 +87,10 @@
   kFailed,
   // The endpoint accepted the request and then stopped responding.
   kSilent,
-  // The endpoint reported that it did not run the request (busy).
+  // The endpoint reported that it did not run the request because it is busy.
   kDeclined,
-  // The endpoint reported that it is leaving and did not run the request.
+  // The endpoint reported that it is leaving, so that it takes no new work, and
+  // did not run the request.
   kDeclinedLeaving,
   // The router cancelled the attempt: the caller disconnected or the deadline
   // passed.
@@ -105,7 +108,7 @@
   // Duration of one engine step; zero if unknown.
   duration mStep{};
   bool mLeaving = false;
-  // When the values were measured, on this process's clock.
+  // When the endpoint measured this load, on this process's clock.
   time_point mMeasuredAt{};
 
   friend bool operator==(const load_report&, const load_report&) = default;
--- a/thornhollow/policy/workload_kind.h
+++ b/thornhollow/policy/workload_kind.h
@@ -8,9 +8,9 @@
 //   demand_by_kind sums = meter.Demand(now);
 //   AddDemand(sums, others);              // received from other instances
 //
-// All placement decisions for a whole pool follow from these sums, which
-// instances exchange, so that they reach the same decisions without asking each
-// other.
+// All placement decisions for a whole pool follow from the demand summed over
+// all instances. Instances exchange their demand and so reach the same
+// decisions without asking each other.
 #ifndef THORNHOLLOW_POLICY_WORKLOAD_KIND_H_
 #define THORNHOLLOW_POLICY_WORKLOAD_KIND_H_
 
@@ -25,12 +25,13 @@
 
 namespace thornhollow {
 
-// Requests with the same latency targets belong to one kind.
+// A workload kind: the latency targets that a group of requests has in common.
 struct workload_kind
 {
-  // Time to the first event or to the complete response.
+  // Target for the time to the first event or to the complete response.
   duration mTarget{};
-  // Maximum pause between two events; zero if none is promised.
+  // Maximum pause between two events of a response; zero if the route declares
+  // no maximum.
   duration mPause{};
 
   friend bool operator==(const workload_kind&, const workload_kind&) = default;
@@ -41,18 +42,18 @@
   }
 };
 
-// Demand of one workload kind.
+// Rates and number of the requests of one workload kind.
 struct kind_demand
 {
   workload_kind mKind;
-  // Requests per second.
+  // Requests of this workload kind received per second.
   double mRequests = 0;
-  // Prompt tokens to prefill for these requests, per second.
+  // Prompt tokens per second to prefill for requests of this workload kind.
   double mTokens = 0;
   // Sum of the squared prompt sizes per second, in tokens squared, so that long
   // prompts among short ones weigh more.
   double mSquaredTokensPerSecond = 0;
-  // Requests that are currently at engines.
+  // Number of requests of this workload kind currently at engines.
   double mOpen = 0;
 
   friend bool operator==(const kind_demand&, const kind_demand&) = default;
@@ -87,10 +88,10 @@
 class workload_meter
 {
 public:
-  // Maximum number of kinds, which is more than the routes of a pool usually
-  // declare. Further kinds are not counted, because the demand of every kind is
-  // sent to all other instances, and many different targets in a configuration
-  // would make these messages too large.
+  // Maximum number of workload kinds measured, which is more than the routes of
+  // a pool usually declare. Further kinds are not counted, because the demand
+  // of every kind is sent to all other instances, and many different targets in
+  // a configuration would make these messages too large.
   static constexpr std::size_t kMaxKinds = 6;
 
   // A caller sent a request of this kind for which `aTokens` prompt tokens
@@ -108,16 +109,16 @@
   {
     decaying_rate mRequests;
     decaying_rate mTokens;
-    // Prompt sizes, unlike the rates, do not change with the number of callers.
-    // They are averaged over a longer time than the rates, because a few very
-    // long prompts dominate them.
+    // Prompt sizes are averaged over a longer time than rates, because a few
+    // very long prompts dominate the average. Unlike rates, prompt sizes do not
+    // change with the number of callers.
     decaying_rate mSizes{ kSizeTimeConstantSeconds };
     decaying_rate mSquaredSizes{ kSizeTimeConstantSeconds };
     std::size_t mInFlight = 0;
   };
 
-  // Factor that corrects the rates shortly after the first request, since they
-  // start at zero and rise slowly.
+  // Factor that corrects the measured rates shortly after the first request,
+  // because decaying rates start at zero and rise slowly.
   double WarmUpFactor(time_point aNow) const;
   counts* FindOrAdd(const workload_kind& aKind, time_point aNow);
 
