--- a/thornhollow/policy/clock_gap.h
+++ b/thornhollow/policy/clock_gap.h
@@ -24,7 +24,8 @@
 
 struct clock_gap_settings
 {
-  // Maximum time between two ticks; a longer one counts as a pause.
+  // Maximum time between two ticks of the loop; a longer interval counts as a
+  // pause of this process.
   duration mMaxStep = Seconds(1);
 
   friend bool operator==(const clock_gap_settings&,
--- a/thornhollow/policy/concurrency_limit.h
+++ b/thornhollow/policy/concurrency_limit.h
@@ -49,14 +49,15 @@
 
 struct concurrency_limit_settings
 {
-  // If false, the limit stays at the declared slots.
+  // If false, the concurrency limit stays at the endpoint's declared slots.
   bool mAdaptive = true;
-  // A window mean above this multiple of the floor indicates queueing.
+  // A mean latency over a window of responses above this multiple of the floor
+  // (the lowest recent window mean) indicates queueing at the endpoint.
   double mTolerance = 2;
   // Added to the bound on the time to first token, to allow for the jitter of
   // the network and of one engine step.
   duration mFirstTokenSlack = Milliseconds(500);
-  // Lower bound of the factor by which one window changes the limit.
+  // Minimum factor by which one window of responses changes the limit.
   double mMinDecreaseFactor = 0.7;
   std::uint32_t mWindowResponses = 8;
   duration mFloorPeriod = Seconds(30);
@@ -75,7 +76,7 @@
   void Add(double aMean,
            time_point aNow,
            const concurrency_limit_settings& aSettings);
-  // Zero before the first `Add`.
+  // Lowest recent window mean, in seconds. Zero before the first `Add`.
   double Value() const;
 
 private:
@@ -103,7 +104,8 @@
   // `aInFlight` requests of this router.
   void OnDeclined(std::uint32_t aInFlight, time_point aNow);
 
-  // Maximum number of requests in flight, at least 1.
+  // Maximum number of requests in flight at the endpoint, over all routers; at
+  // least 1.
   std::uint32_t Limit() const;
 
 private:
--- a/thornhollow/policy/endpoint_choice.h
+++ b/thornhollow/policy/endpoint_choice.h
@@ -72,7 +72,8 @@
   // This router's requests in flight at the endpoint as a fraction of the
   // endpoint's concurrency limit.
   double mUtilization = 0;
-  // Seconds. Only used when `mTimePerToken` is zero.
+  // Mean time to first token at the endpoint, in seconds. Only used when
+  // `mTimePerToken` is zero.
   double mTimeToFirstToken = 0;
   // Seconds per output token; zero if answers have no tokens.
   double mTimePerToken = 0;
--- a/thornhollow/policy/endpoint_health.h
+++ b/thornhollow/policy/endpoint_health.h
@@ -58,13 +58,13 @@
 
 struct endpoint_health_settings
 {
-  // False: every endpoint always has its full capacity.
+  // If false, every endpoint always has its full capacity.
   bool mEnabled = true;
   std::uint32_t mEjectAfterFailures = 3;
   // The endpoint counts as failing if at least this fraction of the recent
   // attempts failed.
   double mMaxFailureRate = 0.5;
-  // Attempts needed before the failure rate is considered.
+  // Minimum number of attempts before the failure rate is considered.
   std::uint32_t mMinAttempts = 8;
   duration mSilenceTimeout = Seconds(3);
   double mSilenceLatencyFactor = 4;
@@ -108,7 +108,8 @@
   // A load report taken at `aTaken` shows requests queued at the endpoint, so
   // no first token is expected before one of its slots is free.
   void OnQueueReported(time_point aTaken);
-  // `aRatio` is the endpoint's time per token as a multiple of its pool's.
+  // Records the endpoint's time per token as a multiple of its pool's
+  // (`aRatio`). `aMayEject` tells whether the pool can spare the endpoint.
   void OnRelativeTimePerToken(double aRatio, bool aMayEject, time_point aNow);
   // Detects an unresponsive endpoint. Call it before reading the state.
   void Update(time_point aNow);
@@ -148,7 +149,8 @@
   std::uint32_t mAttempts = 0;
   double mAverageTimeToFirstToken = 0;
   time_point mLastActivity{};
-  // When the first request since the last activity was sent.
+  // When the first request since anything was last received from the endpoint
+  // was sent.
   std::optional<time_point> mUnansweredSince;
   duration mProbeDelay;
   time_point mProbeAt{};
--- a/thornhollow/policy/endpoint_load.h
+++ b/thornhollow/policy/endpoint_load.h
@@ -50,14 +50,14 @@
 
 struct endpoint_load_settings
 {
-  // False: load reports are ignored and only this router's requests count.
+  // If false, load reports are ignored and only this router's requests count.
   bool mUseReports = true;
-  // Time constant: a change in the others' requests takes effect by about two
-  // thirds in this time.
+  // Time constant of the smoothed estimate of other routers' requests: after
+  // this time, the estimate reflects about two thirds of a change.
   duration mSmoothingTime = Seconds(2);
-  // Up to this age a report counts in full.
+  // Maximum age at which a load report counts in full.
   duration mFullWeightAge = Seconds(1);
-  // From this age on a report is ignored.
+  // Age from which on a load report is ignored.
   duration mZeroWeightAge = Seconds(8);
 
   friend bool operator==(const endpoint_load_settings&,
@@ -71,10 +71,10 @@
 
   void OnSent(time_point aNow);
   void OnEnded(time_point aNow);
-  // Reports older than the latest one are ignored.
+  // Records a load report of the endpoint, unless a later one was recorded.
   void OnReport(const load_report& aReport, time_point aNow);
-  // Drops the estimate of the others' requests, for example after this process
-  // was paused.
+  // Drops the estimate of other routers' requests, for example after this
+  // process was paused.
   void DiscardReport();
 
   // This router's requests in flight at the endpoint.
--- a/thornhollow/policy/endpoint_states.h
+++ b/thornhollow/policy/endpoint_states.h
@@ -51,7 +51,8 @@
 
   // Drops expired reports. Returns the endpoints whose state changes.
   endpoint_state_changes Advance(time_point aNow);
-  // When the next report expires; empty if there are none.
+  // When the next report of a leaving endpoint expires; empty if there are no
+  // reports.
   std::optional<time_point> NextDue() const;
 
 private:
--- a/thornhollow/policy/endpoint_table.h
+++ b/thornhollow/policy/endpoint_table.h
@@ -137,9 +137,10 @@
                 endpoint_state aState,
                 time_point aNow);
 
-  // This process was paused (clock_gap.h). Until something new is received from
-  // an endpoint it gets at most one more request. Older reports are ignored,
-  // and answers that span the pause don't count in the measurements.
+  // To be called after this process was paused (clock_gap.h). Until something
+  // new is received from an endpoint, the endpoint gets at most one more
+  // request. Older reports are ignored, and answers that span the pause don't
+  // count in the measurements.
   void OnClockGap(time_point aNow);
 
   // Re-evaluates state that changes with time alone.
