--- a/thornhollow/policy/endpoint_health.h
+++ b/thornhollow/policy/endpoint_health.h
@@ -149,8 +149,9 @@
   std::uint32_t mAttempts = 0;
   double mAverageTimeToFirstToken = 0;
   time_point mLastActivity{};
-  // When the first request since anything was last received from the endpoint
-  // was sent.
+  // Start of the endpoint's current silence: when the first request that awaits
+  // an answer was sent, or a later queue report or pause. Empty if no answer is
+  // awaited.
   std::optional<time_point> mUnansweredSince;
   duration mProbeDelay;
   time_point mProbeAt{};
--- a/thornhollow/policy/endpoint_subset.h
+++ b/thornhollow/policy/endpoint_subset.h
@@ -37,8 +37,8 @@
 struct endpoint_subset_settings
 {
   std::size_t mMaxPerPool = 16;
-  // For a large pool in the own domain: the mean number of endpoints per
-  // router, and the minimum for each router.
+  // For a large pool in the own domain: mean number of endpoints in a router's
+  // subset (`mMeanPerPool`), and the minimum number in each subset.
   std::size_t mMeanPerPool = 12;
   std::size_t mMinPerPool = 8;
 
--- a/thornhollow/policy/endpoint_table.h
+++ b/thornhollow/policy/endpoint_table.h
@@ -44,10 +44,10 @@
   prefix_affinity_settings mPrefix;
   length_estimate_settings mLength;
   endpoint_subset_settings mSubset;
-  // False: long requests may take every slot.
+  // If false, long requests may take every slot.
   bool mLimitLongWork = true;
-  // Long requests are limited only if the pool received a short one within this
-  // time, because slots that are reserved without need are wasted.
+  // Long requests are limited only if the pool received a short request within
+  // this time, because slots that are reserved without need are wasted.
   duration mShortWorkWindow = Seconds(10);
   // Maximum number of endpoints scanned one after the other if the random
   // sample contains no eligible one. At least the size of a pool's subset
@@ -86,8 +86,8 @@
   void SetRouters(const instance_name& aOwn,
                   const std::vector<instance_name>& aRouters);
 
-  // Replaces the declared endpoints. State measured for those that remain is
-  // kept.
+  // Replaces the declared endpoints. State measured for endpoints that remain
+  // declared is kept.
   void Configure(const declarations& aDeclared,
                  const domain_name& aOwnDomain,
                  time_point aNow);
@@ -174,7 +174,8 @@
 
   struct membership
   {
-    // Points into `mPools`; nodes of an unordered_map have stable addresses.
+    // Index of the pool. Points into `mPools`; nodes of an unordered_map have
+    // stable addresses.
     internal::pool_index* mPool = nullptr;
     std::uint32_t mMember = 0;
   };
@@ -198,7 +199,7 @@
     internal::pool_index mIndex;
     std::optional<time_point> mLastShortWork;
   };
-  // The state of one decision.
+  // Intermediate state while an endpoint is chosen for one request.
   struct search
   {
     const work_item& mItem;
@@ -249,11 +250,13 @@
   prefix_affinity mAffinity;
   length_estimate mLengths;
   std::unordered_map<endpoint_name, endpoint_number> mNumbers;
-  // Indexed by endpoint number. Numbers of removed endpoints are reused.
+  // Entries of the endpoints, indexed by endpoint number. Numbers of removed
+  // endpoints are reused.
   std::vector<std::optional<entry>> mEntries;
   std::vector<endpoint_number> mFreeNumbers;
   std::unordered_map<pool_name, pool_state> mPools;
-  // States other than live, including those of endpoints outside the subset.
+  // States of endpoints that are not live, including endpoints outside this
+  // instance's subset.
   std::unordered_map<endpoint_name, endpoint_state> mNonLiveStates;
   std::priority_queue<recheck, std::vector<recheck>, std::greater<>> mRechecks;
 };
--- a/thornhollow/policy/engine_partition.h
+++ b/thornhollow/policy/engine_partition.h
@@ -55,20 +55,23 @@
 
 struct engine_partition_settings
 {
-  // If false, all engines take all work.
+  // If false, all engines take both bulk and interactive work.
   bool mSeparate = true;
-  // Minimum fraction of all prefill work that the separated kinds make up. A
+  // Minimum fraction of all prefill work that the separated workload kinds make
+  // up. A
   // smaller fraction comes from few prompts, which don't delay the streams
   // much.
   double mMinBulkFraction = 0.25;
-  // Kinds are separated if this many of their prompts in a row take longer to
+  // Workload kinds are separated if this many of their prompts in a row take
+  // longer to
   // prefill than the streams on the same engines may pause. On an engine that
   // prefills half of the time, so many prompts follow each other at least once
   // during most streams. A separated kind is merged again only when even
   // `mConsecutivePromptsToMerge` prompts take less time than that pause.
   double mConsecutivePrompts = 6;
   double mConsecutivePromptsToMerge = 12;
-  // Minimum time between two moves: longer than a stream lasts, shorter than a
+  // Minimum time between two moves of engines between the bulk and the
+  // interactive side: longer than a stream lasts, shorter than a
   // wave of arrivals.
   duration mMinMoveInterval = Milliseconds(700);
   // A set of separated workload kinds is replaced only after the criteria have
@@ -80,7 +83,8 @@
   // one of nine by default. When only one of ninety engines moved at a time, a
   // burst of eight seconds had ended before enough engines had moved.
   double mStepFraction = 0.11;
-  // Utilizations at which both sides count as equally loaded.
+  // Target utilizations of the bulk and the interactive side, at which both
+  // sides count as equally loaded.
   double mBulkUtilization = 0.5;
   double mInteractiveUtilization = 0.25;
   // Weight of the slots that interactive work uses beyond the target fraction.
@@ -92,7 +96,8 @@
   // most this multiple of its target. After each move, the engines that changed
   // sides run work of both sides until their earlier streams have ended.
   double mMoveThreshold = 1;
-  // The partition moves only if that reduces the load by at least this factor.
+  // The partition moves only if the move reduces the load of the more loaded
+  // side by at least this factor.
   double mMinImprovement = 1.15;
   // Minimum number of engines on each side, as a fraction of all and as a
   // count. With fewer, the loss of one engine removes half of a side's capacity
@@ -113,10 +118,10 @@
   std::size_t mEngines = 0;
   // Mean prefill rate of one engine, in tokens per second.
   double mPrefillTokensPerSecond = 0;
-  // Requests that one engine runs at a time; 0 if unknown.
+  // Maximum number of requests that one engine runs at a time; 0 if unknown.
   std::size_t mSlotsPerEngine = 0;
-  // Engines whose prefill is so slow that streams beside any prompt are late.
-  // They are used for bulk work.
+  // Number of engines whose prefill is so slow that streams beside any prompt
+  // are late. These engines are used for bulk work.
   std::size_t mSlowEngines = 0;
 
   friend bool operator==(const pool_capacity&, const pool_capacity&) = default;
@@ -131,7 +136,8 @@
                const pool_capacity& aCapacity,
                time_point aNow);
 
-  // Number of engines for bulk work; all of them if nothing is separated.
+  // Number of engines for bulk work; all engines if no workload kind is
+  // separated.
   std::size_t BulkEngines() const { return mBulkEngines; }
   bool IsPartitioned() const
   {
@@ -141,7 +147,7 @@
   bool IsBulk(const workload_kind& aKind) const;
 
 private:
-  // Arriving work, by the side that it goes to.
+  // Arriving work of the bulk and of the interactive side.
   struct side_demands
   {
     demand_by_kind mBulk;
@@ -174,12 +180,14 @@
   std::size_t mEngines = 0;
   std::size_t mBulkEngines = 0;
   std::vector<workload_kind> mBulkKinds;
-  // Stored in addition to the count, so that rounding does not shift the
-  // partition as engines join one by one.
+  // Fraction of the engines used for bulk work. Stored in addition to their
+  // number, so that rounding does not shift the partition as engines join one
+  // by one.
   double mBulkFraction = 1;
   std::optional<time_point> mLastMove;
   std::optional<time_point> mFirstDemandAt;
-  // Since when the kinds to separate differ from the current ones.
+  // Since when the workload kinds selected for separation differ from the kinds
+  // that are separated now.
   std::optional<time_point> mKindsDifferSince;
 };
 
--- a/thornhollow/policy/engine_sides.h
+++ b/thornhollow/policy/engine_sides.h
@@ -34,17 +34,19 @@
 
 struct engine_sides_settings
 {
-  // How long bulk work skips an engine that was interactive. Nine in ten
+  // How long bulk work skips an engine that moved from the interactive to the
+  // bulk side, so that its interactive streams can end. Nine in ten
   // interactive streams end within 3 s (58 events of 5 tokens on average, 22 ms
   // each).
   duration mDrainTime = Seconds(3);
-  // Time between two exchanges of engines between the sides. It equals the
-  // drain time, so that no more than `mExchangeFraction` of the engines (at
-  // least one) drain at a time.
+  // Minimum time between two exchanges of engines between the bulk and the
+  // interactive side. Equals the drain time, so that no more than
+  // `mExchangeFraction` of the engines (at least one) drain at a time.
   duration mExchangeInterval = Seconds(3);
   double mExchangeFraction = 0.11;
-  // How long the previous side of an engine is remembered. Prompts that the
-  // engine cached before the change are likely to be reused for about as long.
+  // How long the previous side (bulk or interactive) of an engine is remembered
+  // after it changed sides. Prompts that the engine cached before the change
+  // are likely to be reused for about as long.
   duration mPreviousSideRetention = Seconds(30);
 
   friend bool operator==(const engine_sides_settings&,
@@ -54,12 +56,14 @@
 // An engine that accepts new work.
 struct side_candidate
 {
-  // Unique within the pool for as long as the engine is part of it.
+  // Identifier of the engine. Unique within the pool for as long as the engine
+  // is part of it.
   std::uint32_t mId = 0;
-  // Slow engines are assigned to the bulk side first.
+  // Whether the engine's prefill is slow. Slow engines are assigned to the bulk
+  // side first.
   bool mSlow = false;
-  // Orders engines that are equal otherwise. Must be the same on every
-  // instance.
+  // Order among engines that are equally suited for a side. Must be the same on
+  // every instance.
   std::uint64_t mRank = 0;
 
   friend bool operator==(const side_candidate&,
@@ -77,18 +81,20 @@
 public:
   explicit engine_sides(const engine_sides_settings& aSettings);
 
-  // Assigns `aBulk` of `aEngines` to the bulk side. `aIdle`: no work arrives
-  // for the pool, so that all engines may change sides at once.
+  // Assigns `aBulk` of `aEngines` to the bulk side, and the remaining engines
+  // to the interactive side. `aIdle`: no work arrives for the pool, so that all
+  // engines may change sides at once.
   void Observe(std::vector<side_candidate> aEngines,
                std::size_t aBulk,
                bool aIdle,
                time_point aNow);
 
-  // Empty for an engine that was not part of the last observation.
+  // Returns the current side of the engine; empty for an engine that was not
+  // passed to the last call of `Observe`.
   std::optional<engine_side> SideOf(std::uint32_t aId) const;
 
-  // The side before the last change if that change is more recent than
-  // `mPreviousSideRetention`; otherwise the current side. Empty for an unknown
+  // The side of the engine before it last changed sides if it did so within
+  // `mPreviousSideRetention`, else its current side. Empty for an unknown
   // engine.
   std::optional<engine_side> PreviousSide(std::uint32_t aId,
                                           time_point aNow) const;
--- a/thornhollow/policy/fair_queue.h
+++ b/thornhollow/policy/fair_queue.h
@@ -34,7 +34,8 @@
 class fair_queue
 {
 public:
-  // Position in the queue. Valid until its request is dequeued or erased.
+  // Position of a request in the queue. Valid until the request is dequeued or
+  // erased.
   struct position
   {
     double mStartTag = 0;
@@ -48,8 +49,8 @@
     // NOLINTEND(modernize-use-nullptr)
   };
 
-  // If `aByTeam` is false, all requests are attributed to a single team, which
-  // results in order of arrival.
+  // If `aByTeam` is false, all requests are attributed to a single team, so
+  // that they are served in order of arrival.
   explicit fair_queue(bool aByTeam = true)
     : mByTeam(aByTeam)
   {
@@ -69,7 +70,7 @@
   // Position of the first request. The queue must not be empty.
   position FrontPosition() const { return mWaiting.begin()->first; }
 
-  // The request at this position; null if there is none.
+  // The queued request at `aPosition`; null if there is none.
   const waiting_request* Find(const position& aPosition) const;
 
   // Removes a request that was started and advances the virtual time.
@@ -80,8 +81,8 @@
   // no request at this position.
   bool Erase(const position& aPosition);
 
-  // Removes the last request in queue order as `Erase` does. The queue must not
-  // be empty.
+  // Removes the last request in queue order, in the way of `Erase`. The queue
+  // must not be empty.
   void EraseBack();
 
   // Adds `aCostDelta`, the actual minus the expected cost of a dequeued
@@ -100,7 +101,7 @@
   double TotalCost() const { return mTotalCost; }
   std::size_t size() const { return mWaiting.size(); }
   bool empty() const { return mWaiting.empty(); }
-  // Number of teams whose state is kept, for memory measurements.
+  // Number of teams whose state is kept in memory; used to measure memory use.
   std::size_t TrackedTeams() const { return mTeams.size(); }
 
 private:
@@ -114,7 +115,7 @@
   struct team_state
   {
     double mFinishTag = 0;
-    // Contribution to `mActiveWeight`.
+    // What the team contributes to `mActiveWeight`.
     double mWeight = 0;
     std::uint32_t mWaiting = 0;
   };
--- a/thornhollow/policy/internal/endpoint_record.h
+++ b/thornhollow/policy/internal/endpoint_record.h
@@ -21,9 +21,9 @@
   // Maximum number of routers that share an endpoint; see `Capacity`.
   std::uint32_t mMaxRouters = 8;
   // How long an endpoint's own report that it is leaving takes precedence over
-  // a list that shows it as live.
+  // the platform's list that shows the endpoint as live.
   duration mLeavingReportLifetime = Seconds(30);
-  // Fraction of an endpoint's slots that long requests may take.
+  // Maximum fraction of an endpoint's slots that long requests may take.
   double mMaxLongFraction = 0.75;
 
   friend bool operator==(const endpoint_record_settings&,
@@ -35,9 +35,9 @@
 {
 public:
   void Add(double aValue, time_point aNow);
-  // Returns the average. Its difference from `aPoolMedian` is halved for every
-  // `aHalfLife` since the last value was added. Returns `aPoolMedian` if no
-  // values were added.
+  // Returns the moving average of the added values. Its difference from
+  // `aPoolMedian` is halved for every `aHalfLife` since the last value was
+  // added. Returns `aPoolMedian` if no values were added.
   double Value(double aPoolMedian, duration aHalfLife, time_point aNow) const;
 
 private:
@@ -83,9 +83,10 @@
 
   bool AcceptsNewWork(time_point aNow) const;
   // When the endpoint's own report that it is leaving expires; empty without
-  // one.
+  // such a report.
   std::optional<time_point> LeavingReportExpiry(time_point aNow) const;
-  // Number of this router's requests that may be in flight at the endpoint now.
+  // Maximum number of this router's requests that may be in flight at the
+  // endpoint now.
   std::uint32_t Capacity(time_point aNow) const;
   bool HasFreeSlot(time_point aNow) const;
   // Whether one more long request may be sent to the endpoint.
@@ -122,8 +123,8 @@
     ticket mTicket = 0;
     bool mLong = false;
     // Whether the endpoint was estimated to have a free slot when the attempt
-    // was sent. Otherwise the attempt was meant to wait in the endpoint's
-    // queue, so its wait doesn't indicate that the concurrency limit is too
+    // was sent. If not, the attempt was meant to wait in the endpoint's queue,
+    // so its wait doesn't indicate that the concurrency limit is too
     // high.
     bool mWithinLimit = true;
     duration mTimeToFirstToken{};
@@ -137,8 +138,9 @@
   bool mIsDeclared = true;
   endpoint_state mState = endpoint_state::kLive;
   std::optional<time_point> mLeavingReportedAt;
-  // Number of requests in flight when this process was last paused; cleared
-  // when something new is received from the endpoint.
+  // Number of this router's requests in flight at the endpoint when this
+  // process was last paused; cleared when something new is received from the
+  // endpoint.
   std::optional<std::uint32_t> mUnconfirmed;
   std::optional<time_point> mLastClockGap;
   std::vector<attempt> mAttempts;
--- a/thornhollow/policy/internal/pool_index.h
+++ b/thornhollow/policy/internal/pool_index.h
@@ -14,12 +14,12 @@
 // The part of an endpoint's state that the index of its pool uses.
 struct member_state
 {
-  // Accepts new work, even if only probes.
+  // Whether the endpoint accepts new work, even if only probes.
   bool mLive = false;
-  // Accepts more than probes.
+  // Whether the endpoint accepts more work than probes.
   bool mServing = false;
   bool mHasFreeSlot = false;
-  // Slots that this router may use at the endpoint, taken or free.
+  // Number of slots that this router may use at the endpoint, taken or free.
   std::uint32_t mSlots = 0;
   // Fraction of the endpoint's capacity, 0 to 1, that may not be used at
   // present because of the endpoint's health (endpoint_health.h).
@@ -35,7 +35,7 @@
 {
 public:
   void Add(double aValue);
-  // Zero if no values were added.
+  // Current estimate of the median; zero if no values were added.
   double Value() const { return mValue; }
 
 private:
@@ -45,7 +45,8 @@
 class pool_index
 {
 public:
-  // Failure domains by preference.
+  // Whether an endpoint is in this router's own failure domain, which is
+  // preferred, or in another one.
   enum domain_rank : std::uint8_t
   {
     kOwnDomain,
@@ -53,11 +54,11 @@
   };
   static constexpr std::size_t kRanks = 2;
 
-  // Removes the members, but keeps the pool's latency medians.
+  // Removes all member endpoints, but keeps the pool's latency medians.
   void Clear();
   // Adds an endpoint and returns its member number in this pool.
   std::uint32_t Add(std::uint32_t aEndpoint, domain_rank aRank);
-  // Constant time.
+  // Replaces the state of the member number `aMember`. Takes constant time.
   void Update(std::uint32_t aMember, const member_state& aState);
 
   // Endpoint numbers of the members with a free slot, in unspecified order.
@@ -69,7 +70,7 @@
   {
     return mMembers[aMember].mRank;
   }
-  // Number of members, with or without a free slot.
+  // Number of member endpoints of the pool, with or without a free slot.
   std::size_t size() const { return mMembers.size(); }
   std::uint32_t EndpointOf(std::uint32_t aMember) const
   {
@@ -91,14 +92,15 @@
   {
     std::uint32_t mEndpoint = 0;
     domain_rank mRank = kOwnDomain;
-    // Position in the list of its rank, valid while the member has a free slot.
+    // Position of the member in the list of endpoints with a free slot of its
+    // domain rank; valid only while the member has a free slot.
     std::uint32_t mPosition = 0;
     member_state mState;
   };
   struct list
   {
     std::vector<std::uint32_t> mEndpoints;
-    // Member numbers, parallel to `mEndpoints`.
+    // Member numbers of the endpoints in `mEndpoints`, in the same order.
     std::vector<std::uint32_t> mMembers;
   };
 
--- a/thornhollow/policy/length_estimate.h
+++ b/thornhollow/policy/length_estimate.h
@@ -45,7 +45,8 @@
   static constexpr std::size_t kBuckets = 72;
 
   void Add(std::uint32_t aTokens);
-  // The token count at quantile `aQuantile` (0 to 1), zero without samples.
+  // Token count of a response at quantile `aQuantile` (0 to 1); zero without
+  // samples.
   double Quantile(double aQuantile) const;
   double Mean() const;
   std::uint32_t Count() const { return mCount; }
@@ -61,10 +62,12 @@
   // expected workload, 740,000 tokens per second over 3,100 requests per
   // second.
   double mDefaultLength = 239;
-  // Responses of a class before its own histogram is used.
+  // Minimum number of responses of a class before the class's own histogram is
+  // used.
   std::uint32_t mMinSamples = 16;
-  // A class is long if its upper quartile is at least this multiple of the
-  // pool's median.
+  // The requests of a class count as long if the upper quartile of the class's
+  // response lengths is at least this multiple of the
+  // pool's median length.
   double mLongFactor = 4;
   std::size_t mMaxPairs = 1024;
 
--- a/thornhollow/policy/minimum_share.h
+++ b/thornhollow/policy/minimum_share.h
@@ -77,7 +77,7 @@
   double Share() const { return mShare; }
 
 private:
-  // In multiples of the cost of a request.
+  // Maximum debt of a class, in multiples of the cost of a request.
   static constexpr double kMaxDebtRequests = 16;
 
   double mShare;
--- a/thornhollow/policy/pool_pressure.h
+++ b/thornhollow/policy/pool_pressure.h
@@ -17,13 +17,13 @@
   pool_name mPool;
   // The highest tier whose requests wait too long at the reporting instance;
   // `kLowestTier` if there is none.
-  // That instance limits lower tiers to their minimum shares, and the other
-  // instances should do the same.
+  // The reporting instance limits tiers below this one to their minimum shares,
+  // and the other instances should do so too.
   int mLowestAdmitted = kLowestTier;
-  // How long the next request of that tier has waited; zero if none waits too
-  // long.
+  // How long the next request of tier `mLowestAdmitted` has waited at the
+  // reporting instance; zero if no request waits too long.
   duration mHigherWait{};
-  // Time since the measurement.
+  // Time since the reporting instance measured these values.
   duration mAge{};
 
   friend bool operator==(const pool_pressure&, const pool_pressure&) = default;
--- a/thornhollow/policy/pool_queue.h
+++ b/thornhollow/policy/pool_queue.h
@@ -58,7 +58,7 @@
 // The request that gets the next slot.
 struct next_request
 {
-  // Null if there is none.
+  // The request that gets the next slot; null if there is none.
   const work_item* mItem = nullptr;
   // The request precedes higher tiers because its class has received less than
   // its minimum share.
@@ -121,9 +121,9 @@
   queue_handle Requeue(const waiting_request& aRequest, time_point aNow);
 
   // Returns the request that gets the next slot, without removing it. Returns
-  // none if nothing waits or if all waiting requests are held back because a
-  // higher tier waits too long at another instance (`aPeers`). Ignores the
-  // classes in `aSkippedClasses`.
+  // no request if nothing waits or if all waiting requests are held back
+  // because a higher tier waits too long at another instance (`aPeers`).
+  // Ignores the classes in `aSkippedClasses`.
   next_request Next(const peer_pressure& aPeers,
                     const pool_name& aPool,
                     std::span<const class_name> aSkippedClasses,
@@ -200,8 +200,8 @@
   // shared capacity, and within a tier the one that uses most of it. Null if no
   // class uses shared capacity.
   classes::value_type* ShedCandidate();
-  // Ensures capacity for the request. Returns the refusal of the request that
-  // is shed for it, or of the request itself.
+  // Ensures queue capacity for the request. Returns the refusal of the request
+  // that is shed for it, or of the request itself.
   std::optional<refuse> MakeRoom(const waiting_request& aRequest,
                                  const class_key& aKey,
                                  std::mt19937_64& aRandom,
@@ -217,8 +217,8 @@
   classes mClasses;
   std::size_t mCount = 0;
   service_rate mRate;
-  // Whether the last call of `Next` found only requests that are held back
-  // because a higher tier waits at another instance.
+  // Whether the last call of `Next` found only waiting requests that are held
+  // back because a higher tier waits at another instance.
   bool mHeldBack = false;
   time_point mLastObserved{};
 };
--- a/thornhollow/policy/prefill_rate.h
+++ b/thornhollow/policy/prefill_rate.h
@@ -30,8 +30,8 @@
 class prefill_rate
 {
 public:
-  // Bounds for plausible rates; samples and rates reported by other instances
-  // are clamped to them.
+  // Minimum and maximum plausible rate, in tokens per second; samples and rates
+  // reported by other instances are clamped to them.
   static constexpr double kMin = 2'000;
   static constexpr double kMax = 2'000'000;
 
@@ -57,11 +57,13 @@
   }
 
   double PerSecond() const { return mPerSecond; }
-  // Whether the estimate has enough samples to be reported to other instances.
+  // Whether the estimated rate has enough samples to be reported to other
+  // instances.
   bool Known() const { return mSamples >= kMinSamples; }
 
 private:
-  // Minimum tokens prefilled for a sample. The wait for fewer depends more on
+  // Minimum number of prefilled tokens for a response to count as a sample. The
+  // wait for fewer tokens depends more on
   // the network than on the engine.
   static constexpr double kMinTokens = 1'000;
   static constexpr double kMaxStep = 0.25;
--- a/thornhollow/policy/prefill_time_per_token.h
+++ b/thornhollow/policy/prefill_time_per_token.h
@@ -29,14 +29,15 @@
 class prefill_time_per_token
 {
 public:
-  // Minimum tokens prefilled for a sample. The wait for fewer depends more on
+  // Minimum number of prefilled tokens for a request to count as a sample. The
+  // wait for fewer tokens depends more on
   // the network than on the engine.
   static constexpr double kMinTokens = 3'500;
   // Time to the first event excluding the prefill: the network round trip, the
   // engine's start of the request, and one step.
   static constexpr double kOverheadSeconds = 0.018;
-  // Relative growth of the minimum per second, so that an engine that became
-  // permanently slower is noticed.
+  // Relative growth per second of the minimum time per token, so that an engine
+  // that became permanently slower is noticed.
   static constexpr double kGrowthPerSecond = 0.003;
 
   // A request that needed `aTokens` tokens of prefill had its first event after
--- a/thornhollow/policy/prefix_affinity.h
+++ b/thornhollow/policy/prefix_affinity.h
@@ -36,7 +36,7 @@
 
 struct prefix_affinity_settings
 {
-  // False: nothing is recorded.
+  // If false, no prefix is recorded.
   bool mEnabled = true;
   // Capacity in prefixes, rounded up to whole sets.
   std::size_t mMaxPrefixes = 4096;
--- a/thornhollow/policy/prefix_reuse_estimator.h
+++ b/thornhollow/policy/prefix_reuse_estimator.h
@@ -45,8 +45,8 @@
   }
 
 private:
-  // Averages over a few dozen requests, since sessions start and end within
-  // tens of seconds.
+  // Minimum weight of a new request in the average, which spans a few dozen
+  // requests, since sessions start and end within tens of seconds.
   static constexpr double kMinStep = 0.03;
 
   std::size_t mSamples = 0;
