--- a/thornhollow/policy/concurrency_limit.cc
+++ b/thornhollow/policy/concurrency_limit.cc
@@ -6,12 +6,12 @@
 namespace thornhollow {
 namespace {
 
-// The limit decreases only if the maximum load in the window reached this
-// fraction of the limit. High latency at a lower load is not caused by
-// queueing.
+// The concurrency limit decreases only if the maximum load during the window of
+// responses reached this fraction of the limit. High latency at a lower load is
+// not caused by queueing.
 constexpr double kBusyFraction = 0.5;
-// The limit increases only if the maximum load in the window reached this
-// fraction of the limit.
+// The concurrency limit increases only if the maximum load during the window of
+// responses reached this fraction of the limit.
 constexpr double kNearLimitFraction = 0.8;
 
 } // namespace
--- a/thornhollow/policy/domain_reachability.cc
+++ b/thornhollow/policy/domain_reachability.cc
@@ -104,9 +104,9 @@
   return aDomain.mSuspectedAt && aNow - *aDomain.mSuspectedAt < maxDuration;
 }
 
-// Returns when the second of the other domains became suspected, which means
-// that this instance's own domain is probably cut off. Empty if fewer than two
-// are suspected.
+// Returns when a second domain other than this instance's own became suspected,
+// which means that this instance's own domain is probably cut off. Empty if
+// fewer than two other domains are suspected.
 std::optional<time_point>
 domain_reachability::CutOffAt(time_point aNow) const
 {
--- a/thornhollow/policy/endpoint_choice.cc
+++ b/thornhollow/policy/endpoint_choice.cc
@@ -4,7 +4,7 @@
 namespace {
 
 // Time to first token in seconds that is assumed before any latency was
-// measured. It must be positive; otherwise load would add nothing to the cost.
+// measured. Must be positive, because load would add nothing to a cost of zero.
 constexpr double kDefaultTimeToFirstToken = 0.1;
 
 } // namespace
--- a/thornhollow/policy/endpoint_health.cc
+++ b/thornhollow/policy/endpoint_health.cc
@@ -26,8 +26,8 @@
     mUnansweredSince = aNow;
   }
   if (mCapacityFraction == 0) {
-    // This request is a probe. Unless it is answered, the delay before the next
-    // probe is twice as long.
+    // A request sent while no capacity may be used is a probe. The delay before
+    // the next probe is twice as long unless this one is answered.
     mProbeDelay = std::min(2 * mProbeDelay, mSettings.mMaxProbeDelay);
     mProbeAt = aNow + mProbeDelay;
   }
--- a/thornhollow/policy/endpoint_table.cc
+++ b/thornhollow/policy/endpoint_table.cc
@@ -18,8 +18,9 @@
 // weight of its load report decreases with age.
 constexpr duration kRecheckInterval = Milliseconds(250);
 
-// If more endpoint states than this are stored, those of undeclared endpoints
-// are dropped. Far above the 850 endpoints of the largest deployment.
+// Maximum number of stored endpoint states. If there are more, the states of
+// undeclared endpoints are dropped. Far above the 850 endpoints of the largest
+// deployment.
 constexpr std::size_t kMaxRetainedStates = 4096;
 
 constexpr std::array<pool_index::domain_rank, 2> kRanks{
@@ -159,9 +160,10 @@
     if (!each || each->mRecord.IsDeclared()) {
       continue;
     }
-    // An endpoint with requests in flight is kept until they end, so that they
-    // are counted. An endpoint that reported that it is leaving is kept until
-    // the report expires; otherwise it would get work when declared again.
+    // An endpoint with requests in flight is kept until these requests end, so
+    // that they are counted. An endpoint that reported that it is leaving is
+    // kept until the report expires, because it would else get work when
+    // declared again.
     if (each->mRecord.InFlight() == 0 &&
         !each->mRecord.LeavingReportExpiry(aNow)) {
       mNumbers.erase(each->mRecord.Declared().mName);
@@ -261,7 +263,7 @@
 }
 
 // Scans at most `mMaxScan` endpoints with a free slot, starting from a random
-// one, until it finds an eligible endpoint.
+// one, until an eligible endpoint is found.
 void
 endpoint_table::Scan(pool_index::domain_rank aRank, search& aSearch)
 {
@@ -336,8 +338,8 @@
   const endpoint_record& record = mEntries[aNumber]->mRecord;
   const pool_index& pool = aSearch.mPool.mIndex;
   if (record.Health().CapacityFraction() == 0) {
-    // A probe that is due takes precedence: without it an endpoint can't
-    // recover.
+    // An endpoint whose probe is due is preferred to all others, because it
+    // can't recover without a probe.
     return 0;
   }
   const duration halfLife = mSettings.mChoice.mLatencyHalfLife;
--- a/thornhollow/policy/engine_partition.cc
+++ b/thornhollow/policy/engine_partition.cc
@@ -12,26 +12,27 @@
 // further request slows down all others, and the remaining slots are needed for
 // requests that arrive at about the same time.
 constexpr double kTargetSlotUse = 0.6;
-// Fraction of engines for bulk work when kinds are first separated. By then too
-// little demand has been observed to compute the fraction. It is above one
+// Fraction of engines for bulk work when workload kinds are first separated,
+// when too little demand has been observed to compute the fraction. Above one
 // half, because long prompts need more engines.
 constexpr double kInitialBulkFraction = 0.62;
-// Workload kinds with a lower request rate are ignored.
+// Minimum request rate of a workload kind; kinds with a lower rate are ignored.
 constexpr double kMinRequestsPerSecond = 0.05;
 
 // Load targets of one side of the partition (bulk or interactive). `SideLoad`
 // returns the load relative to these targets.
 struct side_targets
 {
-  // Fraction of their time that the engines of the side spend on prefill.
+  // Target fraction of their time that the engines of the side spend on
+  // prefill.
   double mUtilization = 0;
   // Weight of slots in use beyond `kTargetSlotUse`, relative to those below it.
   double mExcessSlotWeight = 1;
 };
 
-// Returns the load of `aEngines` engines that serve these kinds. A load of 1
-// means that the engines' prefill utilization or the number of their slots in
-// use reaches its target.
+// Returns the load of `aEngines` engines that serve the given workload kinds. A
+// load of 1 means that the engines' prefill utilization or the number of their
+// slots in use reaches its target.
 double
 SideLoad(std::span<const kind_demand> aKinds,
          std::size_t aEngines,
@@ -107,10 +108,10 @@
   }
 }
 
-// Returns the kinds with the longest prompts that together make up at least
-// `mMinBulkFraction` of all prefill work, if a few of their prompts in a row
-// take longer to prefill than the streams of another kind may pause. Returns
-// none otherwise.
+// Returns the workload kinds with the longest prompts that together make up at
+// least `mMinBulkFraction` of all prefill work, if a few of their prompts in a
+// row take longer to prefill than the streams of another kind may pause. If
+// they don't, returns no kinds.
 std::vector<workload_kind>
 engine_partition::KindsToSeparate(demand_by_kind aArriving,
                                   const pool_capacity& aCapacity) const
@@ -203,9 +204,10 @@
   RecordMove(aNow);
 }
 
-// Returns how long a different set of kinds must qualify before it replaces the
-// current one. The delay is shorter soon after the first arrivals: these are a
-// poor sample, and few streams have yet started on engines of the wrong side.
+// Returns how long a different set of workload kinds must qualify for
+// separation before it replaces the current set. The delay is shorter soon
+// after the first arrivals, because the first arrivals are a poor sample, and
+// few streams have yet started on engines of the wrong side.
 duration
 engine_partition::KindChangeDelay(time_point aNow) const
 {
--- a/thornhollow/policy/engine_sides.cc
+++ b/thornhollow/policy/engine_sides.cc
@@ -66,9 +66,9 @@
          aNow - *found->second.mChangedAt < mSettings.mDrainTime;
 }
 
-// Removes engines that have left. New engines, which have no streams, are
-// assigned directly: to the bulk side if they are among the first `aBulk` of
-// `aOrder`, otherwise to the interactive side.
+// Removes engines that have left the pool. New engines, which have no streams,
+// are assigned directly: to the bulk side if they are among the first `aBulk`
+// of `aOrder`, otherwise to the interactive side.
 void
 engine_sides::SyncEngines(const std::vector<side_candidate>& aOrder,
                           std::size_t aBulk)
@@ -85,7 +85,8 @@
   mAssignments = std::move(kept);
 }
 
-// Changes the sides of engines until `aBulk` are bulk engines. Engines are
+// Moves engines between the bulk and the interactive side until `aBulk` engines
+// are on the bulk side. Engines are
 // moved to the bulk side starting at the front of `aOrder`, and to the
 // interactive side starting at its end.
 void
--- a/thornhollow/policy/fair_queue.cc
+++ b/thornhollow/policy/fair_queue.cc
@@ -150,7 +150,8 @@
   }
   // Until the virtual time reaches the new request's start tag, every team with
   // waiting requests is served in proportion to its weight. In addition each of
-  // them may have one request that starts before the tag and ends after it.
+  // these teams may have one request that starts before that start tag and ends
+  // after it.
   const double mean = mTotalCost / static_cast<double>(mWaiting.size());
   const double ahead = (StartTag(aTeam) - mVirtualTime) * mActiveWeight +
                        mean * static_cast<double>(mActiveTeams);
--- a/thornhollow/policy/length_estimate.h
+++ b/thornhollow/policy/length_estimate.h
@@ -66,8 +66,7 @@
   // used.
   std::uint32_t mMinSamples = 16;
   // The requests of a class count as long if the upper quartile of the class's
-  // response lengths is at least this multiple of the
-  // pool's median length.
+  // response lengths is at least this multiple of the pool's median length.
   double mLongFactor = 4;
   std::size_t mMaxPairs = 1024;
 
--- a/thornhollow/policy/scenario/deployment.h
+++ b/thornhollow/policy/scenario/deployment.h
@@ -22,15 +22,17 @@
 {
   class_name mClass;
   pool_name mPool;
-  // Fraction of its pool's capacity that the class demands at a load of 1.
+  // Fraction of its pool's capacity that the class demands when the total
+  // demand equals the capacity (a load of 1).
   double mShareOfPool = 0;
   double mMedianPrompt = 0;
   double mMedianOutput = 0;
-  // Standard deviation of the natural logarithm of both lengths.
+  // Standard deviation of the natural logarithm of the prompt length and of the
+  // output length.
   double mLengthLogStdDev = 0.4;
   std::uint32_t mMaxOutput = 0;
-  // Number of distinct prompt prefixes. The n-th is used 1/n as often as the
-  // first.
+  // Number of distinct prompt prefixes of the class. The n-th prefix is used
+  // 1/n as often as the first.
   std::uint32_t mPrefixCount = 1;
 };
 
--- a/thornhollow/policy/scenario/engine_model.h
+++ b/thornhollow/policy/scenario/engine_model.h
@@ -30,17 +30,17 @@
   std::uint32_t mSlots = 8;
   // Step time of an empty batch. Real engines need about 4 ms or more per step.
   duration mBaseStep = Milliseconds(4);
-  // Added to the step time for each running job: a full batch of eight doubles
-  // the step time.
+  // Time added to an engine step for each running job: a full batch of eight
+  // doubles the step time.
   duration mStepPerRunning = std::chrono::microseconds(500);
-  // Added to the step time for each job in prefill: its chunk of
+  // Time added to an engine step for each job in prefill: the job's chunk of
   // `mPrefillChunk` prompt tokens is computed in the same step as the tokens of
   // the other jobs.
   duration mStepPerPrefill = Milliseconds(2);
   std::uint32_t mPrefillChunk = 256;
   // Fraction of a prompt's prefill that a cached prefix saves.
   double mPrefixSavedFraction = 0.8;
-  // Number of prefixes that fit in the engine's cache.
+  // Maximum number of prefixes in the engine's cache.
   std::size_t mCachedPrefixes = 8;
 };
 
@@ -77,7 +77,7 @@
                callbacks aCallbacks);
 
   void Add(const engine_job& aJob);
-  // Stops a job and returns the work done for it so far.
+  // Stops a job and returns the work that the engine has done for the job.
   engine_work Cancel(ticket aTicket);
 
   // Ends all jobs with the callback `mLost`. No jobs may be added until
@@ -86,7 +86,7 @@
   void Restart() { mUp = true; }
   bool IsUp() const { return mUp; }
 
-  // Makes each step take `aFactor` times as long.
+  // Makes each engine step take `aFactor` times as long as without a slowdown.
   void SetSlowdown(double aFactor);
 
   load_report Report() const;
--- a/thornhollow/policy/scenario/event_loop.h
+++ b/thornhollow/policy/scenario/event_loop.h
@@ -43,8 +43,8 @@
     bool operator()(const event& aLeft, const event& aRight) const;
   };
 
-  // Doesn't start at the clock's epoch, because the policies may use a zero
-  // time point for "never".
+  // Current simulated time. Doesn't start at the clock's epoch, because the
+  // policies may use a zero time point for "never".
   time_point mNow{ Seconds(1000) };
   std::uint64_t mOrder = 0;
   std::priority_queue<event, std::vector<event>, later> mEvents;
--- a/thornhollow/policy/scenario/simulation.h
+++ b/thornhollow/policy/scenario/simulation.h
@@ -66,24 +66,25 @@
   std::string mName;
   std::string mDescription;
   duration mLength = Seconds(60);
-  // Demand as a fraction of the engines' capacity.
+  // Total demand as a fraction of the engines' capacity.
   double mLoad = 0.7;
   std::vector<surge> mSurges;
   std::vector<injected_fault> mFaults;
-  // The first team's fraction of each class's requests. The rest is divided
-  // evenly between the other teams.
+  // The first team's fraction of each class's requests. The remaining
+  // requests are divided evenly between the other teams.
   double mFirstTeamShare = 0.1;
   // Probability that a caller retries after a retryable error, and the maximum
   // number of its retries.
   double mRetryProbability = 0.5;
   int mMaxRetries = 3;
-  // Age of a load report when it arrives. If negative, none arrive.
+  // Age of an engine's load report when it arrives at an instance. If negative,
+  // no load reports arrive.
   duration mReportLag = Milliseconds(500);
   // Fraction of the requests that use their class's first prefix regardless of
   // the 1/n frequencies.
   double mHotPrefixShare = 0;
   // Index of the instance that receives all requests of the highest tier and no
-  // others. If negative, requests go to random instances.
+  // requests of other tiers. If negative, requests go to random instances.
   int mHighTierInstance = -1;
   // Start of the recovery period, when the disturbance is over. Zero if the
   // scenario has no recovery to measure.
@@ -97,27 +98,29 @@
   class_name mClass;
   int mTier = kLowestTier;
   std::uint32_t mRequests = 0;
-  // Requests completed with the time to first token and the mean time between
-  // tokens within the targets of their class's service level.
+  // Number of requests completed with the time to first token and the mean time
+  // between tokens within the targets of their class's service level.
   std::uint32_t mAttained = 0;
   std::uint32_t mCompleted = 0;
-  // The class's contribution to `outcome::mTokensPerSecond`.
+  // The class's contribution to the goodput, `outcome::mTokensPerSecond`.
   double mTokensPerSecond = 0;
   std::vector<double> mFirstTokenSeconds;
 
   double Attainment() const;
   double Completion() const;
   // Time to first token in seconds at `aQuantile` (0 to 1) of the completed
-  // requests, 0 if there are none.
+  // requests; 0 if no request was completed.
   double FirstTokenQuantile(double aQuantile) const;
 };
 
 struct outcome
 {
   std::vector<class_outcome> mClasses;
-  // Attainment of all teams except the first, over all classes.
+  // Attainment (see `mAttained`) of all teams except the first, over all
+  // classes.
   double mOtherTeamsAttainment = 0;
-  // Goodput: complete responses received within their deadline.
+  // Goodput: tokens per second in complete responses received within their
+  // deadline.
   double mTokensPerSecond = 0;
   double mRequestsPerSecond = 0;
   // Fraction of the computed tokens that did not contribute to a complete
