--- a/thornhollow/policy/domain_reachability.cc
+++ b/thornhollow/policy/domain_reachability.cc
@@ -27,8 +27,8 @@
 domain_reachability::OnUnreachable(const domain_name& aDomain, time_point aNow)
 {
   domain_state* its = FindOrAdd(aDomain);
-  // Attempts that were in flight when the suspicion started also fail; they
-  // don't start another suspicion.
+  // Attempts that were in flight when the domain became suspected also fail,
+  // but such a failure doesn't start another suspicion.
   if (its == nullptr || IsSuspicionActive(*its, aNow)) {
     return false;
   }
--- a/thornhollow/policy/endpoint_choice_test.cc
+++ b/thornhollow/policy/endpoint_choice_test.cc
@@ -16,9 +16,9 @@
   endpoint_cost_inputs mIdle{ 0, 0.05, 0.005, 0, false, false };
 };
 
-// Hundreds of requests per second share one long prefix. If they always went to
-// the endpoint that has it cached, they would queue there while all other
-// endpoints are idle.
+// Hundreds of requests per second share one long prefix. If these requests
+// always went to the endpoint that has the prefix cached, they would queue
+// there while all other endpoints are idle.
 TEST_CASE_FIXTURE(ordinary_request,
                   "endpoint_choice/prefix_holder/preferred_until_loaded")
 {
--- a/thornhollow/policy/endpoint_health_test.cc
+++ b/thornhollow/policy/endpoint_health_test.cc
@@ -95,7 +95,7 @@
 
 // A network device between router and endpoint drops the state of one
 // connection. The request on this connection is never answered, while other
-// requests to the same endpoint are.
+// requests to the same endpoint are answered.
 TEST_CASE_FIXTURE(one_endpoint,
                   "endpoint_health/one_dead_connection/stays_in_service")
 {
--- a/thornhollow/policy/endpoint_load_test.cc
+++ b/thornhollow/policy/endpoint_load_test.cc
@@ -25,8 +25,8 @@
 
 // Two routers share an endpoint whose report arrives late. The report counts
 // one request of this router, which has sent two more since the report was
-// taken. Without correction the router would either not count those two or
-// count the first one twice.
+// taken. Without correction the router would either not count the two later
+// requests or count the first one twice.
 TEST_CASE_FIXTURE(shared_endpoint,
                   "endpoint_load/late_report/own_requests_counted_once")
 {
--- a/thornhollow/policy/endpoint_table_allocations_test.cc
+++ b/thornhollow/policy/endpoint_table_allocations_test.cc
@@ -1,5 +1,6 @@
-// Counts the allocations of one decision. Replaces operator new of the whole
-// test program by one that counts while `gCounting` is set.
+// Counts the allocations made while an endpoint is chosen for one request.
+// Replaces operator new of the whole test program by one that counts while
+// `gCounting` is set.
 
 #include <cstddef>
 #include <cstdint>
@@ -20,7 +21,7 @@
 // allocations.
 std::size_t gBytes = 0;
 
-// Returns null if out of memory.
+// Allocates and counts memory. Returns null if out of memory.
 void*
 Allocate(std::size_t aSize) noexcept
 {
@@ -74,7 +75,8 @@
 namespace thornhollow {
 namespace {
 
-// Longer than the small-string buffer, so that each copy of a name allocates.
+// Prefix of the endpoint names. Longer than the small-string buffer, so that
+// each copy of a name allocates.
 constexpr const char* kNamePrefix = "an-endpoint-with-a-rather-long-name-";
 // Maximum mean number of allocations per decision. A decision returns the
 // endpoint's name, which is one allocation if the name is long. Nothing else
--- a/thornhollow/policy/endpoint_table_benchmark.cc
+++ b/thornhollow/policy/endpoint_table_benchmark.cc
@@ -20,7 +20,8 @@
 struct benchmark_table
 {
   // If `aAllEndpoints`, the table uses every endpoint, which shows how the time
-  // grows with their number. Otherwise it uses a subset of the default size.
+  // grows with their number. If not, the table uses a subset of the default
+  // size.
   benchmark_table(std::int64_t aEndpoints, bool aAllEndpoints)
     : mTable(Settings(aAllEndpoints), 1)
   {
--- a/thornhollow/policy/endpoint_table_test.cc
+++ b/thornhollow/policy/endpoint_table_test.cc
@@ -44,7 +44,8 @@
     return item;
   }
 
-  // Chooses an endpoint and sends; returns nothing if no slot is free.
+  // Chooses an endpoint for `aItem` and records the request as sent to it.
+  // Returns nothing if no slot is free.
   std::optional<endpoint_name> Send(const work_item& aItem)
   {
     auto chosen = mTable.Choose(aItem, {}, mNow);
@@ -91,7 +92,7 @@
 
 // Eight routers get the same load reports, which show one endpoint as idle and
 // nine as half full. If each router chose the endpoint with the least reported
-// load, the next eight requests would all go to the idle one.
+// load, the next eight requests would all go to the idle endpoint.
 TEST_CASE_FIXTURE(table_fixture,
                   "endpoint_table/one_reported_idle/eight_routers_spread")
 {
@@ -144,7 +145,7 @@
 
 // Eight routers share an endpoint, and seven of them keep it full. Without a
 // guaranteed fair share of the slots, a router that starts later would never
-// get one, as the others refill each free slot at once.
+// get one, as the other routers refill each free slot at once.
 TEST_CASE_FIXTURE(table_fixture,
                   "endpoint_table/others_hold_every_place/even_part_still_goes")
 {
--- a/thornhollow/policy/engine_partition_test.cc
+++ b/thornhollow/policy/engine_partition_test.cc
@@ -18,7 +18,7 @@
   return { aKind, aTokens / aSize, aTokens, aTokens * aSize, 0 };
 }
 
-// Demand in prompt tokens per second: long prompts, and short ones whose
+// Demand in prompt tokens per second: long prompts, and short prompts whose
 // streams allow only short pauses.
 demand_by_kind
 Demand(double aPlans, double aNotes)
@@ -96,7 +96,7 @@
 }
 
 // Urgency must not cause a separation: here the long prompts are urgent, but
-// streams of the short ones may pause for a second, so no stream is at risk.
+// streams of the short prompts may pause for a second, so no stream is at risk.
 TEST_CASE_FIXTURE(
   partition_of_nine_engines,
   "engine_partition/streams_may_pause_long/nothing_is_kept_apart")
@@ -109,7 +109,7 @@
 }
 
 // If only work with a long target for the first event counted as bulk, nothing
-// would be separated if all routes have a target of 600 ms. When this was so,
+// would be separated if all routes have a target of 600 ms. With that rule,
 // long prompts were prefilled on the engines of all short streams, and 1,500 of
 // 2,660 short streams paused for too long.
 TEST_CASE_FIXTURE(partition_of_nine_engines,
@@ -124,9 +124,9 @@
   CHECK_FALSE(mPartition.IsBulk(help));
 }
 
-// The first arrivals may be mostly medium prompts, which are then separated. If
-// this choice were kept for the full three seconds, long prompts that arrive
-// meanwhile would be prefilled on the engines of the short streams.
+// The first arrivals may be mostly medium prompts, so that medium prompts are
+// separated. If this choice were kept for the full three seconds, long prompts
+// that arrive meanwhile would be prefilled on the engines of the short streams.
 TEST_CASE_FIXTURE(partition_of_nine_engines,
                   "engine_partition/first_moment_misleads/is_taken_back_soon")
 {
--- a/thornhollow/policy/engine_sides_test.cc
+++ b/thornhollow/policy/engine_sides_test.cc
@@ -79,8 +79,9 @@
   CHECK(Clearing().empty());
 }
 
-// Three engines are found slow within two seconds. If all are exchanged at
-// once, three fifths of the sessions lose the engine that caches their prompts.
+// Three engines are found slow within two seconds. If all three are exchanged
+// at once, three fifths of the sessions lose the engine that caches their
+// prompts.
 TEST_CASE_FIXTURE(condition, "engine_sides/several_are_slow/one_at_a_time")
 {
   for (const std::uint32_t slow : { 6U, 7U, 8U }) {
--- a/thornhollow/policy/internal/endpoint_record.cc
+++ b/thornhollow/policy/internal/endpoint_record.cc
@@ -7,8 +7,8 @@
 namespace {
 
 constexpr double kSmoothingFactor = 0.2;
-// Minimum tokens of an answer for a sample of the time per token. With fewer,
-// the sample is unreliable.
+// Minimum number of tokens of an answer from which the time per token is
+// measured. Shorter answers give unreliable samples.
 constexpr std::uint32_t kMinTokens = 8;
 
 } // namespace
@@ -193,14 +193,14 @@
 }
 
 // The concurrency limit applies to all routers together, so the estimated
-// requests of the others are subtracted.
+// number of requests of the other routers is subtracted.
 //
-// A router that starts after the others have filled the endpoint must still get
-// slots, although the others replace each finished request at once. So each
-// router may always use its fair share of the limit (the limit divided by
-// `mMaxRouters`). The endpoint then has slightly more requests than the limit.
-// The other routers see this in the next load report and send less until each
-// router has its fair share.
+// A router that starts after the other routers have filled the endpoint must
+// still get slots, although the other routers replace each finished request at
+// once. So each router may always use its fair share of the limit (the limit
+// divided by `mMaxRouters`). The endpoint then has slightly more requests than
+// the limit. The other routers see this in the next load report and send less
+// until each router has its fair share.
 std::uint32_t
 endpoint_record::Capacity(time_point aNow) const
 {
--- a/thornhollow/policy/internal/pool_index.cc
+++ b/thornhollow/policy/internal/pool_index.cc
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr double kMedianStep = 0.02;
-// Fraction of a pool's live endpoints that may be ejected as outliers.
+// Maximum fraction of a pool's live endpoints that may be ejected as outliers.
 constexpr double kMaxLostFraction = 1.0 / 3;
 
 } // namespace
@@ -74,7 +74,7 @@
   }
   const double maxLost = std::max(1.0, mLive * kMaxLostFraction);
   const double others = mLostFraction - mMembers[aMember].mState.mLostFraction;
-  // Allows for rounding errors in sums of fractions.
+  // The tolerance of 1e-6 allows for rounding errors in sums of fractions.
   return others + 1 <= maxLost + 1e-6;
 }
 
@@ -93,7 +93,7 @@
 {
   const member& erased = mMembers[aMember];
   list& from = mLists[erased.mRank];
-  // The last entry moves to the position of the erased one.
+  // The last entry of the list moves to the position of the erased entry.
   const std::uint32_t position = erased.mPosition;
   from.mEndpoints[position] = from.mEndpoints.back();
   from.mMembers[position] = from.mMembers.back();
--- a/thornhollow/policy/pool_queue.cc
+++ b/thornhollow/policy/pool_queue.cc
@@ -8,11 +8,11 @@
 namespace thornhollow {
 namespace {
 
-// Stands for a wait without a limit; longer than any deadline.
+// Stands for an unlimited wait of a request; longer than any deadline.
 constexpr duration kUnboundedWait = std::chrono::hours(1);
-// Minimum delay until a class held back is due. Prevents a busy loop: because
-// of rounding, the class could otherwise be due immediately again and again
-// without becoming eligible.
+// Minimum delay until a class that is held back is re-evaluated. Prevents a
+// busy loop in which, because of rounding, the class is due immediately again
+// and again without becoming eligible.
 constexpr duration kMinWakeDelay = Milliseconds(1);
 
 duration
@@ -72,8 +72,8 @@
 pool_queue::class_key
 pool_queue::KeyOf(const work_item& aItem) const
 {
-  // Without tier order, all classes have the same tier. If fair queueing and
-  // minimum shares are also off, this results in order of arrival.
+  // Without tier order, all classes are given the same tier. If fair queueing
+  // and minimum shares are also off, requests are served in order of arrival.
   return { mSettings.mTierOrder ? aItem.mTier : kHighestTier, aItem.mClass };
 }
 
@@ -351,8 +351,8 @@
 }
 
 // Returns the measured service rate of a class, or the class's minimum share of
-// the pool's service rate if that is higher. Returns the pool's rate if the
-// class's was not measured.
+// the pool's service rate, whichever is higher. Returns the pool's rate if no
+// rate was measured for the class.
 std::optional<double>
 pool_queue::RateFor(const class_queue& aClass, time_point aNow) const
 {
--- a/thornhollow/policy/pool_queue_test.cc
+++ b/thornhollow/policy/pool_queue_test.cc
@@ -130,8 +130,8 @@
     Push(tier);
     mNow += Milliseconds(10);
   }
-  // The low tier gets a quarter of the 400 requests, less the few that were
-  // served while the credit for its first request accrued.
+  // The low tier gets a quarter of the 400 requests, less the few requests that
+  // were served while the credit for its first request accrued.
   CHECK(served[4] >= 98);
   CHECK(served[4] <= 100);
 }
@@ -192,7 +192,7 @@
 
 // Another instance reports waiting requests of the high tier. This instance has
 // only requests of the low tier. Until the report has expired, it must start no
-// more of them than the minimum share of their class.
+// more of its requests than the minimum share of their class.
 TEST_CASE_FIXTURE(two_tiers, "pool_queue/peer_waits/low_tier_gets_its_share")
 {
   for (int i = 0; i < 8; ++i) {
@@ -214,8 +214,8 @@
     }
   }
   // In 16 s the pool could serve 160 requests, at 10 per second. The class may
-  // start a quarter of these, less what it was served beyond its minimum share
-  // before the reports.
+  // start a quarter of these requests, less what it was served beyond its
+  // minimum share before the reports.
   CHECK(started >= 32);
   CHECK(started <= 40);
   mNow += Seconds(2);
--- a/thornhollow/policy/scenario/baselines.cc
+++ b/thornhollow/policy/scenario/baselines.cc
@@ -23,7 +23,7 @@
     }
   }
   for (auto& [name, pool] : mPools) {
-    // Instances start their rotation at different endpoints.
+    // Instances start their rotation over the pool at different endpoints.
     pool.mNext = mSeed % pool.mEndpoints.size();
   }
   return {};
--- a/thornhollow/policy/scenario/catalog.cc
+++ b/thornhollow/policy/scenario/catalog.cc
@@ -6,7 +6,7 @@
 namespace thornhollow::scenario {
 namespace {
 
-// Returns the first declared class of this tier.
+// Returns the name of the first declared class of the given tier.
 class_name
 ClassOfTier(const deployment& aDeployment, int aTier)
 {
--- a/thornhollow/policy/scenario/engine_model.cc
+++ b/thornhollow/policy/scenario/engine_model.cc
@@ -8,7 +8,7 @@
 namespace thornhollow::scenario {
 namespace {
 
-// Fractions of a step below this value are treated as rounding errors.
+// Fractions of an engine step below this value are treated as rounding errors.
 constexpr double kStepEpsilon = 1e-6;
 
 } // namespace
--- a/thornhollow/policy/scenario/simulation.cc
+++ b/thornhollow/policy/scenario/simulation.cc
@@ -119,8 +119,8 @@
   std::size_t PickInstance(std::size_t aClass);
   void SubmitRequest(std::size_t aRequest);
 
-  // Runs `aCall` on the policy of an instance. If the instance's process is
-  // paused, this happens when it resumes.
+  // Runs `aCall` on the policy of an instance, or, if the instance's process is
+  // paused, when the process resumes.
   template<class call>
   void OnInstance(std::size_t aInstance, call aCall);
   void Apply(std::size_t aInstance, const decisions& aDecisions);
@@ -285,8 +285,8 @@
   }
 }
 
-// Ends the streams between the partitioned domain and the others after the
-// connect timeout, when both ends have detected that nothing is received.
+// Ends the streams between the partitioned domain and the other domains after
+// the connect timeout, when both ends have detected that nothing is received.
 void
 simulation::BreakPartitionedStreams()
 {
@@ -348,9 +348,9 @@
   return total;
 }
 
-// Arrivals are generated as a Poisson process of the maximum rate. Each is
-// accepted with a probability of the rate at its time divided by the maximum
-// rate, so that surges need no events of their own.
+// Arrivals are generated as a Poisson process of the maximum rate. Each
+// generated arrival is accepted with a probability of the rate at its time
+// divided by the maximum rate, so that surges need no events of their own.
 void
 simulation::ScheduleArrival(std::size_t aTraffic)
 {
@@ -388,7 +388,7 @@
 {
   std::uint32_t which = 0;
   if (!std::bernoulli_distribution(mScenario.mHotPrefixShare)(mRandom)) {
-    // The n-th prefix is used 1/n as often as the first.
+    // The n-th prefix is used 1/n as often as the first prefix.
     std::vector<double> weights;
     for (std::uint32_t rank = 1; rank <= aTraffic.mPrefixCount; ++rank) {
       weights.push_back(1.0 / rank);
