--- a/thornhollow/policy/concurrency_limit.h
+++ b/thornhollow/policy/concurrency_limit.h
@@ -67,9 +67,10 @@
                          const concurrency_limit_settings&) = default;
 };
 
-// The lowest window mean of the current and the previous floor period
-// (`mFloorPeriod`), in seconds. From one period to the next it grows at most by
-// the factor `mFloorGrowth`.
+// Latency floor of an endpoint: the lowest mean latency, in seconds, of a
+// window of responses in the current and the previous floor period
+// (`mFloorPeriod`). From one period to the next the floor grows at most by the
+// factor `mFloorGrowth`.
 class latency_floor
 {
 public:
--- a/thornhollow/policy/endpoint_table.cc
+++ b/thornhollow/policy/endpoint_table.cc
@@ -162,8 +162,8 @@
     }
     // An endpoint with requests in flight is kept until these requests end, so
     // that they are counted. An endpoint that reported that it is leaving is
-    // kept until the report expires, so that it gets no work if declared again
-    // before.
+    // kept until the report expires, so that it gets no work if it is declared
+    // again in the meantime.
     if (each->mRecord.InFlight() == 0 &&
         !each->mRecord.LeavingReportExpiry(aNow)) {
       mNumbers.erase(each->mRecord.Declared().mName);
--- a/thornhollow/policy/endpoint_table.h
+++ b/thornhollow/policy/endpoint_table.h
@@ -5,15 +5,15 @@
 //   table.Configure(declared, ownDomain, now);
 //   if (const auto chosen = table.Choose(item, tried, now)) { ... }
 //
-// It combines these modules, each of which documents the load pattern that it
-// handles: concurrency_limit.h, endpoint_load.h, endpoint_health.h,
+// The table combines these modules, each of which documents the load pattern
+// that it handles: concurrency_limit.h, endpoint_load.h, endpoint_health.h,
 // endpoint_choice.h, prefix_affinity.h, length_estimate.h, endpoint_subset.h.
 //
 // The cost of a decision doesn't grow with the number of endpoints: each pool
-// keeps a list of those with a free slot, and a decision considers a few random
-// ones from it. State that changes with time alone (a load report that loses
-// weight, a probe that falls due) is re-evaluated by `Advance`, which should be
-// called at `NextDue`.
+// keeps a list of its endpoints with a free slot, and a decision considers a
+// few random endpoints from the list. State that changes with time alone (a
+// load report that loses weight, a probe that falls due) is re-evaluated by
+// `Advance`, which should be called at `NextDue`.
 #ifndef THORNHOLLOW_POLICY_ENDPOINT_TABLE_H_
 #define THORNHOLLOW_POLICY_ENDPOINT_TABLE_H_
 
--- a/thornhollow/policy/engine_partition.h
+++ b/thornhollow/policy/engine_partition.h
@@ -1,5 +1,5 @@
-// Decides which workload kinds of a pool are separated from the others, and how
-// many engines each side of the partition gets.
+// Decides which workload kinds of a pool are separated from the other kinds,
+// and how many engines each side of the partition (bulk or interactive) gets.
 //
 //   engine_partition partition(engine_partition_settings{});
 //   partition.Observe(demand,
--- a/thornhollow/policy/internal/endpoint_record.cc
+++ b/thornhollow/policy/internal/endpoint_record.cc
@@ -160,7 +160,7 @@
   ClearUnconfirmed();
   if (mState == endpoint_state::kGone && aState == endpoint_state::kLive) {
     // A new process has started under the same endpoint name, so the report
-    // that the old one is leaving no longer applies.
+    // that the old process is leaving no longer applies.
     mLeavingReportedAt.reset();
   }
   mState = aState;
--- a/thornhollow/policy/minimum_share.h
+++ b/thornhollow/policy/minimum_share.h
@@ -40,7 +40,8 @@
   {
   }
 
-  // The pool served work of cost `aServed`, or had the capacity to. `aNextCost`
+  // Records that the pool served work of cost `aServed`, or had the capacity to
+  // serve it. `aNextCost`
   // is the cost of the class's next request; 0 if none waits.
   void Accrue(double aServed, double aNextCost)
   {
@@ -53,7 +54,8 @@
     return mShare > 0 && aNextCost > 0 && mCredit >= aNextCost;
   }
 
-  // A request of the class, of cost `aCost`, was served for any reason.
+  // Records that a request of the class, of cost `aCost`, was served, whether
+  // by its share or in tier order.
   void Spend(double aCost)
   {
     mCredit = std::max(mCredit - aCost, -kMaxDebtRequests * aCost);
--- a/thornhollow/policy/popular_prefix_blocks.h
+++ b/thornhollow/policy/popular_prefix_blocks.h
@@ -70,10 +70,12 @@
   }
 
 private:
-  // Engines evict blocks that have not been used for tens of seconds.
+  // Time constant in which request counts decay: engines evict blocks that have
+  // not been used for tens of seconds.
   static constexpr double kTimeConstantSeconds = 20;
-  // Prompts are distributed unevenly: at an average of three per engine, one
-  // engine in twenty has received none.
+  // Minimum average number of requests per engine for a block to count as
+  // cached on all engines. Prompts are distributed unevenly: at an average of
+  // three per engine, one engine in twenty has received none.
   static constexpr double kMinRequestsPerEngine = 3;
 
   std::map<std::uint64_t, decaying_rate> mBlocks;
--- a/thornhollow/policy/prefill_rate.h
+++ b/thornhollow/policy/prefill_rate.h
@@ -41,7 +41,8 @@
   {
   }
 
-  // A response started after `aWait`, in which its engine prefilled `aTokens`.
+  // Records that a response started after `aWait`, in which its engine
+  // prefilled `aTokens` prompt tokens.
   void OnPrefill(double aTokens, duration aWait)
   {
     const double seconds =
--- a/thornhollow/policy/prefix_affinity.h
+++ b/thornhollow/policy/prefix_affinity.h
@@ -1,5 +1,5 @@
-// Records which endpoints are likely to have a prompt's prefix cached: those to
-// which this router recently sent a prompt with the same prefix.
+// Records which endpoints are likely to have a prompt's prefix cached: the
+// endpoints to which this router recently sent a prompt with the same prefix.
 //
 //   affinity.Record(item.mPrefix, endpoint, now);
 //   for (const std::uint32_t each : affinity.Lookup(item.mPrefix, now)) {...}
@@ -38,7 +38,7 @@
 {
   // If false, no prefix is recorded.
   bool mEnabled = true;
-  // Capacity in prefixes, rounded up to whole sets.
+  // Maximum number of prefixes, rounded up to whole sets of the table.
   std::size_t mMaxPrefixes = 4096;
   duration mTimeToLive = Seconds(120);
 
@@ -52,7 +52,8 @@
   static constexpr std::size_t kMaxEndpoints = 4;
   static constexpr std::uint32_t kNoEndpoint = UINT32_MAX;
 
-  // Endpoint numbers, the most recent first, padded with `kNoEndpoint`.
+  // Numbers of the endpoints to which a prefix was sent, the most recent first,
+  // padded with `kNoEndpoint`.
   using endpoint_list = std::array<std::uint32_t, kMaxEndpoints>;
 
   explicit prefix_affinity(const prefix_affinity_settings& aSettings);
@@ -62,8 +63,8 @@
 
   endpoint_list Lookup(std::uint64_t aPrefix, time_point aNow) const;
 
-  // Removes `aEndpoint`, which is gone or lost its cache. Linear in the size of
-  // the table.
+  // Removes `aEndpoint`, which is gone or lost its cache, from all prefixes.
+  // The time is linear in the size of the table.
   void RemoveEndpoint(std::uint32_t aEndpoint);
 
 private:
--- a/thornhollow/policy/prefix_reuse_estimator.h
+++ b/thornhollow/policy/prefix_reuse_estimator.h
@@ -1,5 +1,5 @@
 // Estimates the probability that some instance has already sent a prefix that
-// this instance has not.
+// this instance has never sent.
 //
 //   prefix_reuse_estimator reuse;
 //   reuse.OnSent(wasKnownHere);
@@ -27,7 +27,8 @@
 class prefix_reuse_estimator
 {
 public:
-  // A request was sent. `aKnown`: this instance had sent its prefix before.
+  // Records that a request was sent. `aKnown`: this instance had sent the
+  // request's prefix before.
   void OnSent(bool aKnown)
   {
     ++mSamples;
--- a/thornhollow/policy/scenario/catalog.h
+++ b/thornhollow/policy/scenario/catalog.h
@@ -16,7 +16,7 @@
 std::vector<scenario_spec>
 AllScenarios(const deployment& aDeployment);
 
-// Returns the scenario of this name, which must exist.
+// Returns the scenario named `aName`, which must exist.
 scenario_spec
 FindScenario(const deployment& aDeployment, const std::string& aName);
 
--- a/thornhollow/policy/scenario/figures.h
+++ b/thornhollow/policy/scenario/figures.h
@@ -23,11 +23,13 @@
          const policy_choice& aPolicy,
          std::uint64_t aSeeds);
 
-// Attainment of the first class of this tier, which must exist.
+// Attainment (fraction of requests within their targets) of the first class of
+// the given tier, which must exist.
 double
 Attainment(const outcomes& aRuns, int aTier);
 
-// Attainment of all teams except the first, over all classes.
+// Attainment (fraction of requests within their targets) of all teams except
+// the first, over all classes.
 double
 OtherTeamsAttainment(const outcomes& aRuns);
 
@@ -41,7 +43,7 @@
 double
 WastedFraction(const outcomes& aRuns);
 
-// Number of responses with an error of any kind.
+// Number of responses with an error, over all kinds of errors.
 double
 ErrorResponses(const outcomes& aRuns);
 
--- a/thornhollow/policy/scenario/report.h
+++ b/thornhollow/policy/scenario/report.h
@@ -14,7 +14,7 @@
 
 namespace thornhollow::scenario {
 
-// Median and range of a figure over the seeds.
+// Median and range of a figure over the seeds of a scenario's runs.
 struct median_range
 {
   double mMedian = 0;
--- a/thornhollow/policy/scenario/simulation.h
+++ b/thornhollow/policy/scenario/simulation.h
@@ -27,7 +27,8 @@
   std::variant<scheduler_settings, round_robin, least_outstanding>;
 
 // Multiplies the matching traffic by `mFactor` from `mFrom` to `mUntil`,
-// measured from the end of the warm-up. An empty class or team matches all.
+// measured from the end of the warm-up. An empty class or team matches all
+// classes or teams.
 struct surge
 {
   duration mFrom{};
