--- a/thornhollow/policy/domain_reachability.h
+++ b/thornhollow/policy/domain_reachability.h
@@ -48,8 +48,8 @@
   // Number of consecutive suspicions, without a response from an endpoint of
   // the domain in between, that messages from instances can end.
   std::uint32_t mMaxClearedByPeers = 3;
-  // Maximum number of domains tracked; others are ignored. Domain names arrive
-  // in messages, and forged ones must not exhaust memory.
+  // Maximum number of domains tracked; further domains are ignored. Domain
+  // names arrive in messages, and forged ones must not exhaust memory.
   std::size_t mMaxDomains = 64;
 
   friend bool operator==(const domain_reachability_settings&,
@@ -88,7 +88,8 @@
     bool mHasPeer = false;
   };
 
-  // Returns null if `mMaxDomains` are already tracked.
+  // Returns the state of the domain `aName`; null if it is not tracked and
+  // `mMaxDomains` domains already are.
   domain_state* FindOrAdd(const domain_name& aName);
   bool IsSuspicionActive(const domain_state& aDomain, time_point aNow) const;
   std::optional<time_point> CutOffAt(time_point aNow) const;
--- a/thornhollow/policy/endpoint_choice.h
+++ b/thornhollow/policy/endpoint_choice.h
@@ -48,14 +48,14 @@
 
 struct endpoint_choice_settings
 {
-  // Endpoints sampled per request from the router's own domain, and again from
-  // the other domains, in addition to those with the prefix cached.
+  // Number of endpoints sampled per request from the router's own domain, and
+  // again from the other domains, in addition to those with the prefix cached.
   std::size_t mSampleSize = 8;
   // Engine time to prefill one uncached prompt token. Zero ignores cached
   // prefixes.
   duration mPrefillTimePerToken = std::chrono::microseconds(30);
   double mFailureWeight = 4;
-  // Added to the cost of an endpoint in another failure domain.
+  // Time added to the cost of an endpoint in another failure domain.
   duration mCrossDomainCost = Milliseconds(20);
   // An endpoint's measured latency decays towards the pool's median with this
   // half-life, so that an endpoint that was sent no work because it was slow is
@@ -75,7 +75,8 @@
   // Mean time to first token at the endpoint, in seconds. Only used when
   // `mTimePerToken` is zero.
   double mTimeToFirstToken = 0;
-  // Seconds per output token; zero if answers have no tokens.
+  // Mean time per output token at the endpoint, in seconds; zero if its answers
+  // have no tokens.
   double mTimePerToken = 0;
   double mFailureRate = 0;
   bool mHasCachedPrefix = false;
--- a/thornhollow/policy/endpoint_table.h
+++ b/thornhollow/policy/endpoint_table.h
@@ -122,7 +122,8 @@
                     const work_item& aItem,
                     duration aWait,
                     time_point aNow);
-  // The attempt ended `aElapsed` after it was sent: frees its slot.
+  // The attempt at `aEndpoint` ended `aElapsed` after it was sent: frees the
+  // attempt's slot.
   void OnEnded(const endpoint_name& aEndpoint,
                const work_item& aItem,
                attempt_end aHow,
@@ -143,7 +144,8 @@
   // count in the measurements.
   void OnClockGap(time_point aNow);
 
-  // Re-evaluates state that changes with time alone.
+  // Re-evaluates endpoint state that changes with time alone, such as the
+  // weight of an ageing load report.
   void Advance(time_point aNow);
   // When `Advance` should be called next because a slot may become free; empty
   // if no re-evaluation is scheduled.
@@ -152,7 +154,7 @@
   // Whether any endpoint that accepts new work serves `aPool`.
   bool Serves(const pool_name& aPool) const;
 
-  // Slots of `aPool` over all endpoints in service, taken or free.
+  // Number of slots of `aPool` over all endpoints in service, taken or free.
   std::uint32_t Slots(const pool_name& aPool) const;
 
   // Whether the pool's endpoints order their own queues by tier: model engines
--- a/thornhollow/policy/engine_partition.h
+++ b/thornhollow/policy/engine_partition.h
@@ -87,10 +87,11 @@
   // sides count as equally loaded.
   double mBulkUtilization = 0.5;
   double mInteractiveUtilization = 0.25;
-  // Weight of the slots that interactive work uses beyond the target fraction.
-  // The first event of an interactive stream is due long before another stream
-  // ends and frees a slot, so even a short queue makes all interactive streams
-  // late. Bulk work can wait a little, and its excess is rejected.
+  // Weight of the slots that interactive work uses beyond the target fraction
+  // of slots in use. The first event of an interactive stream is due long
+  // before another stream ends and frees a slot, so even a short queue makes
+  // all interactive streams late. Bulk work can wait a little, and its excess
+  // is rejected.
   double mExcessSlotWeight = 6;
   // The partition doesn't move while the load of the more loaded side is at
   // most this multiple of its target. After each move, the engines that changed
@@ -99,12 +100,13 @@
   // The partition moves only if the move reduces the load of the more loaded
   // side by at least this factor.
   double mMinImprovement = 1.15;
-  // Minimum number of engines on each side, as a fraction of all and as a
-  // count. With fewer, the loss of one engine removes half of a side's capacity
-  // or more.
+  // Minimum number of engines on each side, as a fraction of all engines
+  // and as a count. With fewer, the loss of one engine removes half of a side's
+  // capacity or more.
   double mMinSideFraction = 0.11;
   std::size_t mMinSideEngines = 2;
-  // With fewer engines nothing is separated: a side of one engine has no spare
+  // Minimum number of engines for a separation. With fewer engines no workload
+  // kind is separated: a side of one engine has no spare
   // capacity during a long prompt and no other engine to send work to.
   std::size_t mMinEngines = 4;
 
--- a/thornhollow/policy/fair_queue.h
+++ b/thornhollow/policy/fair_queue.h
@@ -108,7 +108,8 @@
   struct entry
   {
     waiting_request mRequest;
-    // Virtual finish time; equals the start tag if the cost is not charged.
+    // Virtual finish time of the request; equals its start tag if the request's
+    // cost is not charged.
     double mFinishTag = 0;
     double mWeight = 1;
   };
--- a/thornhollow/policy/pool_queue.h
+++ b/thornhollow/policy/pool_queue.h
@@ -60,8 +60,8 @@
 {
   // The request that gets the next slot; null if there is none.
   const work_item* mItem = nullptr;
-  // The request precedes higher tiers because its class has received less than
-  // its minimum share.
+  // Whether the request precedes requests of higher tiers because its class has
+  // received less than its minimum share.
   bool mUsesMinimumShare = false;
 };
 
@@ -106,8 +106,8 @@
 
   explicit pool_queue(const pool_queue_settings& aSettings);
 
-  // Sets the objectives of a class. A class without them has neither a minimum
-  // share nor a first-token target.
+  // Sets the objectives of a class. A class without objectives has neither a
+  // minimum share nor a first-token target.
   void SetObjectives(const class_name& aClass,
                      const class_objectives& aObjectives);
 
