--- a/thornhollow/policy/domain_reachability.h
+++ b/thornhollow/policy/domain_reachability.h
@@ -43,7 +43,7 @@
   // instance of the domain.
   duration mSuspicionWithoutPeers = Seconds(1);
   // Maximum duration of a suspicion if messages were received from an instance
-  // of the domain before. Their absence then confirms the suspicion.
+  // of the domain before. That no more messages arrive confirms the suspicion.
   duration mSuspicionWithPeers = Seconds(5);
   // Number of consecutive suspicions, without a response from an endpoint of
   // the domain in between, that messages from instances can end.
--- a/thornhollow/policy/endpoint_choice.h
+++ b/thornhollow/policy/endpoint_choice.h
@@ -49,7 +49,8 @@
 struct endpoint_choice_settings
 {
   // Number of endpoints sampled per request from the router's own domain, and
-  // again from the other domains, in addition to those with the prefix cached.
+  // again from the other domains, in addition to the endpoints with the prefix
+  // cached.
   std::size_t mSampleSize = 8;
   // Engine time to prefill one uncached prompt token. Zero ignores cached
   // prefixes.
--- a/thornhollow/policy/endpoint_queue_window.h
+++ b/thornhollow/policy/endpoint_queue_window.h
@@ -68,8 +68,8 @@
 
   // A request was sent to be queued at an endpoint.
   void OnSent() { ++mWaiting; }
-  // A queued request's first token arrived after `aWait`; the target of
-  // the request's class is `aTarget`. Don't call `OnDequeued` for this request.
+  // A queued request's first token arrived after `aWait`; the target of the
+  // request's class is `aTarget`. Don't call `OnDequeued` for this request.
   void OnFirstToken(duration aWait, duration aTarget, time_point aNow);
   // A queued request ended without a first token.
   void OnDequeued();
--- a/thornhollow/policy/endpoint_scenario_test.cc
+++ b/thornhollow/policy/endpoint_scenario_test.cc
@@ -56,8 +56,8 @@
   }
 }
 
-// Seven in ten requests share a prefix. If they were always sent to the
-// endpoint that has the prefix cached, they would queue there while other
+// Seven in ten requests share a prefix. If these requests were always sent to
+// the endpoint that has the prefix cached, they would queue there while other
 // endpoints have free slots.
 TEST_CASE_FIXTURE(on_and_off, "endpoint_scenario/hot_prefix/spreads_under_load")
 {
--- a/thornhollow/policy/endpoint_states.h
+++ b/thornhollow/policy/endpoint_states.h
@@ -51,8 +51,8 @@
 
   // Drops expired reports. Returns the endpoints whose state changes.
   endpoint_state_changes Advance(time_point aNow);
-  // When the next report of a leaving endpoint expires; empty if there are no
-  // reports.
+  // When the next report of a leaving endpoint expires; empty if no report is
+  // valid.
   std::optional<time_point> NextDue() const;
 
 private:
--- a/thornhollow/policy/endpoint_subset.cc
+++ b/thornhollow/policy/endpoint_subset.cc
@@ -62,8 +62,8 @@
   }
 }
 
-// Chooses among the endpoints of the own domain when there are more than
-// `mMaxPerPool`.
+// Chooses the subset of a pool from the endpoints of the own domain when the
+// domain has more than `mMaxPerPool` endpoints.
 std::vector<std::size_t>
 ChooseFromOwnDomain(std::span<const subset_candidate> aPool,
                     const std::vector<std::size_t>& aOwnDomain,
--- a/thornhollow/policy/endpoint_table.cc
+++ b/thornhollow/policy/endpoint_table.cc
@@ -18,9 +18,9 @@
 // weight of its load report decreases with age.
 constexpr duration kRecheckInterval = Milliseconds(250);
 
-// Maximum number of stored endpoint states. If there are more, the states of
-// undeclared endpoints are dropped. Far above the 850 endpoints of the largest
-// deployment.
+// Maximum number of stored endpoint states. If more states are stored, the
+// states of undeclared endpoints are dropped. Far above the 850 endpoints of
+// the largest deployment.
 constexpr std::size_t kMaxRetainedStates = 4096;
 
 constexpr std::array<pool_index::domain_rank, 2> kRanks{
@@ -279,7 +279,7 @@
       return;
     }
     // An endpoint that turned out to be full was removed from the list and
-    // another one moved to its position: look at the same position again.
+    // another endpoint moved to its position: look at the same position again.
     at += withFreeSlot.size() == listed ? 1 : 0;
   }
 }
--- a/thornhollow/policy/endpoint_table_test.cc
+++ b/thornhollow/policy/endpoint_table_test.cc
@@ -175,8 +175,9 @@
 
 // Guards against forgetting that an endpoint is leaving: the endpoint reports
 // that it is leaving, a configuration change removes it and the next one
-// declares it again. It then got new work, which was cut off when the endpoint
-// stopped. Found by scheduler_search with seed 1.
+// declares it again. As the report was forgotten, the endpoint got new work,
+// which was cut off when the endpoint stopped. Found by scheduler_search with
+// seed 1.
 TEST_CASE_FIXTURE(table_fixture,
                   "endpoint_table/leaves_dropped_declared_again/no_new_work")
 {
--- a/thornhollow/policy/engine_partition.cc
+++ b/thornhollow/policy/engine_partition.cc
@@ -9,8 +9,8 @@
 namespace {
 
 // Target for the mean fraction of an engine's slots that are in use. Each
-// further request slows down all others, and the remaining slots are needed for
-// requests that arrive at about the same time.
+// further request slows down all other requests, and the remaining slots are
+// needed for requests that arrive at about the same time.
 constexpr double kTargetSlotUse = 0.6;
 // Fraction of engines for bulk work when workload kinds are first separated,
 // when too little demand has been observed to compute the fraction. Above one
@@ -26,7 +26,8 @@
   // Target fraction of their time that the engines of the side spend on
   // prefill.
   double mUtilization = 0;
-  // Weight of slots in use beyond `kTargetSlotUse`, relative to those below it.
+  // Weight of slots in use beyond `kTargetSlotUse`, relative to the weight of
+  // slots in use below it.
   double mExcessSlotWeight = 1;
 };
 
--- a/thornhollow/policy/engine_partition.h
+++ b/thornhollow/policy/engine_partition.h
@@ -58,21 +58,19 @@
   // If false, all engines take both bulk and interactive work.
   bool mSeparate = true;
   // Minimum fraction of all prefill work that the separated workload kinds make
-  // up. A
-  // smaller fraction comes from few prompts, which don't delay the streams
-  // much.
+  // up. A smaller fraction comes from few prompts, which don't delay the
+  // streams much.
   double mMinBulkFraction = 0.25;
   // Workload kinds are separated if this many of their prompts in a row take
-  // longer to
-  // prefill than the streams on the same engines may pause. On an engine that
-  // prefills half of the time, so many prompts follow each other at least once
-  // during most streams. A separated kind is merged again only when even
-  // `mConsecutivePromptsToMerge` prompts take less time than that pause.
+  // longer to prefill than the streams on the same engines may pause. On an
+  // engine that prefills half of the time, so many prompts follow each other at
+  // least once during most streams. A separated kind is merged again only when
+  // even `mConsecutivePromptsToMerge` prompts take less time than that pause.
   double mConsecutivePrompts = 6;
   double mConsecutivePromptsToMerge = 12;
   // Minimum time between two moves of engines between the bulk and the
-  // interactive side: longer than a stream lasts, shorter than a
-  // wave of arrivals.
+  // interactive side: longer than a stream lasts, shorter than a wave of
+  // arrivals.
   duration mMinMoveInterval = Milliseconds(700);
   // A set of separated workload kinds is replaced only after the criteria have
   // selected a different set for this long (less soon after the first demand),
@@ -100,14 +98,14 @@
   // The partition moves only if the move reduces the load of the more loaded
   // side by at least this factor.
   double mMinImprovement = 1.15;
-  // Minimum number of engines on each side, as a fraction of all engines
-  // and as a count. With fewer, the loss of one engine removes half of a side's
+  // Minimum number of engines on each side, as a fraction of all engines and as
+  // a count. With fewer, the loss of one engine removes half of a side's
   // capacity or more.
   double mMinSideFraction = 0.11;
   std::size_t mMinSideEngines = 2;
   // Minimum number of engines for a separation. With fewer engines no workload
-  // kind is separated: a side of one engine has no spare
-  // capacity during a long prompt and no other engine to send work to.
+  // kind is separated: a side of one engine has no spare capacity during a long
+  // prompt and no other engine to send work to.
   std::size_t mMinEngines = 4;
 
   friend bool operator==(const engine_partition_settings&,
--- a/thornhollow/policy/engine_sides.cc
+++ b/thornhollow/policy/engine_sides.cc
@@ -86,9 +86,8 @@
 }
 
 // Moves engines between the bulk and the interactive side until `aBulk` engines
-// are on the bulk side. Engines are
-// moved to the bulk side starting at the front of `aOrder`, and to the
-// interactive side starting at its end.
+// are on the bulk side. Engines are moved to the bulk side starting at the
+// front of `aOrder`, and to the interactive side starting at its end.
 void
 engine_sides::AdjustCount(const std::vector<side_candidate>& aOrder,
                           std::size_t aBulk,
--- a/thornhollow/policy/fair_queue.h
+++ b/thornhollow/policy/fair_queue.h
@@ -76,9 +76,9 @@
   // Removes a request that was started and advances the virtual time.
   void Dequeue(const position& aPosition);
 
-  // Removes a request that was not started. If it is the last request that its
-  // team queued, the team gets the charged cost back. Returns false if there is
-  // no request at this position.
+  // Removes a request that was not started. If the request is the last one that
+  // its team queued, the team gets the charged cost back. Returns false if
+  // there is no request at this position.
   bool Erase(const position& aPosition);
 
   // Removes the last request in queue order, in the way of `Erase`. The queue
--- a/thornhollow/policy/internal/endpoint_record.h
+++ b/thornhollow/policy/internal/endpoint_record.h
@@ -124,8 +124,7 @@
     bool mLong = false;
     // Whether the endpoint was estimated to have a free slot when the attempt
     // was sent. If not, the attempt was meant to wait in the endpoint's queue,
-    // so its wait doesn't indicate that the concurrency limit is too
-    // high.
+    // so its wait doesn't indicate that the concurrency limit is too high.
     bool mWithinLimit = true;
     duration mTimeToFirstToken{};
   };
--- a/thornhollow/policy/internal/pool_index_test.cc
+++ b/thornhollow/policy/internal/pool_index_test.cc
@@ -36,8 +36,8 @@
   CHECK(mPool.Serving() == 4);
 }
 
-// A fault outside the endpoints makes all of them fail. If all were ejected, no
-// request would be served although some might succeed.
+// A fault outside the endpoints makes all endpoints fail. If all of them were
+// ejected, no request would be served although some might succeed.
 TEST_CASE_FIXTURE(four_members, "pool_index/one_lost_of_four/no_other_may_go")
 {
   CHECK(mPool.CanEject(1));
--- a/thornhollow/policy/length_estimate.h
+++ b/thornhollow/policy/length_estimate.h
@@ -58,9 +58,9 @@
 
 struct length_estimate_settings
 {
-  // Expected output tokens while there are too few samples: the mean of the
-  // expected workload, 740,000 tokens per second over 3,100 requests per
-  // second.
+  // Expected number of output tokens of a request while too few responses were
+  // recorded: the mean of the expected workload, 740,000 tokens per second over
+  // 3,100 requests per second.
   double mDefaultLength = 239;
   // Minimum number of responses of a class before the class's own histogram is
   // used.
--- a/thornhollow/policy/minimum_share.h
+++ b/thornhollow/policy/minimum_share.h
@@ -41,8 +41,8 @@
   }
 
   // Records that the pool served work of cost `aServed`, or had the capacity to
-  // serve it. `aNextCost`
-  // is the cost of the class's next request; 0 if none waits.
+  // serve it. `aNextCost` is the cost of the class's next request; 0 if none
+  // waits.
   void Accrue(double aServed, double aNextCost)
   {
     mCredit = std::min(mCredit + mShare * aServed, aNextCost);
--- a/thornhollow/policy/pool_pressure.h
+++ b/thornhollow/policy/pool_pressure.h
@@ -16,9 +16,8 @@
 {
   pool_name mPool;
   // The highest tier whose requests wait too long at the reporting instance;
-  // `kLowestTier` if there is none.
-  // The reporting instance limits tiers below this one to their minimum shares,
-  // and the other instances should do so too.
+  // `kLowestTier` if there is none. The reporting instance limits tiers below
+  // this one to their minimum shares, and the other instances should do so too.
   int mLowestAdmitted = kLowestTier;
   // How long the next request of tier `mLowestAdmitted` has waited at the
   // reporting instance; zero if no request waits too long.
--- a/thornhollow/policy/prefill_rate.h
+++ b/thornhollow/policy/prefill_rate.h
@@ -64,8 +64,7 @@
 
 private:
   // Minimum number of prefilled tokens for a response to count as a sample. The
-  // wait for fewer tokens depends more on
-  // the network than on the engine.
+  // wait for fewer tokens depends more on the network than on the engine.
   static constexpr double kMinTokens = 1'000;
   static constexpr double kMaxStep = 0.25;
   static constexpr double kMinStep = 0.02;
--- a/thornhollow/policy/prefill_time_per_token.h
+++ b/thornhollow/policy/prefill_time_per_token.h
@@ -30,8 +30,7 @@
 {
 public:
   // Minimum number of prefilled tokens for a request to count as a sample. The
-  // wait for fewer tokens depends more on
-  // the network than on the engine.
+  // wait for fewer tokens depends more on the network than on the engine.
   static constexpr double kMinTokens = 3'500;
   // Time to the first event excluding the prefill: the network round trip, the
   // engine's start of the request, and one step.
--- a/thornhollow/policy/scenario/catalog.cc
+++ b/thornhollow/policy/scenario/catalog.cc
@@ -211,7 +211,8 @@
 }
 
 // Adds one policy for each mechanism of the endpoint table, with only this
-// mechanism switched off, and one policy with all of them switched off.
+// mechanism switched off, and one policy with all these mechanisms switched
+// off.
 void
 AddPoliciesWithoutEndpointMechanism(std::vector<named_policy>& aAll)
 {
--- a/thornhollow/policy/scenario/regression_test.cc
+++ b/thornhollow/policy/scenario/regression_test.cc
@@ -28,7 +28,7 @@
   double mTokens;
   double mWasted;
   // Number of seeds: 3 for scenarios in which all classes compete for capacity,
-  // otherwise 1, to limit the time in CI.
+  // 1 for all other scenarios, to limit the time in CI.
   std::uint64_t mSeeds;
 };
 
