--- a/thornhollow/policy/endpoint_health.h
+++ b/thornhollow/policy/endpoint_health.h
@@ -149,9 +149,9 @@
   std::uint32_t mAttempts = 0;
   double mAverageTimeToFirstToken = 0;
   time_point mLastActivity{};
-  // Start of the endpoint's current silence: when the first request that awaits
-  // an answer was sent, or a later queue report or pause. Empty if no answer is
-  // awaited.
+  // Start of the endpoint's current silence: when the first request since the
+  // last answer or failure was sent, or the time of a later queue report or
+  // pause. Empty if no request was sent since.
   std::optional<time_point> mUnansweredSince;
   duration mProbeDelay;
   time_point mProbeAt{};
