--- a/thornhollow/policy/concurrency_limit.h
+++ b/thornhollow/policy/concurrency_limit.h
@@ -49,14 +49,15 @@
 
 struct concurrency_limit_settings
 {
-  // If false, the limit stays at the declared slots.
+  // If false, the concurrency limit stays at the endpoint's declared slots.
   bool mAdaptive = true;
-  // A window mean above this multiple of the floor indicates queueing.
+  // A mean latency over a window of responses above this multiple of the floor
+  // (the lowest recent window mean) indicates queueing at the endpoint.
   double mTolerance = 2;
   // Added to the bound on the time to first token, to allow for the jitter of
   // the network and of one engine step.
   duration mFirstTokenSlack = Milliseconds(500);
-  // Lower bound of the factor by which one window changes the limit.
+  // Minimum factor by which one window of responses changes the limit.
   double mMinDecreaseFactor = 0.7;
   std::uint32_t mWindowResponses = 8;
   duration mFloorPeriod = Seconds(30);
@@ -66,16 +67,17 @@
                          const concurrency_limit_settings&) = default;
 };
 
-// The lowest window mean of the current and the previous floor period
-// (`mFloorPeriod`), in seconds. From one period to the next it grows at most by
-// the factor `mFloorGrowth`.
+// Latency floor of an endpoint: the lowest mean latency, in seconds, of a
+// window of responses in the current and the previous floor period
+// (`mFloorPeriod`). From one period to the next the floor grows at most by the
+// factor `mFloorGrowth`.
 class latency_floor
 {
 public:
   void Add(double aMean,
            time_point aNow,
            const concurrency_limit_settings& aSettings);
-  // Zero before the first `Add`.
+  // Lowest recent window mean, in seconds. Zero before the first `Add`.
   double Value() const;
 
 private:
@@ -103,7 +105,8 @@
   // `aInFlight` requests of this router.
   void OnDeclined(std::uint32_t aInFlight, time_point aNow);
 
-  // Maximum number of requests in flight, at least 1.
+  // Maximum number of requests in flight at the endpoint, over all routers; at
+  // least 1.
   std::uint32_t Limit() const;
 
 private:
--- a/thornhollow/policy/domain_reachability.cc
+++ b/thornhollow/policy/domain_reachability.cc
@@ -27,8 +27,8 @@
 domain_reachability::OnUnreachable(const domain_name& aDomain, time_point aNow)
 {
   domain_state* its = FindOrAdd(aDomain);
-  // Attempts that were in flight when the suspicion started also fail; they
-  // don't start another suspicion.
+  // Attempts that were in flight when the domain became suspected also fail,
+  // but such a failure doesn't start another suspicion.
   if (its == nullptr || IsSuspicionActive(*its, aNow)) {
     return false;
   }
@@ -104,9 +104,9 @@
   return aDomain.mSuspectedAt && aNow - *aDomain.mSuspectedAt < maxDuration;
 }
 
-// Returns when the second of the other domains became suspected, which means
-// that this instance's own domain is probably cut off. Empty if fewer than two
-// are suspected.
+// Returns when a second domain other than this instance's own became suspected,
+// which means that this instance's own domain is probably cut off. Empty if
+// fewer than two other domains are suspected.
 std::optional<time_point>
 domain_reachability::CutOffAt(time_point aNow) const
 {
--- a/thornhollow/policy/endpoint_table.h
+++ b/thornhollow/policy/endpoint_table.h
@@ -5,15 +5,15 @@
 //   table.Configure(declared, ownDomain, now);
 //   if (const auto chosen = table.Choose(item, tried, now)) { ... }
 //
-// It combines these modules, each of which documents the load pattern that it
-// handles: concurrency_limit.h, endpoint_load.h, endpoint_health.h,
+// The table combines these modules, each of which documents the load pattern
+// that it handles: concurrency_limit.h, endpoint_load.h, endpoint_health.h,
 // endpoint_choice.h, prefix_affinity.h, length_estimate.h, endpoint_subset.h.
 //
 // The cost of a decision doesn't grow with the number of endpoints: each pool
-// keeps a list of those with a free slot, and a decision considers a few random
-// ones from it. State that changes with time alone (a load report that loses
-// weight, a probe that falls due) is re-evaluated by `Advance`, which should be
-// called at `NextDue`.
+// keeps a list of its endpoints with a free slot, and a decision considers a
+// few random endpoints from the list. State that changes with time alone (a
+// load report that loses weight, a probe that falls due) is re-evaluated by
+// `Advance`, which should be called at `NextDue`.
 #ifndef THORNHOLLOW_POLICY_ENDPOINT_TABLE_H_
 #define THORNHOLLOW_POLICY_ENDPOINT_TABLE_H_
 
@@ -44,10 +44,10 @@
   prefix_affinity_settings mPrefix;
   length_estimate_settings mLength;
   endpoint_subset_settings mSubset;
-  // False: long requests may take every slot.
+  // If false, long requests may take every slot.
   bool mLimitLongWork = true;
-  // Long requests are limited only if the pool received a short one within this
-  // time, because slots that are reserved without need are wasted.
+  // Long requests are limited only if the pool received a short request within
+  // this time, because slots that are reserved without need are wasted.
   duration mShortWorkWindow = Seconds(10);
   // Maximum number of endpoints scanned one after the other if the random
   // sample contains no eligible one. At least the size of a pool's subset
@@ -86,8 +86,8 @@
   void SetRouters(const instance_name& aOwn,
                   const std::vector<instance_name>& aRouters);
 
-  // Replaces the declared endpoints. State measured for those that remain is
-  // kept.
+  // Replaces the declared endpoints. State measured for endpoints that remain
+  // declared is kept.
   void Configure(const declarations& aDeclared,
                  const domain_name& aOwnDomain,
                  time_point aNow);
@@ -122,7 +122,8 @@
                     const work_item& aItem,
                     duration aWait,
                     time_point aNow);
-  // The attempt ended `aElapsed` after it was sent: frees its slot.
+  // The attempt at `aEndpoint` ended `aElapsed` after it was sent: frees the
+  // attempt's slot.
   void OnEnded(const endpoint_name& aEndpoint,
                const work_item& aItem,
                attempt_end aHow,
@@ -137,12 +138,14 @@
                 endpoint_state aState,
                 time_point aNow);
 
-  // This process was paused (clock_gap.h). Until something new is received from
-  // an endpoint it gets at most one more request. Older reports are ignored,
-  // and answers that span the pause don't count in the measurements.
+  // To be called after this process was paused (clock_gap.h). Until something
+  // new is received from an endpoint, the endpoint gets at most one more
+  // request. Older reports are ignored, and answers that span the pause don't
+  // count in the measurements.
   void OnClockGap(time_point aNow);
 
-  // Re-evaluates state that changes with time alone.
+  // Re-evaluates endpoint state that changes with time alone, such as the
+  // weight of an ageing load report.
   void Advance(time_point aNow);
   // When `Advance` should be called next because a slot may become free; empty
   // if no re-evaluation is scheduled.
@@ -151,7 +154,7 @@
   // Whether any endpoint that accepts new work serves `aPool`.
   bool Serves(const pool_name& aPool) const;
 
-  // Slots of `aPool` over all endpoints in service, taken or free.
+  // Number of slots of `aPool` over all endpoints in service, taken or free.
   std::uint32_t Slots(const pool_name& aPool) const;
 
   // Whether the pool's endpoints order their own queues by tier: model engines
@@ -173,7 +176,8 @@
 
   struct membership
   {
-    // Points into `mPools`; nodes of an unordered_map have stable addresses.
+    // Index of the pool. Points into `mPools`; nodes of an unordered_map have
+    // stable addresses.
     internal::pool_index* mPool = nullptr;
     std::uint32_t mMember = 0;
   };
@@ -197,7 +201,7 @@
     internal::pool_index mIndex;
     std::optional<time_point> mLastShortWork;
   };
-  // The state of one decision.
+  // Intermediate state while an endpoint is chosen for one request.
   struct search
   {
     const work_item& mItem;
@@ -248,11 +252,13 @@
   prefix_affinity mAffinity;
   length_estimate mLengths;
   std::unordered_map<endpoint_name, endpoint_number> mNumbers;
-  // Indexed by endpoint number. Numbers of removed endpoints are reused.
+  // Entries of the endpoints, indexed by endpoint number. Numbers of removed
+  // endpoints are reused.
   std::vector<std::optional<entry>> mEntries;
   std::vector<endpoint_number> mFreeNumbers;
   std::unordered_map<pool_name, pool_state> mPools;
-  // States other than live, including those of endpoints outside the subset.
+  // States of endpoints that are not live, including endpoints outside this
+  // instance's subset.
   std::unordered_map<endpoint_name, endpoint_state> mNonLiveStates;
   std::priority_queue<recheck, std::vector<recheck>, std::greater<>> mRechecks;
 };
