--- a/thornhollow/fleet/copy_requests.h
+++ b/thornhollow/fleet/copy_requests.h
@@ -33,7 +33,7 @@
 
 namespace thornhollow {
 
-// The copy that is requested.
+// Which copy of the source's items is requested from a peer.
 enum class copied_items : std::uint8_t
 {
   kConfiguration,
@@ -101,7 +101,8 @@
   known_revisions mTargetRevisions;
   time_point mNextRequest{};
   std::uint64_t mAttempt = 0;
-  // By copy: when the last chunk of an incomplete transfer arrived.
+  // When the last chunk of an incomplete transfer arrived, indexed by
+  // `copied_items`; unset if the copy is not being transferred.
   std::array<std::optional<time_point>, 2> mLastBytes;
 };
 
--- a/thornhollow/fleet/demand_aggregation.h
+++ b/thornhollow/fleet/demand_aggregation.h
@@ -83,9 +83,10 @@
 struct demand_aggregation_settings
 {
   duration mInterval = Milliseconds(500);
-  // Messages older than this, about three rounds, are ignored.
+  // Maximum age of a received message, about three rounds; older messages are
+  // ignored.
   duration mMaxAge = Milliseconds(1'600);
-  // Enough for rings of up to 2^10 instances.
+  // Maximum number of levels, enough for rings of up to 2^10 instances.
   std::size_t mMaxLevels = 10;
 
   friend bool operator==(const demand_aggregation_settings&,
@@ -97,7 +98,8 @@
 public:
   explicit demand_aggregation(const demand_aggregation_settings& aSettings);
 
-  // Whether a round is due; the ring need only be built then.
+  // Whether a round of messages is due. The caller needs to build the ring only
+  // if so.
   bool IsRoundDue(time_point aNow) const { return aNow >= mNextRound; }
   // Returns the messages to send now; empty between rounds. `aOwn` is this
   // instance's own demand.
--- a/thornhollow/fleet/key_claims.h
+++ b/thornhollow/fleet/key_claims.h
@@ -41,20 +41,22 @@
   // within a few milliseconds, or within 100 to 200 ms from another region, or
   // not at all.
   duration mRequestTimeout = Milliseconds(300);
-  // A longer gap between two calls is treated as a pause of this process.
+  // Maximum gap between two calls; a longer one is treated as a pause of this
+  // process.
   duration mClockGap = Seconds(2);
-  // Witnesses per key. With three witnesses, two may lose their memory of a key
-  // within its lifetime, and the third can still vouch.
+  // Number of witnesses per key. With three witnesses, two may lose their
+  // memory of a key within its lifetime, and the third can still vouch.
   std::size_t mWitnesses = 3;
-  // Submissions with a key are refused if fewer witnesses than this are listed.
-  // Of two witnesses one may lose its memory of the key, of one witness none.
+  // Minimum number of listed witnesses; with fewer, submissions with a key are
+  // refused. Of two witnesses one may lose its memory of the key, of one
+  // witness none.
   std::size_t mMinWitnesses = 2;
-  // Keys that a witness remembers. At the peak of the largest deployment each
-  // instance receives 7.4 requests per second; if all carry a key, three
-  // witnesses and a lifetime of ten minutes give 13,300 keys.
+  // Maximum number of keys that a witness remembers. At the peak of the largest
+  // deployment each instance receives 7.4 requests per second; if all carry a
+  // key, three witnesses and a lifetime of ten minutes give 13,300 keys.
   std::size_t mMaxKeys = 50'000;
-  // Number of past views that a witness remembers, one for each change to the
-  // instances of the witness's own domain.
+  // Maximum number of past views that a witness remembers, one for each change
+  // to the instances of the witness's own domain.
   std::size_t mMaxViews = 64;
 
   friend bool operator==(const key_claim_settings&,
--- a/thornhollow/fleet/key_holder.h
+++ b/thornhollow/fleet/key_holder.h
@@ -131,7 +131,7 @@
   // requests. Call it every 100 ms.
   key_actions Tick(time_point aNow);
 
-  // Submissions in progress.
+  // Number of submissions with a key that are in progress.
   std::size_t size() const { return mClaims.size(); }
 
 private:
@@ -147,17 +147,20 @@
     bool mVouched = false;
     bool mHeld = false;
     time_point mSubmittedAt{};
-    // Start of the current round of requests.
+    // Start of the current round, in which the key is requested from its
+    // witnesses one after the other.
     time_point mRoundStartedAt{};
-    // Time of the last request of this round.
+    // Time of the last request sent to a witness in the current round.
     time_point mLastRequestAt{};
-    // Set once the submission may have been sent, and kept when the claim is no
-    // longer known to be valid, because the request may be running.
+    // When to renew the claim next. Set once the submission may have been sent,
+    // and kept when the claim is no longer known to be valid, because the
+    // request may be running.
     std::optional<time_point> mNextRenewal;
   };
 
-  // The end of a submission, repeated to witnesses that have not acknowledged
-  // it: after a lost message the key would stay held for a lifetime.
+  // Notification that a submission has ended, repeated to witnesses that have
+  // not acknowledged it: if the message were lost, the key would stay held for
+  // a lifetime.
   struct pending_notification
   {
     claim_request mRequest;
@@ -168,7 +171,8 @@
 
   void DetectPause(time_point aNow);
   claim* FindBySubmission(submission_id aSubmission);
-  // Starts a new round of requests with the highest-ranked witness.
+  // Starts a new round of requests for the key, with the highest-ranked witness
+  // first.
   void StartRound(claim& aClaim, time_point aNow, key_actions& aOut);
   void RequestGrant(claim& aClaim,
                     const instance_name& aWitness,
@@ -182,7 +186,8 @@
               error_kind aKind,
               time_point aNow,
               key_actions& aOut);
-  // Notifies all witnesses and erases the claim.
+  // Notifies all contacted witnesses that the submission has ended and erases
+  // its claim.
   void FinishClaim(const claim& aClaim,
                    claim_kind aKind,
                    time_point aNow,
--- a/thornhollow/fleet/key_witness.h
+++ b/thornhollow/fleet/key_witness.h
@@ -48,8 +48,8 @@
   // if the list is unchanged: no key is granted until then.
   void OnView(const claim_view& aView, time_point aNow);
 
-  // Decides a claim, or records the end of a submission, in which case the
-  // answer only acknowledges it.
+  // Decides whether to grant a claimed key. If the request records the end of a
+  // submission, the answer only acknowledges the request.
   claim_answer OnRequest(const claim_request& aRequest, time_point aNow);
 
   // Erases expired keys and detects pauses. Call it every 100 ms.
@@ -63,8 +63,8 @@
   {
     kHeld,
     kUsed,
-    // Released; kept so that a claim that arrives after its own release is not
-    // granted.
+    // The key was released. The entry is kept so that a claim that arrives
+    // after its own release is not granted.
     kReleased,
   };
 
@@ -103,12 +103,13 @@
 
   key_claim_settings mSettings;
   instance_name mSelf;
-  // Time since which no key was lost and every view was received.
+  // Time since which this witness has lost no key and has received every view.
   time_point mHistoryCompleteSince;
   time_point mLastCall;
   std::deque<past_view> mViews;
   std::unordered_map<claim_key, entry> mEntries;
-  // Ordered by expiry: every entry expires one lifetime after its last message.
+  // Entries ordered by expiry, earliest first: every entry expires one lifetime
+  // after the last message about its key.
   boost::intrusive::list<entry> mExpiryOrder;
 };
 
--- a/thornhollow/fleet/large_copy_limiter.h
+++ b/thornhollow/fleet/large_copy_limiter.h
@@ -21,14 +21,15 @@
 
 struct large_copy_limiter_settings
 {
-  // Smaller copies are always admitted: the notice of a leaving endpoint has a
-  // few hundred bytes.
+  // Minimum size of a large copy, in bytes. Smaller copies are always admitted:
+  // the notice of a leaving endpoint has a few hundred bytes.
   std::size_t mMinLargeBytes = 16'384;
   double mLinkBytesPerSecond = 2'500'000;
-  // Fraction of the link for copies; the rest is for responses to callers.
+  // Fraction of the link's rate that is used for copies; the rest is for
+  // responses to callers.
   double mCopyFraction = 0.8;
-  // No copy is admitted while those admitted before need longer than this to be
-  // sent.
+  // Maximum time that sending the already admitted copies may still take for
+  // another copy to be admitted.
   duration mMaxQueueDelay = Milliseconds(250);
 };
 
@@ -59,7 +60,7 @@
 
 private:
   large_copy_limiter_settings mSettings;
-  // When the admitted copies will have been sent.
+  // Time at which all copies admitted so far will have been sent.
   time_point mBusyUntil{};
 };
 
--- a/thornhollow/fleet/membership.h
+++ b/thornhollow/fleet/membership.h
@@ -51,8 +51,9 @@
 
 struct membership_settings
 {
-  // One member is probed per interval. One second keeps the cost at about four
-  // datagrams per second and detects a dead member within a few seconds.
+  // Interval between two probes, each of one member. One second keeps the cost
+  // at about four datagrams per second and detects a dead member within a few
+  // seconds.
   duration mProbeInterval = Seconds(1);
   // An ack takes a few milliseconds; an engine step or a busy event loop may
   // add tens. After this timeout other members are asked to probe.
@@ -63,7 +64,8 @@
   // all members of a domain of 38 within one to two probe intervals, so three
   // intervals leave room for message loss.
   duration mSuspicionTimeout = Seconds(3);
-  // A longer gap between two calls is treated as a pause of this process.
+  // Maximum gap between two calls; a longer one is treated as a pause of this
+  // process.
   duration mClockGap = Seconds(2);
   // How long an instance waits after a pause for an ack from a peer.
   duration mRefreshTimeout = Seconds(1);
@@ -74,13 +76,15 @@
   std::size_t mIndirectProbers = 2;
   // Number of members to which an update is pushed at once.
   std::size_t mFanout = 4;
-  // Members of a domain that exchange messages with each other domain.
+  // Number of members of a domain that exchange messages with each other
+  // domain.
   std::size_t mBridgesPerDomain = 2;
-  // Members whose state a message carries in addition to recent changes; the
-  // next message continues with the members that follow (anti-entropy).
+  // Maximum number of members whose state a message carries in addition to
+  // recent changes; the next message continues with the members that follow by
+  // name (anti-entropy).
   std::size_t mAntiEntropyMembers = 8;
-  // Limit on tracked members; further ones are ignored. The largest deployment
-  // has 38 per domain.
+  // Maximum number of tracked members; further members are ignored. The largest
+  // deployment has 38 members per domain.
   std::size_t mMaxMembers = 256;
 
   friend bool operator==(const membership_settings&,
@@ -123,8 +127,8 @@
 };
 
 // A peer has a newer configuration in force and can be asked for it. For the
-// same version this is repeated at most once per probe interval, until this
-// instance reports that version with `OnConfiguration`.
+// same version this action is repeated at most once per probe interval, until
+// this instance reports that version with `OnConfiguration`.
 struct newer_configuration
 {
   std::uint64_t mVersion = 0;
@@ -166,8 +170,8 @@
                          const refresh_finished&) = default;
 };
 
-// Peers know a later process of this name. This one must stop, or restart with
-// an epoch above `mEpoch`.
+// Peers know a later process of this instance's name. This process must stop,
+// or restart with an epoch above `mEpoch`.
 struct superseded
 {
   std::uint64_t mEpoch = 0;
@@ -195,7 +199,8 @@
              std::uint64_t aEpoch,
              std::uint64_t aSeed);
 
-  // Updates the platform's list. A lower version than the last one is ignored.
+  // Updates the platform's list of instances. A list with a lower version than
+  // the last one is ignored.
   membership_actions OnInstances(const instance_list& aList, time_point aNow);
 
   membership_actions OnMessage(const gossip_message& aMessage, time_point aNow);
@@ -224,8 +229,8 @@
   // it first.
   membership_actions Leave(time_point aNow);
 
-  // Members not removed, suspected ones included, excluding this instance;
-  // ordered by name.
+  // Members that are alive or suspected, excluding this instance; ordered by
+  // name.
   std::vector<member_digest> Alive() const;
   // The current state of one member of the own domain, if known.
   std::optional<member_digest> Find(const instance_name& aName) const;
@@ -243,7 +248,7 @@
     // shown yet that it runs.
     bool mListedOnly = true;
     bool mListed = false;
-    // Time of the last status change.
+    // When the member's status last changed.
     time_point mStatusSince{};
     // Number of further messages that will carry the member's last change.
     std::uint32_t mTransmissionsLeft = 0;
@@ -326,7 +331,8 @@
   void PiggybackMembers(gossip_message& aMessage,
                         const instance_name& aTo,
                         std::size_t aRoom);
-  // Sends to a member of the own domain; does nothing if it is unknown.
+  // Sends the message to a member of the own domain; does nothing if the member
+  // is unknown.
   void SendTo(const instance_name& aTo,
               gossip_message aMessage,
               time_point aNow,
--- a/thornhollow/fleet/peer_messages.h
+++ b/thornhollow/fleet/peer_messages.h
@@ -36,9 +36,10 @@
 // values of up to 1 MiB.
 inline constexpr std::size_t kMaxTransferBytes = std::size_t{ 1 } << 20;
 
-// Orders the information about one member. The epoch distinguishes processes of
-// the same name (taken from the clock at process start); the incarnation is
-// raised by the member itself when it refutes a suspicion or changes.
+// Orders the information about one member by age. The epoch distinguishes
+// processes of the same name (taken from the clock at process start); the
+// incarnation is raised by the member itself when it refutes a suspicion or
+// changes.
 struct member_version
 {
   std::uint64_t mEpoch = 0;
@@ -51,8 +52,8 @@
   // NOLINTEND(modernize-use-nullptr)
 };
 
-// Ordered by precedence: of two digests with the same version, the one with the
-// greater status wins.
+// Status of a member, ordered by precedence: of two digests with the same
+// version, the one with the greater status wins.
 enum class member_status : std::uint8_t
 {
   kAlive,
@@ -95,7 +96,7 @@
   kAck,
   // Asks the receiver to ping `mTarget` on the sender's behalf.
   kPingRequest,
-  // An update; no answer is expected.
+  // Carries an update of the sender's state; no answer is expected.
   kPush,
 };
 
@@ -123,7 +124,8 @@
 // Hash of a team and its idempotency key.
 using claim_key = std::uint64_t;
 
-// The holder of a claim: one process, since a name may be reused.
+// The holder of a claimed key: one process of an instance, identified by name
+// and epoch because a name may be reused.
 struct claim_holder
 {
   instance_name mName;
@@ -154,7 +156,8 @@
   // only for the same number: a different one of the same process is a
   // different submission.
   std::uint64_t mClaim = 0;
-  // Incremented each time the claim is requested again.
+  // Number of the round of requests for this claim; incremented each time the
+  // claim is requested again from the witnesses.
   std::uint32_t mRound = 0;
   // The witnesses according to the holder's view, highest rank first.
   std::vector<instance_name> mWitnesses;
@@ -210,7 +213,8 @@
   friend bool operator==(const part_answer&, const part_answer&) = default;
 };
 
-// Configuration status of the sender; the receiver answers with its own.
+// Configuration status of the sender; the receiver answers with its own
+// configuration status.
 struct config_status_exchange
 {
   config_word mStatus;
--- a/thornhollow/fleet/relay_peers.h
+++ b/thornhollow/fleet/relay_peers.h
@@ -81,8 +81,9 @@
   friend bool operator==(const pool_demand&, const pool_demand&) = default;
 };
 
-// Source revisions: those up to which the copies of an instance are complete
-// or, in hellos of domains with readers, those of the last changes applied.
+// Revisions of the source up to which an instance's copies of the configuration
+// and of the endpoints are complete. In hellos of domains with readers: the
+// revisions of the last changes that the instance applied.
 struct known_revisions
 {
   std::uint64_t mConfiguration = 0;
@@ -125,7 +126,8 @@
 struct newer_copy
 {
   std::string mAddress;
-  // The reported revisions, and which of them are later.
+  // Revisions that the peer reported; `mConfiguration` and `mEndpoints` say
+  // which of the two copies is later than the own one.
   known_revisions mRevisions;
   bool mConfiguration = false;
   bool mEndpoints = false;
@@ -139,8 +141,8 @@
 {
   std::vector<std::string> mFull;
   std::vector<std::string> mBrief;
-  // Receive a brief hello that requests an answer: addresses learned from other
-  // peers that have not sent a hello yet.
+  // Addresses learned from other peers from which no hello has arrived yet.
+  // They receive a brief hello that requests an answer.
   std::vector<std::string> mProbed;
 
   friend bool operator==(const hello_round&, const hello_round&) = default;
@@ -153,7 +155,7 @@
   // Time between two rounds of hellos. The load of an engine changes with each
   // prompt, whose prefill takes tens to hundreds of milliseconds.
   duration mInterval = Milliseconds(250);
-  // Recipients of full hellos in each interval.
+  // Maximum number of peers that receive a full hello in each interval.
   std::size_t mFanout = 8;
   // From this number of peers on the interval is doubled. A hello is then close
   // to the limit of 1,100 bytes per datagram, and 16 of them a second make up
@@ -164,7 +166,8 @@
   // `mPeerTimeoutStep` for every `mFanout` peers.
   duration mPeerTimeout = Seconds(4);
   duration mPeerTimeoutStep = Milliseconds(1'600);
-  // Reported loads and demand that are older than this are ignored.
+  // Maximum age of loads and demand reported by a peer; older reports are
+  // ignored.
   duration mMaxAge = Milliseconds(1'200);
   // Interval at which seeds that have not answered and newly learned addresses
   // are tried.
@@ -192,8 +195,9 @@
   // next instance becomes one.
   duration mStagger = Milliseconds(150);
   duration mMaxStagger = Seconds(3);
-  // From this number of peers on, the demand is taken from the aggregation,
-  // because messages from only some of the peers arrive within `mMaxAge`.
+  // Minimum number of peers from which the demand is taken from the aggregation
+  // messages, because full hellos from only some of the peers arrive within
+  // `mMaxAge`.
   std::size_t mAggregateFrom = 16;
   demand_aggregation_settings mAggregation;
   // Upper bound on tracked peers; above the 420 instances of a large fleet.
@@ -224,8 +228,8 @@
   // Whether all instances of this domain read the source, as of the last call
   // of `Reads`.
   bool AllReadInDomain() const { return mReads && !mReadsForDomain; }
-  // Position of this instance among the readers of its domain, which staggers
-  // the ends of their watches.
+  // Position of this instance among the readers of its domain; the readers'
+  // watches of the source end at different times by this position.
   watch_stagger Turn(time_point aNow) const;
   // Returns the aggregation messages that are due, each for one peer. `aOwn` is
   // the demand at this instance.
@@ -254,17 +258,18 @@
                                           std::uint64_t aAttempt,
                                           time_point aNow) const;
 
-  // Number of live instances including this one; the largest of the last
+  // Largest number of live instances, including this one, within the last
   // `mCountRetention`. 0 before the first hello is received.
   std::size_t Count(time_point aNow) const;
   std::size_t Alive() const { return mPeers.size(); }
 
-  // Sum of the fresh loads of the peers by endpoint hash, extrapolated to all
-  // peers if only some have reported recently. The prefill time is the minimum.
+  // Sum of the peers' loads that are not older than `mMaxAge`, by endpoint
+  // hash, extrapolated to all peers if only some have reported recently. The
+  // prefill time per token is the minimum over the peers.
   std::map<std::uint32_t, reported_load> RemoteLoad(time_point aNow) const;
-  // Demand over all instances including `aOwn`, extrapolated in the same way.
-  // Taken from the aggregation, or from the recent full hellos if those cover
-  // more instances.
+  // Demand over all instances including `aOwn`, extrapolated to all peers if
+  // only some have reported recently. Taken from the aggregation messages, or
+  // from the recent full hellos if those cover more instances.
   std::map<pool_name, pool_view> FleetViews(
     const std::map<pool_name, pool_view>& aOwn,
     time_point aNow) const;
@@ -284,9 +289,9 @@
   // Whether the loads and demand of the peer are recent enough to be used.
   bool HasFreshLoad(const peer& aPeer, time_point aNow) const;
   std::size_t CountFreshLoads(time_point aNow) const;
-  // All instances in ring order; those of one domain are adjacent.
+  // All instances in ring order; instances of one domain are adjacent.
   instance_ring Ring() const;
-  // Extrapolates the sums to all instances.
+  // Extrapolates sums over some instances to all instances of the fleet.
   std::map<pool_name, pool_view> ScaleToFleet(
     const aggregated_views& aSums) const;
   // Ratio of all peers to those with fresh loads; 0 if there are none.
@@ -298,15 +303,18 @@
   std::vector<std::string> DomainPeers() const;
   // Whether all instances of a domain of this size read the source.
   bool AllRead(std::size_t aDomainSize) const;
-  // Counts of instances of this domain: `mInDomain` counts all of them
-  // including this one, the others only those that rank above this one.
+  // Counts of instances of this domain. `mInDomain` counts all of them
+  // including this one; `mCount`, `mActive` and `mServed` count only instances
+  // that rank above this one as readers.
   struct higher_ranked
   {
     std::size_t mInDomain = 1;
     std::size_t mCount = 0;
-    // Those from which a hello arrived within the last `mReaderTimeout`.
+    // Higher-ranked instances of this domain from which a hello arrived within
+    // the last `mReaderTimeout`.
     std::size_t mActive = 0;
-    // Those among `mActive` that do not report a failing source.
+    // Higher-ranked instances counted in `mActive` that do not report a failing
+    // source.
     std::size_t mServed = 0;
   };
   higher_ranked HigherRanked(time_point aNow) const;
@@ -325,16 +333,17 @@
   std::mt19937_64 mRandom;
   std::map<std::string, peer> mPeers;
   demand_aggregation mAggregation;
-  // Addresses that have not sent a hello yet, and when to stop trying them.
+  // Peer addresses from which no hello has arrived yet, and when to stop trying
+  // each of them.
   std::map<std::string, time_point> mUnconfirmed;
   time_point mNextRound{};
   time_point mNextSeeds{};
   time_point mNextReaderHello{};
   bool mReads = true;
-  // Whether this instance is one of the readers of a domain in which not all
-  // read.
+  // Whether this instance is a reader of its domain and the domain has
+  // instances that do not read the source.
   bool mReadsForDomain = false;
-  // Since when there have been too few readers of a higher rank; unset while
+  // Since when fewer readers than needed rank above this instance; unset while
   // there are enough.
   std::optional<time_point> mReadersMissingSince;
   std::size_t mMaxCount = 0;
