--- a/thornhollow/fleet/copy_requests.h
+++ b/thornhollow/fleet/copy_requests.h
@@ -76,8 +76,8 @@
                                  bool aReads,
                                  time_point aNow);
 
-  // To be called for each received chunk of a peer's answer, and when the
-  // answer has ended.
+  // `OnBytes` is to be called for each received chunk of a peer's answer, and
+  // `OnEnded` when the answer has ended.
   void OnBytes(copied_items aWhich, time_point aNow);
   void OnEnded(copied_items aWhich);
   // To be called when a peer declined the request because it is already sending
@@ -102,7 +102,7 @@
   time_point mNextRequest{};
   std::uint64_t mAttempt = 0;
   // When the last chunk of an incomplete transfer arrived, indexed by
-  // `copied_items`; unset if the copy is not being transferred.
+  // `copied_items`; unset once the transfer has ended.
   std::array<std::optional<time_point>, 2> mLastBytes;
 };
 
--- a/thornhollow/fleet/copy_requests_test.cc
+++ b/thornhollow/fleet/copy_requests_test.cc
@@ -112,8 +112,9 @@
 }
 
 // Guards against a reader that waits for `mSourceGracePeriod` anew after each
-// change of a series. A reader that has been behind throughout the series need
-// not wait again, because the source evidently does not answer it in time.
+// change of a series. A reader whose copy has been behind a peer's throughout
+// the series need not wait again, because the source evidently does not answer
+// it in time.
 TEST_CASE_FIXTURE(one_peer_with_newer_copies,
                   "copy_requests/reader_behind_in_a_series/asks_on")
 {
@@ -130,8 +131,8 @@
 }
 
 // Guards against all instances asking the source during a series of changes:
-// they are behind at every moment, although each change reaches them through a
-// peer in time.
+// their copies are behind at every moment, although each change reaches them
+// through a peer in time.
 TEST_CASE_FIXTURE(one_peer_with_newer_copies,
                   "copy_requests/behind_another_revision/the_time_begins_anew")
 {
--- a/thornhollow/fleet/demand_aggregation.h
+++ b/thornhollow/fleet/demand_aggregation.h
@@ -71,7 +71,8 @@
                          const outgoing_aggregation&) = default;
 };
 
-// All instances in ring order, and the position of this one.
+// Addresses of all instances in ring order, and the position of this instance
+// among them.
 struct instance_ring
 {
   std::vector<std::string> mAddresses;
@@ -109,8 +110,9 @@
     time_point aNow);
   void OnMessage(const aggregation_message& aSums, time_point aNow);
 
-  // Sum over a ring of `aInstances` instances including this one, as far as
-  // messages covered them; see `mInstances` of the result.
+  // Sum of the views over a ring of `aInstances` instances including this one,
+  // as far as messages covered them; `mInstances` of the result is the number
+  // of covered instances.
   aggregated_views Total(const std::map<pool_name, pool_view>& aOwn,
                          std::size_t aInstances,
                          time_point aNow) const;
@@ -121,8 +123,8 @@
     aggregation_message mMessage;
     time_point mAt{};
   };
-  // Messages of this instance by level, followed by one past the last level,
-  // whose remainder is the total.
+  // Messages of this instance, indexed by level, followed by one message past
+  // the last level, whose remainder is the sum over all instances.
   std::vector<aggregation_message> ComputeLevels(
     const std::map<pool_name, pool_view>& aOwn,
     std::size_t aInstances,
--- a/thornhollow/fleet/demand_aggregation_test.cc
+++ b/thornhollow/fleet/demand_aggregation_test.cc
@@ -141,7 +141,7 @@
     const aggregated_views result = TotalOf(each);
     CHECK(result.mInstances <= 150);
     // A sum over fewer than 20 instances is not used: the recent full hellos
-    // then cover more instances.
+    // cover more instances than such a sum.
     if (result.mInstances < 20) {
       continue;
     }
--- a/thornhollow/fleet/gossip_size.h
+++ b/thornhollow/fleet/gossip_size.h
@@ -14,7 +14,7 @@
 
 namespace thornhollow {
 
-// Bytes that the seal adds, excluding the sender's name.
+// Maximum bytes that the seal adds to a datagram, excluding the sender's name.
 inline constexpr std::size_t kMaxSealOverhead = 48;
 
 // Encoded sizes that the functions below add up: the header of a field with a
@@ -39,7 +39,8 @@
   return aLeaving.mEndpoint.Text().size() + 3 + 11 + 6 + 1;
 }
 
-// Size of the sealed datagram with all lists empty.
+// Upper bound on the size of the sealed datagram, in bytes, with all lists of
+// the message empty.
 inline std::size_t
 MaxHeaderSize(const gossip_message& aMessage)
 {
--- a/thornhollow/fleet/heavy_load_test.cc
+++ b/thornhollow/fleet/heavy_load_test.cc
@@ -63,7 +63,7 @@
     mFleet.Run(aFor);
   }
 
-  // Stops all arrivals and runs for `aMaxDuration`, in which the requests in
+  // Stops all arrivals and runs for `aMaxDuration`, so that the requests in
   // progress end or are abandoned by their callers.
   void Drain(duration aMaxDuration) { Load(0, 0, 0, aMaxDuration); }
 };
--- a/thornhollow/fleet/instance_list.h
+++ b/thornhollow/fleet/instance_list.h
@@ -29,7 +29,8 @@
 
 struct instance_list
 {
-  // The platform's version; increases with each change.
+  // Version of the list on the platform; increases with each change of the
+  // list.
   std::uint64_t mVersion = 0;
   std::vector<listed_instance> mInstances;
 
--- a/thornhollow/fleet/key_claims_test.cc
+++ b/thornhollow/fleet/key_claims_test.cc
@@ -110,8 +110,8 @@
 
 TEST_CASE_FIXTURE(key_fleet, "key/holder_killed/later_ones_are_held")
 {
-  // The instance that runs the request dies, so whether it ran is unknown. A
-  // retry must not cause a second run.
+  // The instance that runs the request dies, so whether the request ran is
+  // unknown. A retry must not cause a second run.
   mFleet.Submit(0, kKey);
   mFleet.RunFor(Milliseconds(600));
   REQUIRE(mFleet.Runs(kKey) == 1);
@@ -174,8 +174,8 @@
 TEST_CASE_FIXTURE(key_fleet, "key/refused_by_a_lost_witness/is_free_again")
 {
   // One of the three witnesses does not answer, so the submission is refused as
-  // "not run". The grants of the other two must not block the caller's retry
-  // for a whole lifetime.
+  // "not run". The grants of the other two witnesses must not block the
+  // caller's retry for a whole lifetime of the key.
   const auto witnesses = mFleet.WitnessNodes(kKey);
   mFleet.Isolate(witnesses[2], Seconds(5));
   const auto first = mFleet.Submit(NonWitnessNode(), kKey);
@@ -283,8 +283,9 @@
 TEST_CASE("key_witness/claim_after_its_own_release/is_not_granted")
 {
   // A claim is delayed in the socket of a paused witness, and its release, sent
-  // when the holder gave up, arrives first. If the claim were granted then, the
-  // key would be held for a lifetime with no submission behind it.
+  // when the holder gave up, arrives first. If the claim were granted after its
+  // release, the key would be held for a lifetime although no submission uses
+  // it.
   const claim_view view{
     { domain_name("hall") },
     { 1, { { instance_name("a"), domain_name("hall"), "", false } } }
--- a/thornhollow/fleet/key_holder.cc
+++ b/thornhollow/fleet/key_holder.cc
@@ -8,14 +8,14 @@
 namespace {
 
 // Delays after which a notification of the end of a submission is sent again.
-// They cover, in this order, a lost message, a short pause of the witness and a
-// longer pause.
+// The three delays cover, in this order, a lost message, a short pause of the
+// witness and a longer pause.
 constexpr std::array<duration, 3> kNotificationRetryDelays = { Seconds(1),
                                                                Seconds(5),
                                                                Seconds(25) };
-// Limit on notifications that await a retry. At 7.4 requests per second, the
-// peak of the largest deployment, about 230 notifications are waiting during
-// the 31 s that the retries take.
+// Maximum number of notifications that await a retry. At 7.4 requests per
+// second, the peak of the largest deployment, about 230 notifications are
+// waiting during the 31 s that the retries take.
 constexpr std::size_t kMaxPendingNotifications = 4096;
 
 error_kind
@@ -321,8 +321,8 @@
 {
   aClaim.mNextRenewal = aNow + mSettings.mLifetime / 4;
   // Also claims the key from instances that have become witnesses since the
-  // last renewal. Otherwise, during a long run, all witnesses that know the key
-  // could be replaced one after the other.
+  // last renewal. Without these claims, all witnesses that know the key could
+  // be replaced one after the other during a long run.
   aClaim.mRequest.mWitnesses =
     WitnessesOf(aClaim.mRequest.mKey, mView, mSettings.mWitnesses);
   for (const instance_name& each : aClaim.mRequest.mWitnesses) {
--- a/thornhollow/fleet/key_holder.h
+++ b/thornhollow/fleet/key_holder.h
@@ -72,9 +72,9 @@
                          const run_submission&) = default;
 };
 
-// Tells the owner of the `key_holder` that the submission must not run. The
-// holder no longer tracks it. The call of `Submit` or `BeforeSend` that is
-// refused has not returned `run_submission`.
+// Tells the owner of the `key_holder` that the submission must not run and is
+// no longer tracked. If `Submit` or `BeforeSend` returns this action for a
+// submission, it has not returned `run_submission` in the same call.
 struct refuse_submission
 {
   submission_id mSubmission = 0;
@@ -106,9 +106,10 @@
                      time_point aNow);
 
   // Must be called before each attempt to send the submission to an endpoint,
-  // and only while nothing has been run yet. Returns `run_submission` at once
-  // while the claim is known to be valid; otherwise `run_submission` or
-  // `refuse_submission` follows once the key has been claimed again.
+  // and only while no attempt of the submission has run yet. Returns
+  // `run_submission` at once while the claim is known to be valid. If it is
+  // not, `run_submission` or `refuse_submission` follows once the key has been
+  // claimed again.
   key_actions BeforeSend(submission_id aSubmission, time_point aNow);
 
   key_actions OnAnswer(const claim_answer& aAnswer, time_point aNow);
@@ -141,14 +142,13 @@
     claim_request mRequest;
     std::vector<instance_name> mPending;
     std::vector<instance_name> mGranted;
-    // Every witness that was ever contacted; all of them are notified when the
-    // submission ends.
+    // Every witness that was ever contacted about this claim; all of them are
+    // notified when the submission ends.
     std::vector<instance_name> mContacted;
     bool mVouched = false;
     bool mHeld = false;
     time_point mSubmittedAt{};
-    // Start of the current round, in which the key is requested from its
-    // witnesses one after the other.
+    // When the current round of requests to the key's witnesses started.
     time_point mRoundStartedAt{};
     // Time of the last request sent to a witness in the current round.
     time_point mLastRequestAt{};
@@ -171,8 +171,8 @@
 
   void DetectPause(time_point aNow);
   claim* FindBySubmission(submission_id aSubmission);
-  // Starts a new round of requests for the key, with the highest-ranked witness
-  // first.
+  // Starts a new round of requests for the key, beginning with the
+  // highest-ranked witness.
   void StartRound(claim& aClaim, time_point aNow, key_actions& aOut);
   void RequestGrant(claim& aClaim,
                     const instance_name& aWitness,
--- a/thornhollow/fleet/key_search_test.cc
+++ b/thornhollow/fleet/key_search_test.cc
@@ -184,7 +184,8 @@
 }
 
 // With a protection disabled, the search of key_search must find requests that
-// run twice; otherwise its success with all protections would prove nothing.
+// run twice; if it found none, its success with all protections would prove
+// nothing.
 TEST_CASE_FIXTURE(key_search, "key_search/without_claims/keys_run_twice")
 {
   mProtections.mClaims = false;
--- a/thornhollow/fleet/key_witness.cc
+++ b/thornhollow/fleet/key_witness.cc
@@ -191,9 +191,10 @@
 void
 key_witness::RecordUsed(const claim_request& aRequest, time_point aNow)
 {
-  // The end is recorded even if this witness does not know the key, because it
-  // is new, or if another submission holds the key: the request may have run,
-  // so the key must not be granted to any submission.
+  // The end of the submission is recorded even if this witness does not know
+  // the key, because the witness is new, or if another submission holds the
+  // key: the request may have run, so the key must not be granted to any
+  // submission.
   entry* const used = StoreEntry(aRequest, aNow);
   if (used != nullptr) {
     used->mState = entry_state::kUsed;
@@ -205,8 +206,8 @@
 {
   const auto found = mEntries.find(aRequest.mKey);
   if (found == mEntries.end()) {
-    // The claim itself has not arrived yet; the entry makes sure that it is
-    // denied when it does.
+    // The claim of the released submission has not arrived yet; the entry makes
+    // sure that the claim is denied when it arrives.
     if (entry* const released = StoreEntry(aRequest, aNow)) {
       released->mState = entry_state::kReleased;
     }
--- a/thornhollow/fleet/key_witness.h
+++ b/thornhollow/fleet/key_witness.h
@@ -48,8 +48,9 @@
   // if the list is unchanged: no key is granted until then.
   void OnView(const claim_view& aView, time_point aNow);
 
-  // Decides whether to grant a claimed key. If the request records the end of a
-  // submission, the answer only acknowledges the request.
+  // Decides whether to grant a claimed key, or records that a submission has
+  // ended. The answer to a request that records an end only acknowledges that
+  // request.
   claim_answer OnRequest(const claim_request& aRequest, time_point aNow);
 
   // Erases expired keys and detects pauses. Call it every 100 ms.
@@ -78,7 +79,8 @@
     time_point mExpires{};
   };
 
-  // A view that was in force from `mSince` until the next one.
+  // A view of the domains and instances that was in force from `mSince` until
+  // the next view.
   struct past_view
   {
     claim_view mView;
--- a/thornhollow/fleet/member_search_test.cc
+++ b/thornhollow/fleet/member_search_test.cc
@@ -19,8 +19,8 @@
 
 constexpr int kSeedsInCi = 40;
 constexpr int kNodes = 7;
-// A node that runs and is reachable by all must be in every view again after
-// this time.
+// Maximum time after which a node that runs and is reachable by all other nodes
+// must be in every view again.
 constexpr duration kMaxRejoinTime = Seconds(15);
 
 enum class fault : std::uint8_t
@@ -100,7 +100,7 @@
   }
 
   // Whether `aNode` has run without an injected fault for long enough to be in
-  // the views of all members that it can reach.
+  // the views of all members that `aNode` can reach.
   static bool IsStable(const fake_network& aNetwork,
                        const fake_network::node& aNode)
   {
@@ -220,7 +220,8 @@
 {
   // In these seeds, two members alone on one side of a partition did not find
   // each other for more than 15 s: each pinged one random member per interval
-  // among those that it did not consider alive, and a few pings were lost.
+  // among the members that it did not consider alive, and a few pings were
+  // lost.
   for (const std::uint64_t seed : { 763, 925, 2167, 5872 }) {
     CHECK(Run(Events(seed), seed) == "");
   }
--- a/thornhollow/fleet/membership.cc
+++ b/thornhollow/fleet/membership.cc
@@ -11,7 +11,7 @@
 namespace thornhollow {
 namespace {
 
-// Limit on concurrent indirect pings; each ends within a second.
+// Maximum number of concurrent indirect pings; each ends within a second.
 constexpr std::size_t kMaxIndirectPings = 64;
 // Pressures may take up to 1 / kPressureDivisor of the space in a datagram
 // beyond its header and the leaving endpoints.
@@ -211,7 +211,8 @@
 {
   membership_actions out;
   DetectPause(aNow, out);
-  // An endpoint repeats the report with each answer; only the first is new.
+  // An endpoint repeats the report that it is leaving with each answer; only
+  // the first report is new.
   if (!mLeft && !mShared.IsLeaving(aEndpoint, aNow)) {
     mShared.AddLeaving(aEndpoint, aFor, aNow);
     PushUpdates(aNow, out);
@@ -539,9 +540,9 @@
     return aEntry.second.mListedOnly ||
            aEntry.second.mDigest.mStatus != member_status::kAlive;
   };
-  // Visits these members in order of their names: with random picks, two
-  // members alone on one side of a partition did not ping each other for more
-  // than 15 s.
+  // Visits the members that are not alive in order of their names: with random
+  // picks, two members alone on one side of a partition did not ping each other
+  // for more than 15 s.
   auto next = std::find_if(
     mMembers.upper_bound(mLastNotAlive), mMembers.end(), isNotAlive);
   if (next == mMembers.end()) {
--- a/thornhollow/fleet/membership.h
+++ b/thornhollow/fleet/membership.h
@@ -74,7 +74,7 @@
   // listed.
   duration mTombstoneLifetime = Seconds(60);
   std::size_t mIndirectProbers = 2;
-  // Number of members to which an update is pushed at once.
+  // Number of members to which an update is pushed as soon as it is known.
   std::size_t mFanout = 4;
   // Number of members of a domain that exchange messages with each other
   // domain.
@@ -104,7 +104,7 @@
 
 enum class member_change : std::uint8_t
 {
-  // The member was reported as alive for the first time.
+  // The member was reported as alive or suspected for the first time.
   kJoined,
   kSuspected,
   // The member refuted the suspicion.
@@ -160,8 +160,8 @@
                          const process_paused&) = default;
 };
 
-// The refresh after a pause has ended; `mPeerResponded` is false if it timed
-// out.
+// The refresh after a pause has ended; `mPeerResponded` is false if no peer
+// responded before the refresh timed out.
 struct refresh_finished
 {
   bool mPeerResponded = false;
@@ -306,8 +306,8 @@
   void AdvanceProbe(time_point aNow, membership_actions& aOut);
   void StartProbe(time_point aNow, membership_actions& aOut);
   void FailProbe(time_point aNow, membership_actions& aOut);
-  // Pings the next member that is only listed, suspected or removed, so that it
-  // can rejoin.
+  // Pings the next member, by name, that is known only from the platform's
+  // list, suspected or removed, so that it can rejoin.
   void PingNotAlive(time_point aNow, membership_actions& aOut);
   void SendToOtherDomains(gossip_kind aKind,
                           time_point aNow,
--- a/thornhollow/fleet/membership_test.cc
+++ b/thornhollow/fleet/membership_test.cc
@@ -154,8 +154,8 @@
                   "membership/older_process_of_a_name/is_superseded")
 {
   // Two processes run under one name, or a restarted process has an older
-  // clock. Peers ignore the one with the lower epoch; unless it is informed, it
-  // would keep serving without peers.
+  // clock. Peers ignore the process with the lower epoch; unless that process
+  // is informed, it would keep serving without peers.
   gossip_message ping;
   ping.mDomain = domain_name("hall");
   ping.mSender = mNetwork.Core("n0").Self();
@@ -202,8 +202,8 @@
       }));
     }
   }
-  // The report expires at every instance, however often instances have passed
-  // it on.
+  // The report of the leaving endpoint expires at every instance, however often
+  // instances have passed it on.
   mNetwork.RunFor(Seconds(20));
   for (const auto& [name, each] : mNetwork.Nodes()) {
     CHECK(each.mCore->Shared().Leaving(mNetwork.Now()).empty());
--- a/thornhollow/fleet/peer_messages.h
+++ b/thornhollow/fleet/peer_messages.h
@@ -96,7 +96,7 @@
   kAck,
   // Asks the receiver to ping `mTarget` on the sender's behalf.
   kPingRequest,
-  // Carries an update of the sender's state; no answer is expected.
+  // Delivers recent changes to the receiver; no answer is expected.
   kPush,
 };
 
@@ -104,7 +104,8 @@
 struct gossip_message
 {
   gossip_kind mKind = gossip_kind::kPing;
-  // An ack repeats the value of its ping.
+  // Number that matches an ack to its ping: an ack repeats the value of the
+  // ping.
   std::uint64_t mExchange = 0;
   domain_name mDomain;
   member_digest mSender;
@@ -114,7 +115,8 @@
   std::uint64_t mConfigurationVersion = 0;
   std::vector<pool_pressure> mPressures;
   std::vector<leaving_endpoint> mLeaving;
-  // Age that accompanies `mConfigurationVersion`; see config_hint.
+  // Age of the platform's information that accompanies `mConfigurationVersion`;
+  // see config_hint.
   std::optional<duration> mPlatformAge;
 
   friend bool operator==(const gossip_message&,
--- a/thornhollow/fleet/relay_peers.cc
+++ b/thornhollow/fleet/relay_peers.cc
@@ -271,10 +271,10 @@
                      other.mEndpoints > aOwn.mEndpoints };
 }
 
-// Prefers peers of the same domain, then those with later revisions. Ties are
-// broken by a hash that differs for each requesting instance and attempt: a
-// reader announces a new revision to its whole domain at once, so many
-// instances choose at the same time.
+// Prefers peers of this instance's domain, then peers with later revisions.
+// Ties are broken by a hash that differs for each requesting instance and
+// attempt: a reader announces a new revision to its whole domain at once, so
+// many instances choose at the same time.
 bool
 relay_peers::IsBetter(const peer& aLeft,
                       const peer& aRight,
--- a/thornhollow/fleet/relay_peers.h
+++ b/thornhollow/fleet/relay_peers.h
@@ -7,25 +7,24 @@
 //   const auto from = peers.FindNewerCopy(own, 0, now);  // peer to fetch from
 //
 // There is no consensus. Each instance sends its own state in hellos and uses
-// what it receives for as long as that is fresh. It starts from a few seed
-// addresses, any of which may be stale, and learns further addresses from the
-// peers that answer.
+// the state that it receives from a peer until that state exceeds its maximum
+// age. An instance starts from a few seed addresses, any of which may be stale,
+// and learns further addresses from the peers that answer.
 //
 // Scales to a fleet of any size: in each interval an instance sends hellos to a
 // bounded number of randomly chosen peers. A newly learned address is probed
 // next.
 //
 // In a large failure domain a few instances, the readers, read the source for
-// all: those with the widest links, ties broken by a hash of the address. The
-// others take the readers' copies. On a site of 90 engines the list of
-// endpoints changes every second or two, and without readers each change would
-// cost one source call per instance. Readers send frequent hellos to their
-// whole domain. An instance that receives hellos from too few readers of a
-// higher rank becomes a reader too. The lower its rank, the longer it waits, so
-// that the hello of the first new reader arrives before others start. A reader
-// that the
-// source does not answer keeps calling it, and one more instance reads
-// alongside it.
+// all: those with the widest links, ties broken by a hash of the address.
+// Instances that are not readers take the readers' copies. On a site of 90
+// engines the list of endpoints changes every second or two, and without
+// readers each change would cost one source call per instance. Readers send
+// frequent hellos to their whole domain. An instance that receives hellos from
+// too few readers of a higher rank becomes a reader too. The lower its rank,
+// the longer it waits, so that the hello of the first new reader arrives before
+// other instances become readers. A reader that the source does not answer
+// keeps calling it, and one more instance reads alongside it.
 //
 // Guards against a source that does not serve this instance while it serves
 // others, which leaves the configuration stale on this instance only. Peers
@@ -166,8 +165,8 @@
   // `mPeerTimeoutStep` for every `mFanout` peers.
   duration mPeerTimeout = Seconds(4);
   duration mPeerTimeoutStep = Milliseconds(1'600);
-  // Maximum age of loads and demand reported by a peer; older reports are
-  // ignored.
+  // Maximum age of what a peer reported: loads, demand, revisions and a failing
+  // source. Older reports are ignored.
   duration mMaxAge = Milliseconds(1'200);
   // Interval at which seeds that have not answered and newly learned addresses
   // are tried.
@@ -175,12 +174,13 @@
   // Maximum number of peer addresses, chosen at random, that a hello (the
   // periodic gossip message) contains.
   std::size_t mAddressesPerHello = 6;
-  // Readers of a failure domain with more than `mAllReadUpTo` instances. 0
-  // makes every instance a reader; other values should be at least two, so that
-  // the domain stays up to date until the failure of one reader is detected.
+  // Number of readers of a failure domain with more than `mAllReadUpTo`
+  // instances. 0 makes every instance a reader; other values should be at least
+  // two, so that the domain stays up to date until the failure of one reader is
+  // detected.
   std::size_t mReaders = 2;
   std::size_t mAllReadUpTo = 6;
-  // Upper bound on the readers of a domain while the source does not answer
+  // Maximum number of readers of a domain while the source does not answer
   // them: in an outage of the source not every instance needs to send it
   // requests.
   std::size_t mMaxReaders = 6;
@@ -200,7 +200,7 @@
   // `mMaxAge`.
   std::size_t mAggregateFrom = 16;
   demand_aggregation_settings mAggregation;
-  // Upper bound on tracked peers; above the 420 instances of a large fleet.
+  // Maximum number of tracked peers; above the 420 instances of a large fleet.
   std::size_t mMaxPeers = 512;
   // `Count` returns the largest count of this period, so that a fleet-wide
   // limit that is divided among the instances is not exceeded while some cannot
@@ -279,7 +279,8 @@
   {
     relay_hello mHello;
     time_point mLastMessage{};
-    // When the loads and demand of the peer were last received.
+    // When the loads and demand of the peer were last received; unset if they
+    // have not been received yet.
     std::optional<time_point> mLastFullHello = std::nullopt;
   };
 
@@ -294,7 +295,8 @@
   // Extrapolates sums over some instances to all instances of the fleet.
   std::map<pool_name, pool_view> ScaleToFleet(
     const aggregated_views& aSums) const;
-  // Ratio of all peers to those with fresh loads; 0 if there are none.
+  // Ratio of the number of all peers to the number of peers with fresh loads; 0
+  // if no peer has fresh loads.
   double FreshLoadScale(time_point aNow) const;
   bool IsBetter(const peer& aLeft,
                 const peer& aRight,
--- a/thornhollow/fleet/relay_peers_test.cc
+++ b/thornhollow/fleet/relay_peers_test.cc
@@ -22,7 +22,7 @@
   std::map<std::string, std::unique_ptr<relay_peers>> mPeers;
   std::map<std::string, known_revisions> mKnown;
   std::map<std::string, bool> mCutOff;
-  // Instances that the source does not answer.
+  // Addresses of instances that the source does not answer.
   std::map<std::string, bool> mSourceFails;
   std::map<std::string, std::uint32_t> mMegabits;
   time_point mNow = time_point() + Seconds(100);
@@ -110,7 +110,7 @@
                   "relay_peers/behind_the_others/knows_whom_to_ask")
 {
   // Guards against an instance that keeps accepting a revoked token because the
-  // source does not answer it, while it answers the others.
+  // source does not answer this instance, while it answers the other instances.
   Add("a", { "b" });
   Add("b", {});
   Run(Seconds(2));
@@ -125,7 +125,8 @@
 TEST_CASE_FIXTURE(hello_fleet, "relay_peers/cut_off/counts_the_fleet_as_it_was")
 {
   // Guards against exceeding the fleet-wide retry limit while a link is down:
-  // each side would divide it among the few instances that it can still reach.
+  // the instances on each side of the link would divide the limit among the few
+  // instances that they can still reach.
   Add("a", { "b" });
   Add("b", {});
   Add("c", { "b" });
@@ -331,7 +332,7 @@
   Deliver("b", "a", false, true);
   CHECK(mPeers["a"]->RemoteLoad(mNow).at(1).mPrefillTokens == 10);
   CHECK(mPeers["a"]->Alive() == 1);
-  // A brief hello does not refresh the age of the loads either.
+  // A brief hello does not refresh the age of the peer's loads.
   relay_peers& subject = *mPeers["a"];
   mNow += mSettings.mMaxAge;
   Deliver("b", "a", false, true);
--- a/thornhollow/fleet/shared_state.cc
+++ b/thornhollow/fleet/shared_state.cc
@@ -5,9 +5,9 @@
 namespace thornhollow {
 namespace {
 
-// Limit on entries of each kind. The largest deployment has 24 models and 850
-// endpoints, a few of which leave at a time; the limit keeps a faulty peer from
-// exhausting memory.
+// Maximum number of peer pressures, and of leaving endpoints. The largest
+// deployment has 24 models and 850 endpoints, a few of which leave at a time;
+// the limit keeps a faulty peer from exhausting memory.
 constexpr std::size_t kMaxEntries = 256;
 
 } // namespace
@@ -122,9 +122,9 @@
   }
   const int known = at->second.mPressure.mLowestAdmitted;
   const int received = aNew.mPressure.mLowestAdmitted;
-  // A smaller number of admitted tiers is tighter. Of two equal pressures the
-  // more recent one is kept; otherwise a reported wait that has become shorter
-  // would keep its old value.
+  // Keeps the pressure that admits fewer tiers. Of two pressures that admit the
+  // same tiers the more recent one is kept, because a reported wait that has
+  // become shorter would keep its old value if the older one were kept.
   if (received < known ||
       (received == known && aNew.mMeasuredAt > at->second.mMeasuredAt)) {
     at->second = aNew;
--- a/thornhollow/fleet/silent_source_test.cc
+++ b/thornhollow/fleet/silent_source_test.cc
@@ -89,8 +89,8 @@
     const double length = ToSeconds(Between(std::log(0.3), std::log(30)));
     const duration until = from + FromSeconds(std::exp(length));
     mFleet.Silence(from, until);
-    // In half of the cases the first change of the series comes at about the
-    // end of the outage, and may have to wait for the recovery.
+    // In half of the cases the first change of the series is due at about the
+    // end of the outage, and may have to wait until the source answers again.
     mAt = until + (mRandom() % 2 == 0 ? Between(-0.3, 0.1) : Between(0, 2));
     const std::uint64_t changes = 1 + mRandom() % 3;
     for (std::uint64_t each = 0; each < changes; ++each) {
@@ -101,7 +101,8 @@
   }
 };
 
-// The number of seeds can be overridden by THORNHOLLOW_SEARCH_SEEDS.
+// Runs a `random_fleet` for each seed. The number of seeds can be overridden by
+// THORNHOLLOW_SEARCH_SEEDS.
 void
 CheckSeeds(const fleet_shape& aShape,
            std::uint64_t aSeeds,
--- a/thornhollow/fleet/testing/fake_key_fleet.h
+++ b/thornhollow/fleet/testing/fake_key_fleet.h
@@ -31,11 +31,12 @@
 // Protections that a test may disable to show that each one is needed.
 struct key_protections
 {
-  // Claim keys from witnesses at all.
+  // Whether keys are claimed from witnesses at all.
   bool mClaims = true;
-  // Require that a witness vouches.
+  // Whether at least one witness must vouch for a granted key.
   bool mVouching = true;
-  // Check the claim again before sending, as a pause may have expired it.
+  // Whether the claim is checked again before sending, as a pause may have
+  // expired it.
   bool mBeforeSend = true;
 
   friend bool operator==(const key_protections&,
@@ -153,7 +154,7 @@
     return found == mRuns.end() ? 0 : found->second;
   }
 
-  // Requests sent to witnesses.
+  // Number of requests sent to witnesses so far.
   std::uint64_t RequestsSent() const { return mRequestsSent; }
 
   // The shortest time between two runs of one key, if any key ran twice.
@@ -188,7 +189,7 @@
     std::unique_ptr<key_witness> mWitness;
     // Submissions whose `BeforeSend` has been called.
     std::map<submission_id, bool> mBeforeSendCalled;
-    // Callbacks to run on resume.
+    // Callbacks to run when the paused instance resumes.
     std::vector<std::function<void()>> mInbox;
   };
 
@@ -275,8 +276,9 @@
     }
   }
 
-  // Delivers the current list after a random lag, provided that the node then
-  // still runs the same process and is not paused.
+  // Delivers the current list of instances to the node after a random lag,
+  // provided that, after the lag, the node still runs the same process and is
+  // not paused.
   void DeliverView(std::size_t aNode)
   {
     const auto lag = std::uniform_int_distribution<std::int64_t>(
@@ -334,8 +336,9 @@
     });
   }
 
-  // Runs the callback after the delay or, if the instance is paused then, when
-  // it resumes, and only if the node still runs the same process.
+  // Runs the callback after the delay or, if the instance is paused at the end
+  // of the delay, when it resumes, and only if the node still runs the same
+  // process.
   void ScheduleOnProcess(std::size_t aNode,
                          duration aAfter,
                          std::function<void()> aCallback)
--- a/thornhollow/fleet/testing/fake_network.h
+++ b/thornhollow/fleet/testing/fake_network.h
@@ -27,10 +27,10 @@
 
 struct link_quality
 {
-  // Fractions of datagrams, 0 to 1.
+  // Fractions of datagrams that are lost or duplicated, 0 to 1.
   double mLossRate = 0;
   double mDuplicationRate = 0;
-  // Fraction delayed by up to two seconds.
+  // Fraction of datagrams that are delayed by up to two seconds, 0 to 1.
   double mDelayRate = 0;
 
   friend bool operator==(const link_quality&, const link_quality&) = default;
@@ -50,7 +50,8 @@
     std::uint64_t mEpoch = 1;
     // Datagrams that arrived while the node was paused.
     std::vector<gossip_message> mInbox;
-    // All actions except datagrams, with their time.
+    // All actions that the node returned except datagrams, with the time of
+    // each.
     std::vector<std::pair<time_point, membership_action>> mActions;
     // Time since which the node has run without an injected fault.
     time_point mStableSince{};
@@ -62,7 +63,8 @@
   {
   }
 
-  // Called with each datagram that a node sends; returns what is delivered.
+  // Called with each datagram that a node sends; returns the message to deliver
+  // instead, or nothing to drop the datagram.
   std::function<std::optional<gossip_message>(const instance_name& aFrom,
                                               const send_datagram&)>
     mIntercept;
@@ -149,7 +151,7 @@
   }
 
   // Runs until `aDone` returns true and returns the time taken, or nothing if
-  // that exceeds `aLimit`.
+  // `aDone` does not return true within `aLimit`.
   template<class predicate>
   std::optional<duration> RunUntilHolds(predicate aDone, duration aLimit)
   {
@@ -179,7 +181,7 @@
   std::map<instance_name, node>& Nodes() { return mNodes; }
   time_point Now() const { return mNow; }
 
-  // Whether `aOne` considers `aOther` not removed.
+  // Whether `aOne` lists `aOther` as a member that is not removed.
   bool Sees(const node& aOne, const node& aOther) const
   {
     const auto found = aOne.mCore->Find(aOther.mInfo.mName);
@@ -192,7 +194,7 @@
     time_point mAt;
     std::uint64_t mSequence = 0;
     instance_name mTo;
-    // Null for a tick.
+    // Message that arrives with this event; null if the event is a tick.
     std::shared_ptr<const gossip_message> mMessage;
 
     // std::priority_queue returns the largest element first.
--- a/thornhollow/fleet/testing/fleet_shape.h
+++ b/thornhollow/fleet/testing/fleet_shape.h
@@ -17,9 +17,9 @@
   int mPerDomain = 2;
   // Latency of an answer of the source.
   duration mSourceLatency = Milliseconds(10);
-  // Readers of each domain; 0 if all instances read the source.
+  // Number of readers of each domain; 0 if all instances read the source.
   std::size_t mReaders = 0;
-  // Fraction of the hellos that are lost.
+  // Fraction of the hellos that are lost, 0 to 1.
   double mLossRate = 0;
   // Time from a request for a copy until the answer starts to arrive.
   duration mCopyLatency = Milliseconds(40);
@@ -38,8 +38,8 @@
   friend bool operator==(const fleet_shape&, const fleet_shape&) = default;
 };
 
-// Time from the acknowledgement of a change until every instance held it or a
-// newer one.
+// When a change was acknowledged, and the time from the acknowledgement until
+// every instance held the change or a newer one.
 struct change_delay
 {
   duration mAcknowledged{};
--- a/thornhollow/fleet/testing/modelled_instance.h
+++ b/thornhollow/fleet/testing/modelled_instance.h
@@ -68,11 +68,11 @@
   // Whether no call is pending or scheduled because other instances read the
   // source for this one.
   bool mIdle = false;
-  // Concurrent calls, the newest last.
+  // Concurrent calls to the source, ordered by their start, the newest last.
   std::vector<outstanding_call> mOutstanding = {};
   pending_calls mRound = pending_calls{};
-  // Calls of earlier rounds. Their answers are ignored but still take up the
-  // link.
+  // Calls to the source of earlier rounds of calls. Answers to these calls are
+  // ignored but still take up the link.
   std::vector<outstanding_call> mAbandoned = {};
 };
 
@@ -90,8 +90,8 @@
   time_point mBlockedFrom{};
   time_point mBlockedUntil{};
   endpoint_roster mRoster{ roster_settings{} };
-  // Whether the instance is a reader, and whether it asks the source, be it as
-  // a reader or for another reason.
+  // `mReads`: whether the instance is a reader. `mFollowsSource`: whether it
+  // asks the source, as a reader or for another reason.
   bool mReads = true;
   bool mFollowsSource = true;
   std::vector<pending_copy> mCopies = {};
@@ -110,7 +110,7 @@
 }
 
 // Reports to the roster when the source last answered this instance or,
-// according to its peers, another one.
+// according to its peers, another instance.
 inline void
 ReportSourceAnswers(modelled_instance& aInstance)
 {
--- a/thornhollow/fleet/testing/relay_load_fleet.h
+++ b/thornhollow/fleet/testing/relay_load_fleet.h
@@ -42,7 +42,8 @@
   double mSharedTokens = 0;
   std::uint32_t mSessions = 1;
   double mAnswerTokens = 0;
-  // Standard deviation of the logarithm of the sizes; 0 if all are equal.
+  // Standard deviation of the logarithm of the request sizes; 0 if all sizes
+  // are equal.
   double mLengthLogStdDev = 0;
 
   friend bool operator==(const load_profile&, const load_profile&) = default;
@@ -65,11 +66,11 @@
 {
   int mRequests = 0;
   int mInTime = 0;
-  // Completed, but started late or with too long a pause.
+  // Requests that were completed, but started late or with too long a pause.
   int mLate = 0;
   int mRefused = 0;
   int mDeclined = 0;
-  // Abandoned by their callers at the deadline.
+  // Requests that their callers abandoned at the deadline.
   int mTimedOut = 0;
 
   double InTimeFraction() const
@@ -121,7 +122,7 @@
     }
   }
 
-  // Resets the results.
+  // Resets the results of all workload kinds to zero.
   void ResetCounts() { mResults.assign(mResults.size(), load_result{}); }
 
   const load_result& Result(std::size_t aKind) const
@@ -145,7 +146,7 @@
   static constexpr duration kTickInterval = Milliseconds(100);
   // Cost of copying a shared prefix between engines, in prefill tokens.
   static constexpr double kCopyTokens = 2'500;
-  // Sessions that fit into an engine's prefix cache.
+  // Maximum number of sessions in an engine's prefix cache.
   static constexpr std::size_t kMaxCachedSessions = 40;
 
   struct instance
@@ -304,8 +305,8 @@
     mActive.emplace(mLastId, aRequest);
   }
 
-  // Tokens of the shared prefix that the engine has to prefill, or the cost of
-  // copying it if that is lower.
+  // Number of tokens of the shared prefix that the engine has to prefill, or
+  // the cost of copying the prefix, in prefill tokens, if that cost is lower.
   double UncachedTokens(const active_request& aRequest)
   {
     std::vector<std::uint64_t>& cached = mCachedSessions[aRequest.mEngine];
@@ -466,7 +467,8 @@
   std::mt19937_64 mRandom;
   time_point mNow = time_point() + Seconds(1'000);
   std::vector<slot_engine> mEngines;
-  // Sessions whose prefixes are cached, by engine, the most recent last.
+  // Sessions whose prefixes are cached, indexed by engine; of each engine the
+  // most recently used session is last.
   std::vector<std::vector<std::uint64_t>> mCachedSessions;
   std::map<endpoint_name, std::size_t> mEngineIndex;
   std::vector<instance> mInstances;
--- a/thornhollow/fleet/testing/silent_source.h
+++ b/thornhollow/fleet/testing/silent_source.h
@@ -38,7 +38,8 @@
   bool mRemoved = false;
   std::uint64_t mRevision = 0;
   time_point mAt{};
-  // Set by the observer once every instance has applied it.
+  // When every instance had applied the change; set by the observer of the
+  // source.
   std::optional<time_point> mAppliedEverywhereAt = std::nullopt;
 };
 
@@ -53,8 +54,8 @@
     mSilences.push_back({ aFrom, aUntil });
   }
 
-  // The change is published at this time or, if the source is silent then, as
-  // soon as it answers again.
+  // Schedules a change. It is published at `aAt` or, if the source is silent at
+  // that time, as soon as the source answers again.
   void ScheduleChange(time_point aAt,
                       source_item_type aType,
                       std::string aKey,
@@ -65,7 +66,7 @@
     mScheduled.insert(position, { aAt, aType, std::move(aKey), aRemoves });
   }
 
-  // Publishes the changes that are due.
+  // Publishes the scheduled changes whose time has come.
   void Publish(time_point aNow)
   {
     while (!mScheduled.empty() && mScheduled.front().mAt <= aNow &&
@@ -89,8 +90,8 @@
   const std::vector<source_change>& Changes() const { return mChanges; }
   std::vector<source_change>& Changes() { return mChanges; }
 
-  // Answer to a watch after revision `aAt`, with the changes up to revision
-  // `aUntil`.
+  // Returns the answer to a watch that starts after revision `aAt`, with the
+  // changes up to revision `aUntil`.
   std::vector<item_change> ChangesAfter(source_item_type aType,
                                         std::uint64_t aAt,
                                         std::uint64_t aUntil = kNewest) const
--- a/thornhollow/fleet/testing/silent_source_fleet.h
+++ b/thornhollow/fleet/testing/silent_source_fleet.h
@@ -55,15 +55,16 @@
     }
   }
 
-  // Times count from the start of the run. Calls that arrive or are pending at
-  // the source while it is silent are never answered, not even afterwards.
+  // Makes the source silent from `aFrom` to `aUntil`, counted from the start of
+  // the run. Calls that arrive or are pending at the source while it is silent
+  // are never answered, not even afterwards.
   void Silence(duration aFrom, duration aUntil)
   {
     mSource.Silence(mStart + aFrom, mStart + aUntil);
   }
 
   // Changes one item. The change is acknowledged at `aAt` or, if the source is
-  // silent then, as soon as the source answers again.
+  // silent at that time, as soon as the source answers again.
   void Change(duration aAt, source_item_type aType)
   {
     mSource.ScheduleChange(mStart + aAt, aType, "item", false);
@@ -89,8 +90,8 @@
     mIsolatedFrom = mStart + aFrom;
   }
 
-  // The source does not answer the instance's calls that arrive or are pending
-  // in this period.
+  // Makes the source ignore the calls of one instance that arrive or are
+  // pending from `aFrom` to `aUntil`.
   void BlockSource(int aInstance, duration aFrom, duration aUntil)
   {
     instance& one = mInstances.at(static_cast<std::size_t>(aInstance));
@@ -170,7 +171,7 @@
       .size();
   }
 
-  // Instances that are readers now.
+  // Indices of the instances that are currently readers.
   std::vector<int> Readers() const
   {
     std::vector<int> readers;
@@ -191,7 +192,7 @@
   // As in the daemon: the longest wait for the next chunk of a copy.
   static constexpr duration kCopyTimeout = Milliseconds(600);
   static constexpr double kEndpointBytes = 300;
-  // Copies from peers that are larger than this are rejected.
+  // Maximum size of a copy from a peer, in bytes; larger copies are rejected.
   static constexpr double kMaxCopyBytes = 1'048'576 + 4'096;
   // As in the daemon: for how long a failure of the source is reported to
   // peers.
@@ -296,7 +297,8 @@
     ++mCalls;
   }
 
-  // Handles the answers that have arrived. Returns whether they had changes.
+  // Handles the answers of the source that have arrived. Returns whether any
+  // answer had changes.
   bool ProcessAnswers(instance& aInstance, subscription& aSubscription)
   {
     UpdateCalls(aInstance, aSubscription, aSubscription.mAbandoned);
@@ -367,7 +369,7 @@
            std::max(Due(aCall), aCall.mLastBytes) + aCall.mCall.mIdleTimeout;
   }
 
-  // The newest call has timed out.
+  // Handles the time-out of the newest call to the source.
   void Fail(const instance& aInstance, subscription& aSubscription)
   {
     std::vector<item_change> none;
@@ -396,8 +398,8 @@
   }
 
   // Size of the answer of the source, in bytes. The answer to a listing has
-  // only the newest configuration, that to a watch has every version after the
-  // revision that the call named.
+  // only the newest configuration; the answer to a watch has every version
+  // after the revision that the call named.
   double AnswerBytes(const subscription& aSubscription,
                      const outstanding_call& aCall) const
   {
--- a/thornhollow/fleet/testing/slot_engine.h
+++ b/thornhollow/fleet/testing/slot_engine.h
@@ -18,18 +18,21 @@
 
 struct engine_shape
 {
-  // Requests that run concurrently; others wait in order of priority.
+  // Maximum number of requests that run concurrently; further requests wait in
+  // order of priority.
   std::size_t mSlots = 12;
-  // Further requests are refused while this number of requests wait.
+  // Maximum number of waiting requests; while so many wait, new requests are
+  // refused.
   std::size_t mMaxWaiting = 25;
   double mPrefillTokensPerSecond = 66'200;
   // Size in tokens of the chunk of a prompt that is prefilled between two
   // tokens of the streams.
   double mChunkTokens = 2'048;
-  // Time between two tokens of a stream, and its increase per running request.
+  // Time between two tokens of a stream, in seconds, and its increase per
+  // running request.
   double mStepSeconds = 0.0045;
   double mStepSecondsPerRequest = 0.00003;
-  // Tokens per streamed event.
+  // Number of tokens per streamed event.
   double mTokensPerEvent = 7;
 
   friend bool operator==(const engine_shape&, const engine_shape&) = default;
@@ -38,7 +41,7 @@
 struct engine_request
 {
   std::uint64_t mId = 0;
-  // Requests with lower values are admitted first.
+  // Priority of the request; requests with lower values are admitted first.
   std::uint32_t mPriority = 0;
   double mPrefillTokens = 0;
   double mAnswerTokens = 0;
@@ -59,7 +62,8 @@
 {
   engine_event_kind mKind{};
   std::uint64_t mId = 0;
-  // Set only for `kEnd`.
+  // Longest pause between two events of the request; set only if the event is
+  // `kEnd`.
   duration mMaxPause{};
 
   friend bool operator==(const engine_event&, const engine_event&) = default;
@@ -73,7 +77,8 @@
   {
   }
 
-  // Returns false if the queue is full; the request then does not run.
+  // Submits a request. Returns false if the queue is full; the request does not
+  // run in this case.
   bool TrySubmit(const engine_request& aRequest)
   {
     if (mWaiting.size() >= mShape.mMaxWaiting) {
@@ -120,7 +125,8 @@
   }
 
 private:
-  // Prefills the first unfinished prompt only. Returns whether there was one.
+  // Prefills up to `aTokens` tokens of the first unfinished prompt only.
+  // Returns whether there was an unfinished prompt.
   bool Prefill(double aTokens)
   {
     const auto first =
@@ -160,7 +166,8 @@
   }
 
   engine_shape mShape;
-  // Ordered by priority, then by arrival.
+  // Waiting requests, ordered by priority, then by arrival, the next to run
+  // first.
   std::vector<engine_request> mWaiting;
   std::vector<engine_request> mRunning;
 };
