--- a/thornhollow/fleet/demand_aggregation.h
+++ b/thornhollow/fleet/demand_aggregation.h
@@ -15,14 +15,15 @@
 // thus grows with the logarithm of the number of instances.
 //
 // Guards against diverging estimates when a burst arrives at hundreds of
-// instances. When each instance extrapolated from the messages of the tenth of
-// the others that reached it within a second, the instances divided the engines
-// differently between the workload kinds, and a third of the engines received
-// streams from some instances and long prompts from others.
+// instances. When each instance extrapolated from the messages of only a tenth
+// of the fleet, which were those that reached it within a second, the instances
+// divided the engines differently between the workload kinds, and a third of
+// the engines received streams from some instances and long prompts from other
+// instances.
 //
-// There is no consensus. An unreachable instance leaves a gap, which the
-// instance count of each sum shows. Instances that disagree about the
-// membership count a few others twice or not at all.
+// There is no consensus. An unreachable instance leaves a gap in the sums,
+// which the instance count of each sum shows. Instances that disagree about the
+// membership of the ring count a few instances twice or not at all.
 #ifndef THORNHOLLOW_FLEET_DEMAND_AGGREGATION_H_
 #define THORNHOLLOW_FLEET_DEMAND_AGGREGATION_H_
 
@@ -38,7 +39,8 @@
 
 namespace thornhollow {
 
-// Sums over the views of `mInstances` instances.
+// Sums, by pool, of the views that `mInstances` instances have of the demand on
+// the pool.
 struct aggregated_views
 {
   std::size_t mInstances = 0;
@@ -48,7 +50,8 @@
                          const aggregated_views&) = default;
 };
 
-// Message to the instance 2^`mLevel` positions further on the ring.
+// Message to the instance 2^`mLevel` positions further on the ring than the
+// sender.
 struct aggregation_message
 {
   std::size_t mLevel = 0;
--- a/thornhollow/fleet/instance_list.h
+++ b/thornhollow/fleet/instance_list.h
@@ -1,6 +1,6 @@
-// The platform's list of entry instances, as plain values. The list lags
-// behind: a listed instance may already be gone, and a running one may not be
-// listed yet.
+// The platform's list of entry instances, as plain values. The list lags behind
+// the running instances: a listed instance may already be gone, and a running
+// instance may not be listed yet.
 //
 //   const instance_list list{ 7, { { instance_name("entry-1"), ... } } };
 //
--- a/thornhollow/fleet/key_claims.h
+++ b/thornhollow/fleet/key_claims.h
@@ -2,13 +2,14 @@
 // (the instance that received the submission) and the key's witnesses.
 //
 // A caller that retries a request with the same key may reach another instance,
-// and there is no common store that both can query. The instance that receives
-// a submission (the holder) therefore requests grants from the key's witnesses,
-// a few instances that are derived from the key and the list of instances. It
-// runs the submission only after all of them granted the key and at least one
-// of them vouched that its memory of the key is complete. Otherwise the
-// submission is refused with an error that says "not run".
-// docs/design/idempotency_keys.md states the exact guarantees.
+// and there is no common store that both instances can query. The instance that
+// receives a submission (the holder) therefore requests grants from the key's
+// witnesses, a few instances that are derived from the key and the list of
+// instances. The holder runs the submission only after all witnesses granted
+// the key and at least one of them vouched that its memory of the key is
+// complete. If that does not happen, the submission is refused with an error
+// that says "not run". docs/design/idempotency_keys.md states the exact
+// guarantees.
 //
 //   const claim_view view{ declaredDomains, list };
 //   const auto witnesses = WitnessesOf(key, view, settings.mWitnesses);
@@ -37,9 +38,9 @@
   // platform's list.
   duration mViewLag = Seconds(30);
   // Timeout of each of the two steps of a claim: the request to the
-  // highest-ranked witness, then the requests to the others. A witness answers
-  // within a few milliseconds, or within 100 to 200 ms from another region, or
-  // not at all.
+  // highest-ranked witness, and the requests to the other witnesses after its
+  // grant. A witness answers within a few milliseconds, or within 100 to 200 ms
+  // from another region, or not at all.
   duration mRequestTimeout = Milliseconds(300);
   // Maximum gap between two calls; a longer one is treated as a pause of this
   // process.
@@ -48,8 +49,8 @@
   // memory of a key within its lifetime, and the third can still vouch.
   std::size_t mWitnesses = 3;
   // Minimum number of listed witnesses; with fewer, submissions with a key are
-  // refused. Of two witnesses one may lose its memory of the key, of one
-  // witness none.
+  // refused. If two witnesses are listed, one of them may lose its memory of
+  // the key; a single witness must not lose it.
   std::size_t mMinWitnesses = 2;
   // Maximum number of keys that a witness remembers. At the peak of the largest
   // deployment each instance receives 7.4 requests per second; if all carry a
@@ -84,8 +85,8 @@
 HomeDomainOf(claim_key aKey, const std::vector<domain_name>& aDomains);
 
 // Returns the first `aCount` instances by rendezvous hash among the listed
-// instances of the key's home domain that are not leaving; fewer if there are
-// fewer.
+// instances of the key's home domain that are not leaving; all such instances
+// if they are fewer than `aCount`.
 std::vector<instance_name>
 WitnessesOf(claim_key aKey, const claim_view& aView, std::size_t aCount);
 
--- a/thornhollow/fleet/key_claims_test.cc
+++ b/thornhollow/fleet/key_claims_test.cc
@@ -37,8 +37,8 @@
   mFleet.RunFor(Seconds(40));
   CHECK(mFleet.Runs(kKey) == 1);
   // Each of the three witnesses receives one claim and one end notification.
-  // With more messages per submission, a busy fleet would exceed its budget of
-  // control traffic at peak load.
+  // More messages per submission would exceed a busy fleet's budget of control
+  // traffic at peak load.
   CHECK(mFleet.RequestsSent() == 6);
 }
 
@@ -207,8 +207,8 @@
   // key from before the restart can be live.
   const auto witnesses = mFleet.WitnessNodes(kKey);
   mFleet.Submit(NonWitnessNode(), kKey);
-  // Waits until the last retry of the end notification has been sent, which
-  // would otherwise inform the restarted witnesses.
+  // Waits until the last retry of the end notification has been sent, because a
+  // later retry would inform the restarted witnesses.
   mFleet.RunFor(Seconds(35));
   for (const std::size_t each : witnesses) {
     mFleet.Restart(each);
@@ -227,7 +227,7 @@
 TEST_CASE_FIXTURE(key_fleet, "key/views_differ/is_refused")
 {
   // The list of instances lags behind: the holder has the new list and the
-  // witness the old one, so they disagree about which instances are witnesses.
+  // witness the old list, so they disagree about which instances are witnesses.
   const key_claim_settings settings;
   const auto view = [](std::uint64_t aVersion, int aFirst) {
     claim_view out{ { domain_name("hall") }, { aVersion, {} } };
--- a/thornhollow/fleet/key_holder.h
+++ b/thornhollow/fleet/key_holder.h
@@ -7,10 +7,11 @@
 //   Apply(holder.BeforeSend(ticket, now));  // before each attempt
 //   Apply(holder.OnEnded(ticket, ran::kYes, now));
 //
-// Of two concurrent submissions at most one runs. The highest-ranked witness is
-// asked first, on its own, so that one submission gets all grants and the other
-// is denied at once; asked in parallel, each could be denied by a witness that
-// already granted the other.
+// Of two concurrent submissions with the same key at most one runs. The
+// highest-ranked witness is asked first, on its own, so that one submission
+// gets all grants and the other submission is denied at once; if the witnesses
+// were asked in parallel, each submission could be denied by a witness that
+// already granted the key to the other submission.
 //
 // Guards against a paused holder: after a pause it would still assume that it
 // holds the key and send the request, although the witnesses have expired the
@@ -37,7 +38,7 @@
 
 namespace thornhollow {
 
-// Identifies a submission within one process.
+// Number that identifies a submission within one process.
 using submission_id = std::uint64_t;
 
 // Tells the owner of the `key_holder` to send the request to the witness
@@ -124,8 +125,8 @@
   // repeated.
   void OnNotified(const instance_name& aWitness, const claim_request& aRequest);
 
-  // Reports that the submission received its final answer. After `ran::kNo` its
-  // key is free again; otherwise the key is used up.
+  // Reports that the submission received its final answer. If `aRan` is
+  // `ran::kNo`, its key is free again; any other value marks the key as used.
   key_actions OnEnded(submission_id aSubmission, ran aRan, time_point aNow);
 
   // Renews claims, repeats unacknowledged notifications and times out pending
--- a/thornhollow/fleet/key_witness.cc
+++ b/thornhollow/fleet/key_witness.cc
@@ -39,7 +39,7 @@
   mViews.push_back({ std::move(trimmed), aNow });
   if (mViews.size() > mSettings.mMaxViews) {
     mViews.pop_front();
-    // Views older than the oldest remembered one are no longer known.
+    // Views older than the oldest remembered view are no longer known.
     mHistoryCompleteSince =
       std::max(mHistoryCompleteSince, mViews.front().mSince);
   }
--- a/thornhollow/fleet/key_witness.h
+++ b/thornhollow/fleet/key_witness.h
@@ -4,9 +4,9 @@
 //   witness.OnView(view, now);
 //   const claim_answer answer = witness.OnRequest(request, now);
 //
-// A key is held by one submission of one process, then marked used. Each state
-// lasts for one lifetime after the last message about the key; holders renew
-// the claim while the submission runs.
+// A key is held by one submission of one process, then marked used. Each of
+// these two states lasts for one lifetime after the last message about the key;
+// holders renew the claim while the submission runs.
 //
 // Guards against a witness that lost its memory: a restarted or newly listed
 // instance knows no keys and would grant one whose request is running
--- a/thornhollow/fleet/knowledge_spread_test.cc
+++ b/thornhollow/fleet/knowledge_spread_test.cc
@@ -8,15 +8,15 @@
 namespace thornhollow {
 namespace {
 
-// Time after which all instances know each other.
+// Time after the start at which all instances know each other.
 constexpr duration kSettled = Seconds(15);
 // Maximum time until a change is in force everywhere if the transfer of the
 // answer of the source alone takes most of a second.
 constexpr duration kMaxChangeDelayOnNarrowLinks = Seconds(3);
 
-// Guards against a configuration that stays outdated because its answers arrive
-// slowly: each is abandoned and requested again while the previous one is still
-// being transferred.
+// Guards against a configuration that stays outdated because the answers to
+// requests for it arrive slowly: each answer is abandoned and requested again
+// while the previous answer is still being transferred.
 TEST_CASE("knowledge_spread/readers_and_documents_on_narrow_links/"
           "they_are_in_force_in_time")
 {
@@ -43,7 +43,7 @@
 }
 
 // Guards against sending work to endpoints for seconds after they left. This
-// came about when the source did not answer one instance: other instances then
+// fault came about when the source did not answer one instance: other instances
 // assumed an outage, and took the endpoints that had left for endpoints whose
 // leases lapsed in the outage.
 TEST_CASE("knowledge_spread/source_fails_one_reader/leaving_is_known_in_time")
--- a/thornhollow/fleet/large_copy_limiter.h
+++ b/thornhollow/fleet/large_copy_limiter.h
@@ -41,8 +41,8 @@
   {
   }
 
-  // Whether a copy of this size may be sent now. If so, its transfer time is
-  // reserved.
+  // Returns whether a copy of this size may be sent now. If so, reserves the
+  // time that sending the copy takes.
   bool TryAdmit(std::size_t aBytes, time_point aNow)
   {
     if (aBytes < mSettings.mMinLargeBytes) {
--- a/thornhollow/fleet/member_search_test.cc
+++ b/thornhollow/fleet/member_search_test.cc
@@ -108,8 +108,8 @@
            aNetwork.Now() - aNode.mStableSince >= kMaxRejoinTime;
   }
 
-  // Returns a description of the first violated invariant; empty if there is
-  // none.
+  // Returns a description of the first violated invariant; empty if all
+  // invariants hold.
   static std::string FindViolation(fake_network& aNetwork)
   {
     for (const auto& [name, one] : aNetwork.Nodes()) {
--- a/thornhollow/fleet/membership.cc
+++ b/thornhollow/fleet/membership.cc
@@ -17,8 +17,8 @@
 // beyond its header and the leaving endpoints.
 constexpr std::size_t kPressureDivisor = 2;
 
-// Appends as many entries as fit, starting at a random one, so that no entry is
-// left out of every message.
+// Appends as many entries of `aAll` as fit into `aRoom` bytes, starting at a
+// random entry, so that every entry is in some of the messages.
 template<class entry>
 void
 AppendWhileFits(std::vector<entry>& aOut,
@@ -38,7 +38,8 @@
   }
 }
 
-// Returns the changes to report for the transition from one digest to the next.
+// Returns the changes to report when the digest of a member changes from `aOld`
+// to `aNew`. `aFirst`: whether this is the first digest received.
 std::vector<member_change>
 ChangesBetween(const member_digest& aOld,
                const member_digest& aNew,
@@ -614,7 +615,8 @@
 membership::NextToProbe()
 {
   // Visits each member once in random order, then reshuffles: a dead member is
-  // found within two rounds, whereas random picks could miss it for long.
+  // found within two passes over all members, whereas random picks could miss
+  // the member for long.
   for (int round = 0; round < 2; ++round) {
     while (!mProbeOrder.empty()) {
       instance_name next = std::move(mProbeOrder.back());
--- a/thornhollow/fleet/membership.h
+++ b/thornhollow/fleet/membership.h
@@ -8,14 +8,15 @@
 //   Apply(members.OnMessage(message, now)); // for each opened datagram
 //
 // Failure detection follows SWIM. Once per probe interval each instance pings
-// one other, in an order that visits all of them. Without an ack it asks two
-// others to ping on its behalf; without an ack from those either, it marks the
-// member as suspect and disseminates that. A suspected member that is alive
-// refutes the suspicion by raising its incarnation; otherwise it is removed
-// when the suspicion times out. Every message piggybacks the latest changes, so
-// that each change reaches all members within a few intervals. It also carries
-// the states of a few other members, different ones each time until all have
-// been sent (anti-entropy), which repairs the loss of a message.
+// one other member, in an order that visits all members. Without an ack it asks
+// two other members to ping on its behalf; without an ack from those either, it
+// marks the pinged member as suspect and disseminates the suspicion. A
+// suspected member that is alive refutes the suspicion by raising its
+// incarnation; a member that does not is removed when the suspicion times out.
+// Every message piggybacks the latest changes, so that each change reaches all
+// members within a few intervals. Every message also carries the states of a
+// few other members, different ones each time until all have been sent
+// (anti-entropy), which repairs the loss of a message.
 //
 // The design scales to a fleet of any size. Each instance sends and receives a
 // constant number of datagrams per interval, each of bounded size, and tracks
@@ -55,10 +56,11 @@
   // at about four datagrams per second and detects a dead member within a few
   // seconds.
   duration mProbeInterval = Seconds(1);
-  // An ack takes a few milliseconds; an engine step or a busy event loop may
-  // add tens. After this timeout other members are asked to probe.
+  // Time without an ack after which other members are asked to probe. An ack
+  // takes a few milliseconds; an engine step or a busy event loop may add tens.
   duration mAckTimeout = Milliseconds(250);
-  // Without an ack to any probe within this time the member is suspected.
+  // Time without an ack, direct or through other members, after which the
+  // probed member is suspected.
   duration mProbeTimeout = Milliseconds(750);
   // Time that a suspected member has to refute the suspicion. An update reaches
   // all members of a domain of 38 within one to two probe intervals, so three
@@ -70,8 +72,8 @@
   // How long an instance waits after a pause for an ack from a peer.
   duration mRefreshTimeout = Seconds(1);
   // Removed members are kept as tombstones for this long, so that late messages
-  // about them are recognized as outdated. They are probed as long as they are
-  // listed.
+  // about them are recognized as outdated. Removed members are probed as long
+  // as they are listed.
   duration mTombstoneLifetime = Seconds(60);
   std::size_t mIndirectProbers = 2;
   // Number of members to which an update is pushed as soon as it is known.
--- a/thornhollow/fleet/membership_test.cc
+++ b/thornhollow/fleet/membership_test.cc
@@ -212,9 +212,10 @@
 
 TEST_CASE_FIXTURE(one_domain, "membership/pressure_ends/all_forget_it")
 {
-  // One instance sheds tiers 3 and 4 during a burst, and the others raise their
-  // admission threshold. After the burst the report must not keep circulating
-  // among them, or low tiers would be refused indefinitely.
+  // One instance sheds tiers 3 and 4 during a burst, and the other instances
+  // raise their admission threshold. After the burst the report must not keep
+  // circulating among the instances, or low tiers would be refused
+  // indefinitely.
   for (int second = 0; second < 3; ++second) {
     mNetwork.Core("n0").OnPressure(
       { pool_name("dispatch"), 2, Milliseconds(80), {} }, mNetwork.Now());
--- a/thornhollow/fleet/peer_messages.h
+++ b/thornhollow/fleet/peer_messages.h
@@ -27,8 +27,8 @@
 // Maximum size of a sealed datagram, which fits into one packet on any usual
 // network path.
 inline constexpr std::size_t kMaxDatagramBytes = 1200;
-// Maximum entries of one list inside a message; a message with more is rejected
-// as malformed.
+// Maximum number of entries of one list inside a message; a message with a
+// longer list is rejected as malformed.
 inline constexpr std::size_t kMaxMessageEntries = 64;
 // Maximum bytes of a name or an address inside a message.
 inline constexpr std::size_t kMaxNameBytes = 128;
@@ -115,8 +115,9 @@
   std::uint64_t mConfigurationVersion = 0;
   std::vector<pool_pressure> mPressures;
   std::vector<leaving_endpoint> mLeaving;
-  // Age of the platform's information that accompanies `mConfigurationVersion`;
-  // see config_hint.
+  // Time since the platform last confirmed that no later configuration version
+  // exists, as far as the sender knows; unset if the message does not say. See
+  // config_hint.
   std::optional<duration> mPlatformAge;
 
   friend bool operator==(const gossip_message&,
@@ -154,9 +155,9 @@
   // Hash of the request; the same key with a different hash is refused.
   std::uint64_t mFingerprint = 0;
   claim_holder mHolder;
-  // Sequence number of the holder's submissions with a key. A grant is renewed
-  // only for the same number: a different one of the same process is a
-  // different submission.
+  // Sequence number of the submission among the holder's submissions with a
+  // key. A grant is renewed only for the same number, because a different
+  // number from the same process denotes a different submission.
   std::uint64_t mClaim = 0;
   // Number of the round of requests for this claim; incremented each time the
   // claim is requested again from the witnesses.
@@ -169,8 +170,8 @@
 
 enum class claim_verdict : std::uint8_t
 {
-  // Another submission holds the key. First enumerator, so that an answer
-  // without a verdict reads as a denial.
+  // Another submission holds the key. This is the first enumerator, so that an
+  // answer without a verdict reads as a denial.
   kHeld,
   kGranted,
   // A submission with the key ended and may have run.
@@ -191,7 +192,7 @@
   instance_name mWitness;
   claim_verdict mVerdict = claim_verdict::kHeld;
   // Whether the answering instance has been a witness for this key, without
-  // losing its memory, for longer than a key can stay alive (see
+  // losing its memory of keys, for longer than a key can stay alive (see
   // key_witness.h).
   bool mVouches = false;
 
--- a/thornhollow/fleet/relay_peers.h
+++ b/thornhollow/fleet/relay_peers.h
@@ -50,8 +50,8 @@
 namespace thornhollow {
 
 // What an instance reports about one endpoint: the prompt tokens that the
-// instance sent to it and that are not prefilled yet, the prefill time per
-// token, and the requests in flight.
+// instance sent to the endpoint and that are not prefilled yet, the prefill
+// time per token, and the requests in flight.
 struct reported_load
 {
   // See `EndpointHash`.
@@ -67,8 +67,8 @@
 };
 
 // Hash that identifies an endpoint in messages. Among a thousand endpoints the
-// probability of a collision is about one in ten thousand; colliding endpoints
-// share an estimate.
+// probability of a collision is about one in ten thousand; endpoints with the
+// same hash share one estimate of their load.
 std::uint32_t
 EndpointHash(const endpoint_name& aEndpoint);
 
@@ -96,8 +96,8 @@
 struct relay_hello
 {
   // Whether this is a brief hello, which has no loads, demand or peers; the
-  // receiver keeps those of the last full hello. Brief hellos announce the
-  // instance and its revisions to many peers at once.
+  // receiver keeps the loads, demand and peers of the last full hello. Brief
+  // hellos announce the instance and its revisions to many peers at once.
   bool mBrief = false;
   // Listening address, "ip:port".
   std::string mAddress;
@@ -113,7 +113,8 @@
   bool mWantsAnswer = false;
   // Whether the source does not answer this instance.
   bool mSourceFails = false;
-  // Time since the source last answered the sender; unset if that was long ago.
+  // Time since the source last answered the sender; unset if the sender does
+  // not report it because the last answer was long ago.
   std::optional<duration> mSourceAnswerAge = std::nullopt;
   // Link capacity in Mbit/s; 0 if not reported.
   std::uint32_t mLinkMegabits = 0;
@@ -154,14 +155,16 @@
   // Time between two rounds of hellos. The load of an engine changes with each
   // prompt, whose prefill takes tens to hundreds of milliseconds.
   duration mInterval = Milliseconds(250);
-  // Maximum number of peers that receive a full hello in each interval.
+  // Maximum number of randomly chosen peers that receive a full hello in each
+  // interval.
   std::size_t mFanout = 8;
-  // From this number of peers on the interval is doubled. A hello is then close
-  // to the limit of 1,100 bytes per datagram, and 16 of them a second make up
-  // the 18 KB/s of control traffic allowed in a fleet of 420 instances.
+  // Minimum number of peers from which the interval is doubled. With so many
+  // peers a hello is close to the limit of 1,100 bytes per datagram, and 16
+  // hellos a second make up the 18 KB/s of control traffic allowed in a fleet
+  // of 420 instances.
   std::size_t mHalfRateFrom = 128;
-  // A peer is removed after this time without a hello. Hellos from each peer
-  // become rarer as the fleet grows, so the time-out grows by
+  // `mPeerTimeout`: a peer is removed after this time without a hello. Hellos
+  // from each peer become rarer as the fleet grows, so the time-out grows by
   // `mPeerTimeoutStep` for every `mFanout` peers.
   duration mPeerTimeout = Seconds(4);
   duration mPeerTimeoutStep = Milliseconds(1'600);
@@ -189,10 +192,10 @@
   // A reader is considered gone after this time without a hello, which allows
   // for two lost hellos.
   duration mReaderTimeout = Milliseconds(2'600);
-  // Before it becomes a reader, an instance waits this long for each instance
-  // of a higher rank, at most `mMaxStagger` in total. A hello takes less than
-  // `mStagger`, so that the hello of the first new reader arrives before the
-  // next instance becomes one.
+  // `mStagger`: before an instance becomes a reader, it waits this long for
+  // each instance of a higher rank, at most `mMaxStagger` in total. A hello
+  // takes less than `mStagger`, so that the hello of the first new reader
+  // arrives before the next instance becomes a reader.
   duration mStagger = Milliseconds(150);
   duration mMaxStagger = Seconds(3);
   // Minimum number of peers from which the demand is taken from the aggregation
@@ -239,7 +242,8 @@
   // Returns the recipients of an immediate brief hello, to be sent when this
   // instance has received a newer revision.
   std::vector<std::string> OnNewRevision();
-  // Processes a hello; returns the address to answer if one was requested.
+  // Processes a hello; returns the address of its sender if the sender
+  // requested an answer.
   std::optional<std::string> OnHello(const relay_hello& aHello,
                                      time_point aNow);
 
@@ -346,7 +350,7 @@
   // instances that do not read the source.
   bool mReadsForDomain = false;
   // Since when fewer readers than needed rank above this instance; unset while
-  // there are enough.
+  // enough readers do.
   std::optional<time_point> mReadersMissingSince;
   std::size_t mMaxCount = 0;
   time_point mMaxCountAt{};
--- a/thornhollow/fleet/relay_peers_test.cc
+++ b/thornhollow/fleet/relay_peers_test.cc
@@ -144,8 +144,9 @@
 
 // Guards against an estimate of the demand that lags behind a burst. In a burst
 // of long prompts at 90 instances, each instance received hellos from only a
-// third of the others within a second. Sums of old and new reports showed the
-// burst only when half of it was over, too late to partition the engines.
+// third of the fleet within a second. Sums of old and new reports showed the
+// burst only when half of the burst was over, too late to partition the
+// engines.
 TEST_CASE("relay_peers/burst_at_many/shows_by_those_heard_a_moment_ago")
 {
   const pool_name pool("plans");
@@ -244,9 +245,9 @@
   }
 }
 
-// Guards against taking a leaving endpoint for one whose lease lapsed in an
-// outage: a peer that the source does not answer reports an outage, although
-// the source answers other instances.
+// Guards against taking a leaving endpoint for an endpoint whose lease lapsed
+// in an outage: a peer that the source does not answer reports an outage,
+// although the source answers other instances.
 TEST_CASE("relay_peers/source_answers_some/its_latest_answer_is_known")
 {
   relay_peers subject(relay_peer_settings{}, "me", kHall, {}, 1);
@@ -287,7 +288,8 @@
 }
 
 // Guards against a domain in which no instance asks the source, because each
-// reader gives up a failing source in favour of others that have done the same.
+// reader gives up a failing source in favour of other readers that have given
+// it up too.
 TEST_CASE_FIXTURE(domain_of_thirty,
                   "relay_peers/readers_turned_away/they_and_as_many_more_read")
 {
--- a/thornhollow/fleet/shared_state.h
+++ b/thornhollow/fleet/shared_state.h
@@ -18,9 +18,9 @@
 // again every second while the pressure lasts.
 //
 // Leaving endpoints: a report has a version and a remaining time. Its expiry is
-// fixed when the version is first received; later copies, however late, do not
-// move it. The version is remembered for a while after the expiry (tombstone),
-// so that a late copy does not revive the report.
+// fixed when the version is first received; later copies of that version,
+// however late, do not move the expiry. The version is remembered for a while
+// after the expiry (tombstone), so that a late copy does not revive the report.
 #ifndef THORNHOLLOW_FLEET_SHARED_STATE_H_
 #define THORNHOLLOW_FLEET_SHARED_STATE_H_
 
--- a/thornhollow/fleet/silent_source_test.cc
+++ b/thornhollow/fleet/silent_source_test.cc
@@ -11,7 +11,7 @@
 namespace thornhollow {
 namespace {
 
-// Time after which all instances know each other.
+// Time after the start at which all instances know each other.
 constexpr duration kSettled = Seconds(15);
 
 // Guards against refused calls, or calls on an outdated route, at every
--- a/thornhollow/fleet/testing/fake_network.h
+++ b/thornhollow/fleet/testing/fake_network.h
@@ -53,7 +53,7 @@
     // All actions that the node returned except datagrams, with the time of
     // each.
     std::vector<std::pair<time_point, membership_action>> mActions;
-    // Time since which the node has run without an injected fault.
+    // Point in time since which the node has run without an injected fault.
     time_point mStableSince{};
   };
 
--- a/thornhollow/fleet/testing/fleet_shape.h
+++ b/thornhollow/fleet/testing/fleet_shape.h
@@ -23,9 +23,9 @@
   double mLossRate = 0;
   // Time from a request for a copy until the answer starts to arrive.
   duration mCopyLatency = Milliseconds(40);
-  // Size of the configuration, and the capacity of an instance's link in bytes
-  // per second and direction. Concurrent transfers in one direction share it
-  // equally.
+  // Size of the configuration in bytes, and the capacity of an instance's link
+  // in bytes per second and direction. Concurrent transfers in one direction
+  // share the capacity equally.
   double mDocumentBytes = 4'000;
   double mLinkBytesPerSecond = 2'500'000;
   // Ratio of the bytes on the link to the size of the items, for copies from
--- a/thornhollow/fleet/testing/modelled_instance.h
+++ b/thornhollow/fleet/testing/modelled_instance.h
@@ -50,8 +50,9 @@
   // Whether the call was pending while the source was silent and will therefore
   // never be answered.
   bool mLost = false;
-  // Set when the answer starts to arrive: the bytes that have not arrived yet,
-  // and the revision up to which the answer reports changes.
+  // `mBytesLeft`: the bytes of the answer that have not arrived yet; set when
+  // the answer starts to arrive. `mAnswerRevision`: the revision up to which
+  // the answer reports changes.
   std::optional<double> mBytesLeft = std::nullopt;
   std::uint64_t mAnswerRevision = 0;
   time_point mLastBytes{};
@@ -96,7 +97,8 @@
   bool mFollowsSource = true;
   std::vector<pending_copy> mCopies = {};
   large_copy_limiter mCopyLimiter = large_copy_limiter{};
-  // Numbers of concurrent transfers on the instance's link, by direction.
+  // Numbers of concurrent transfers on the instance's link, to the instance and
+  // from it.
   std::size_t mIncoming = 0;
   std::size_t mOutgoing = 0;
 };
--- a/thornhollow/fleet/testing/relay_load_fleet.h
+++ b/thornhollow/fleet/testing/relay_load_fleet.h
@@ -32,7 +32,7 @@
 // Arrivals and objectives of one workload kind.
 struct load_profile
 {
-  // Arrivals per second, summed over all instances.
+  // Mean number of request arrivals per second, summed over all instances.
   double mPerSecond = 0;
   duration mTarget{};
   duration mPause{};
--- a/thornhollow/fleet/testing/silent_source_fleet.h
+++ b/thornhollow/fleet/testing/silent_source_fleet.h
@@ -70,7 +70,7 @@
     mSource.ScheduleChange(mStart + aAt, aType, "item", false);
   }
 
-  // Makes an endpoint join or leave.
+  // Makes an endpoint join or leave at `aAt` after the start of the run.
   void Join(duration aAt, int aEndpoint)
   {
     mSource.ScheduleChange(
@@ -82,7 +82,7 @@
       mStart + aAt, source_item_type::kEndpoints, NameOf(aEndpoint), true);
   }
 
-  // From `aFrom` on, the instances of the domain reach the source and each
+  // Isolates a domain: from `aFrom` on, its instances reach the source and each
   // other, but no instance of another domain.
   void IsolateDomain(int aDomain, duration aFrom)
   {
