--- a/thornhollow/fleet/copy_requests.h
+++ b/thornhollow/fleet/copy_requests.h
@@ -13,8 +13,8 @@
 //
 // Guards against peers that hold the copy but cannot send it in time, because
 // it is large and many request it, or because the link of a peer is saturated
-// or down. The copy then stays behind despite repeated requests, and the
-// instance asks the source as if there were no readers.
+// or down. If the copy of this instance stays behind despite repeated requests,
+// the instance asks the source as if there were no readers.
 //
 // Guards against a large copy that never completes on a narrow link because it
 // is requested again during the transfer. A copy of which bytes arrived
@@ -42,18 +42,20 @@
 
 struct copy_request_settings
 {
-  // A reader asks a peer only after its copy has been behind for this long: the
-  // answer of the source takes a few milliseconds and usually arrives first.
+  // A reader asks a peer only after the reader's copy has been behind a peer's
+  // copy for this long: the answer of the source takes a few milliseconds and
+  // usually arrives first.
   duration mSourceGracePeriod = Milliseconds(250);
-  // Time between two requests to peers while the copy is still behind.
+  // Minimum time between two requests to peers while a copy of this instance is
+  // behind a peer's copy.
   duration mRequestInterval = Milliseconds(250);
-  // The source is asked once the copy has been behind the same revision for
-  // this long without a transfer in progress, which is time for two failed
-  // requests to peers. A change must be in force within two seconds; the time
-  // that remains is for the answer of the source and for parsing it.
+  // The source is asked once a copy has been behind the same revision for this
+  // long without a transfer in progress, which is time for two failed requests
+  // to peers. A change must be in force within two seconds; the time that
+  // remains is for the answer of the source and for parsing it.
   duration mSourceFallbackDelay = Milliseconds(700);
-  // Longest pause between two chunks of an answer; a lost packet is
-  // retransmitted within this time.
+  // Maximum pause between two chunks of an answer; after a longer one the
+  // transfer counts as failed. A lost packet is retransmitted within this time.
   duration mTransferTimeout = Milliseconds(600);
 
   friend bool operator==(const copy_request_settings&,
@@ -69,8 +71,8 @@
   }
 
   // Returns the peer to ask now, if any, and for which copies. To be called
-  // every 100 ms. `aReads`: whether this instance reads the source itself. If
-  // not, it receives nothing from the source and asks a peer without delay.
+  // every 100 ms. `aReads`: whether this instance reads the source itself. An
+  // instance that does not read the source asks a peer without delay.
   std::optional<newer_copy> Tick(const relay_peers& aPeers,
                                  const known_revisions& aOwn,
                                  bool aReads,
--- a/thornhollow/fleet/key_claims_test.cc
+++ b/thornhollow/fleet/key_claims_test.cc
@@ -81,10 +81,10 @@
 TEST_CASE_FIXTURE(key_fleet, "key/end_not_heard_and_sent_again/runs_once")
 {
   // The holder is partitioned during the run, so no witness receives the end of
-  // the submission. The caller then retries through the same instance. The
-  // witnesses still know that process as the holder; if grants were bound to
-  // the process rather than to the submission, the request would run twice.
-  // Found by key_search, seed 2367.
+  // the submission. After that the caller retries through the same instance.
+  // The witnesses still know the instance's process as the holder; if grants
+  // were bound to the process rather than to the submission, the request would
+  // run twice. Found by key_search, seed 2367.
   const std::size_t holder = NonWitnessNode();
   mFleet.Submit(holder, kKey);
   mFleet.RunFor(Milliseconds(600));
--- a/thornhollow/fleet/key_holder.h
+++ b/thornhollow/fleet/key_holder.h
@@ -17,12 +17,12 @@
 // holds the key and send the request, although the witnesses have expired the
 // key and another instance has run the request. A pause is detected as a long
 // gap between two calls of the holder, or as a claim that was last requested
-// more than half a key's lifetime ago; `BeforeSend` then claims the key again
-// before it returns `run_submission`. The other half of the lifetime is the
-// margin between that check and the bytes leaving the host. After a pause the
-// view of the instances is outdated as well: submissions are refused until
-// `OnView` delivers a new one. A submission older than a lifetime is not run at
-// all.
+// more than half a key's lifetime ago; in both cases `BeforeSend` claims the
+// key again before it returns `run_submission`. The other half of the lifetime
+// is the margin between the check in `BeforeSend` and the bytes leaving the
+// host. After a pause the view of the instances is outdated as well:
+// submissions are refused until `OnView` delivers a new view. A submission
+// older than a key's lifetime is not run at all.
 #ifndef THORNHOLLOW_FLEET_KEY_HOLDER_H_
 #define THORNHOLLOW_FLEET_KEY_HOLDER_H_
 
@@ -95,9 +95,10 @@
   key_holder(const key_claim_settings& aSettings, claim_holder aSelf);
 
   // Sets the declared domains and the platform's list as read, without members
-  // known only through gossip. A list with a lower version than the last is
-  // ignored. Call it again after a pause, once the list has been re-read, even
-  // if the list is unchanged: submissions are refused until then.
+  // known only through gossip. A list with a lower version than the last list
+  // is ignored. Call `OnView` again after a pause, once the list has been
+  // re-read, even if the list is unchanged: submissions are refused until this
+  // call.
   void OnView(const claim_view& aView, time_point aNow);
 
   // Starts a new submission. `aFingerprint` is a hash of the request.
@@ -121,16 +122,17 @@
                             const claim_request& aRequest,
                             time_point aNow);
 
-  // Reports that `aWitness` acknowledged a notification, which need not be
-  // repeated.
+  // Reports that `aWitness` acknowledged the notification `aRequest`, so that
+  // the notification need not be repeated.
   void OnNotified(const instance_name& aWitness, const claim_request& aRequest);
 
   // Reports that the submission received its final answer. If `aRan` is
-  // `ran::kNo`, its key is free again; any other value marks the key as used.
+  // `ran::kNo`, the submission's key is free again; any other value marks the
+  // key as used.
   key_actions OnEnded(submission_id aSubmission, ran aRan, time_point aNow);
 
   // Renews claims, repeats unacknowledged notifications and times out pending
-  // requests. Call it every 100 ms.
+  // requests to witnesses. Call it every 100 ms.
   key_actions Tick(time_point aNow);
 
   // Number of submissions with a key that are in progress.
--- a/thornhollow/fleet/key_search_test.cc
+++ b/thornhollow/fleet/key_search_test.cc
@@ -209,8 +209,8 @@
   long_key_search()
   {
     mMaxEventGap = 8'000;
-    // Most instances are not witnesses; pauses of witnesses would only cause
-    // refusals.
+    // With twelve instances most are not witnesses of a key; pauses of
+    // witnesses would only cause refusals.
     mNodes = 12;
     mDomains = 3;
     mMinPause = 50'000;
--- a/thornhollow/fleet/key_witness.h
+++ b/thornhollow/fleet/key_witness.h
@@ -9,15 +9,16 @@
 // holders renew the claim while the submission runs.
 //
 // Guards against a witness that lost its memory: a restarted or newly listed
-// instance knows no keys and would grant one whose request is running
-// elsewhere, so that the request would be run twice. Such a witness grants the
-// key, because it cannot know better, but does not vouch. It vouches only if it
-// has been a witness for the key in every view for longer than a key can stay
-// alive unseen (a lifetime plus twice the view lag), without a pause. Holders
-// require at least one witness that vouches.
+// instance knows no keys and would grant a key whose request is running
+// elsewhere, so that the request would be run twice. A witness that may have
+// lost its memory grants the key, because it cannot know better, but does not
+// vouch. A witness vouches only if it has been a witness for the key in every
+// view for longer than a key can stay alive unseen (a lifetime plus twice the
+// view lag), without a pause. Holders require at least one witness that
+// vouches.
 //
-// Memory is bounded: a witness that is full refuses new keys and never evicts a
-// live one.
+// Memory is bounded: a witness that remembers the maximum number of keys
+// refuses new keys and never evicts a live key.
 #ifndef THORNHOLLOW_FLEET_KEY_WITNESS_H_
 #define THORNHOLLOW_FLEET_KEY_WITNESS_H_
 
@@ -43,9 +44,9 @@
   key_witness& operator=(const key_witness&) = delete;
 
   // Sets the declared domains and the platform's list as read, without members
-  // known only through gossip. A list with a lower version than the last is
-  // ignored. Call it again after a pause, once the list has been re-read, even
-  // if the list is unchanged: no key is granted until then.
+  // known only through gossip. A list with a lower version than the last list
+  // is ignored. Call `OnView` again after a pause, once the list has been
+  // re-read, even if the list is unchanged: no key is granted until this call.
   void OnView(const claim_view& aView, time_point aNow);
 
   // Decides whether to grant a claimed key, or records that a submission has
--- a/thornhollow/fleet/membership.cc
+++ b/thornhollow/fleet/membership.cc
@@ -18,7 +18,7 @@
 constexpr std::size_t kPressureDivisor = 2;
 
 // Appends as many entries of `aAll` as fit into `aRoom` bytes, starting at a
-// random entry, so that every entry is in some of the messages.
+// random entry, so that over time every entry is sent.
 template<class entry>
 void
 AppendWhileFits(std::vector<entry>& aOut,
--- a/thornhollow/fleet/membership_test.cc
+++ b/thornhollow/fleet/membership_test.cc
@@ -68,8 +68,8 @@
 TEST_CASE_FIXTURE(one_domain, "membership/member_killed/all_remove_it_in_time")
 {
   // An instance dies without leaving while the platform's list still contains
-  // it. Peers that kept requesting claims from it would refuse callers for
-  // minutes.
+  // it. Peers that kept requesting claims from the dead instance would refuse
+  // callers for minutes.
   mNetwork.Kill("n3");
   const auto elapsed =
     mNetwork.RunUntilHolds([&] { return NoneSees("n3"); }, Seconds(12));
@@ -79,7 +79,7 @@
 
 TEST_CASE_FIXTURE(one_domain, "membership/short_pause/suspicion_is_refuted")
 {
-  // A member is paused for 2.5 s, as on a slow host, and resumes. It is
+  // A member is paused for 2.5 s, as on a slow host, and resumes. The member is
   // suspected during the pause but must not be removed: a removal would
   // needlessly move the member's idempotency-key claims to other members.
   mNetwork.Pause("n2");
--- a/thornhollow/fleet/relay_peers.h
+++ b/thornhollow/fleet/relay_peers.h
@@ -111,7 +111,7 @@
   // loads, demand or peers.
   std::optional<aggregation_message> mAggregation = std::nullopt;
   bool mWantsAnswer = false;
-  // Whether the source does not answer this instance.
+  // Whether the source does not answer the sender.
   bool mSourceFails = false;
   // Time since the source last answered the sender; unset if the sender does
   // not report it because the last answer was long ago.
@@ -250,14 +250,14 @@
   // Returns a random sample of peer addresses for a hello.
   std::vector<std::string> SamplePeers();
 
-  // Whether a peer recently reported that the source does not answer it.
+  // Whether a peer recently reported that the source does not answer that peer.
   bool SourceFailsElsewhere(time_point aNow) const;
 
   // When the source last answered another instance, as reported by peers.
   std::optional<time_point> SourceAnswered() const { return mSourceAnswered; }
 
-  // Returns a peer that holds a later revision than `aOwn` of either copy, if
-  // any. `aAttempt` selects among equally good peers.
+  // Returns a peer that holds a later revision than `aOwn` of the configuration
+  // or of the endpoints, if any. `aAttempt` selects among equally good peers.
   std::optional<newer_copy> FindNewerCopy(const known_revisions& aOwn,
                                           std::uint64_t aAttempt,
                                           time_point aNow) const;
@@ -324,7 +324,8 @@
     std::size_t mServed = 0;
   };
   higher_ranked HigherRanked(time_point aNow) const;
-  // Instances with the highest ranks become readers.
+  // Link capacity in Mbit/s, then hash of the address. The instances with the
+  // highest ranks of a domain become readers.
   using reader_rank = std::pair<std::uint32_t, std::uint64_t>;
   static reader_rank RankOf(std::uint32_t aLinkMegabits,
                             const std::string& aAddress);
--- a/thornhollow/fleet/testing/fake_key_fleet.h
+++ b/thornhollow/fleet/testing/fake_key_fleet.h
@@ -114,8 +114,8 @@
     });
   }
 
-  // The process dies, and another one starts under the same name without the
-  // keys that the first one remembered.
+  // Ends the node's process and starts another process under the same name,
+  // without the keys that the first process remembered.
   void Restart(std::size_t aNode)
   {
     StartProcess(aNode, mNodes[aNode].mName);
--- a/thornhollow/fleet/testing/silent_source.h
+++ b/thornhollow/fleet/testing/silent_source.h
@@ -30,7 +30,7 @@
   kEndpoints,
 };
 
-// An acknowledged change.
+// A change of one item that the source has acknowledged.
 struct source_change
 {
   source_item_type mType{};
--- a/thornhollow/fleet/testing/slot_engine.h
+++ b/thornhollow/fleet/testing/slot_engine.h
@@ -45,7 +45,8 @@
   std::uint32_t mPriority = 0;
   double mPrefillTokens = 0;
   double mAnswerTokens = 0;
-  // The members below are maintained by the engine.
+  // The engine maintains this member and all members that follow; the caller
+  // leaves them at their defaults.
   double mGenerated = 0;
   double mReported = 0;
   time_point mLastEvent{};
