--- a/thornhollow/fleet/demand_aggregation.h
+++ b/thornhollow/fleet/demand_aggregation.h
@@ -39,8 +39,8 @@
 
 namespace thornhollow {
 
-// Sums, by pool, of the views that `mInstances` instances have of the demand on
-// the pool.
+// Sums, by pool, of the demand and the prefill rates that `mInstances`
+// instances measured for the pool.
 struct aggregated_views
 {
   std::size_t mInstances = 0;
