--- a/thornhollow/fleet/copy_requests.h
+++ b/thornhollow/fleet/copy_requests.h
@@ -47,15 +47,16 @@
   // usually arrives first.
   duration mSourceGracePeriod = Milliseconds(250);
   // Minimum time between two requests to peers while a copy of this instance is
-  // behind a peer's copy.
+  // behind a peer's copy, unless the peer declined the first request.
   duration mRequestInterval = Milliseconds(250);
   // The source is asked once a copy has been behind the same revision for this
   // long without a transfer in progress, which is time for two failed requests
   // to peers. A change must be in force within two seconds; the time that
   // remains is for the answer of the source and for parsing it.
   duration mSourceFallbackDelay = Milliseconds(700);
-  // Maximum pause between two chunks of an answer; after a longer one the
-  // transfer counts as failed. A lost packet is retransmitted within this time.
+  // Maximum pause between two chunks of an answer; after a longer pause the
+  // transfer is no longer waited for. A lost packet is retransmitted within
+  // this time.
   duration mTransferTimeout = Milliseconds(600);
 
   friend bool operator==(const copy_request_settings&,
--- a/thornhollow/fleet/key_claims_test.cc
+++ b/thornhollow/fleet/key_claims_test.cc
@@ -81,10 +81,10 @@
 TEST_CASE_FIXTURE(key_fleet, "key/end_not_heard_and_sent_again/runs_once")
 {
   // The holder is partitioned during the run, so no witness receives the end of
-  // the submission. After that the caller retries through the same instance.
-  // The witnesses still know the instance's process as the holder; if grants
-  // were bound to the process rather than to the submission, the request would
-  // run twice. Found by key_search, seed 2367.
+  // the submission. Later the caller retries through the same instance. The
+  // witnesses still know the instance's process as the holder; if grants were
+  // bound to the process rather than to the submission, the request would run
+  // twice. Found by key_search, seed 2367.
   const std::size_t holder = NonWitnessNode();
   mFleet.Submit(holder, kKey);
   mFleet.RunFor(Milliseconds(600));
@@ -128,8 +128,8 @@
 TEST_CASE_FIXTURE(key_fleet, "key/holder_wakes_late/claims_again_or_refuses")
 {
   // An instance is paused after its key was granted and before it sends the
-  // request. It resumes after the witnesses have expired the key and another
-  // instance has run the request.
+  // request. The instance resumes after the witnesses have expired the key and
+  // another instance has run the request.
   mFleet.mMaxSendDelay = Milliseconds(0);
   const auto first = mFleet.Submit(0, kKey);
   mFleet.RunFor(Milliseconds(2));
--- a/thornhollow/fleet/membership.cc
+++ b/thornhollow/fleet/membership.cc
@@ -13,8 +13,8 @@
 
 // Maximum number of concurrent indirect pings; each ends within a second.
 constexpr std::size_t kMaxIndirectPings = 64;
-// Pressures may take up to 1 / kPressureDivisor of the space in a datagram
-// beyond its header and the leaving endpoints.
+// Fraction of the free space in a datagram, after its header and the leaving
+// endpoints, that pressures may take: 1 / `kPressureDivisor`.
 constexpr std::size_t kPressureDivisor = 2;
 
 // Appends as many entries of `aAll` as fit into `aRoom` bytes, starting at a
@@ -86,8 +86,8 @@
            member_status::kAlive,
            false }
   , mRandom(aSeed)
-  // A random start keeps a process from accepting acks to its predecessor's
-  // pings.
+  // A random first exchange number keeps a process from accepting acks to the
+  // pings of an earlier process of the same name.
   , mNextExchange(mRandom() >> 2)
 {
 }
@@ -275,8 +275,8 @@
 membership::DetectPause(time_point aNow, membership_actions& aOut)
 {
   if (!mLastCall) {
-    // A random phase keeps instances that start together from probing in
-    // lockstep.
+    // A random time of the first probe keeps instances that start together from
+    // probing in lockstep.
     const auto phase = duration(static_cast<duration::rep>(
       mRandom() %
       static_cast<std::uint64_t>(mSettings.mProbeInterval.count())));
@@ -325,8 +325,8 @@
   }
   const auto found = mMembers.find(aDigest.mName);
   if (found == mMembers.end()) {
-    // An unknown removed member is of no use and would only be disseminated
-    // further.
+    // A removed member that this instance does not know is of no use and would
+    // only be disseminated further.
     if (aDigest.mStatus != member_status::kRemoved &&
         mMembers.size() < mSettings.mMaxMembers) {
       ApplyDigest(mMembers[aDigest.mName], aDigest, aNow, aOut);
--- a/thornhollow/fleet/membership.h
+++ b/thornhollow/fleet/membership.h
@@ -252,7 +252,8 @@
     bool mListed = false;
     // When the member's status last changed.
     time_point mStatusSince{};
-    // Number of further messages that will carry the member's last change.
+    // Number of further messages that will carry the last change of the
+    // member's state.
     std::uint32_t mTransmissionsLeft = 0;
   };
 
@@ -349,7 +350,7 @@
   std::uint64_t mConfigurationVersion = 0;
   std::uint64_t mListVersion = 0;
   std::map<instance_name, member> mMembers;
-  // Listed instances of other domains, by domain.
+  // Instances of other domains in the platform's list, by domain.
   std::map<domain_name, std::vector<listed_instance>> mOtherDomains;
   std::vector<instance_name> mProbeOrder;
   std::optional<probe> mProbe;
--- a/thornhollow/fleet/testing/relay_load_fleet.h
+++ b/thornhollow/fleet/testing/relay_load_fleet.h
@@ -130,7 +130,8 @@
     return mResults.at(aKind);
   }
 
-  // Smallest and largest number of bulk engines in the instances' partitions.
+  // Smallest and largest number of engines that an instance's partition of the
+  // engines reserves for bulk work.
   std::pair<std::size_t, std::size_t> BulkEngines() const
   {
     std::pair<std::size_t, std::size_t> found{ mEngines.size(), 0 };
--- a/thornhollow/fleet/testing/slot_engine.h
+++ b/thornhollow/fleet/testing/slot_engine.h
@@ -45,8 +45,7 @@
   std::uint32_t mPriority = 0;
   double mPrefillTokens = 0;
   double mAnswerTokens = 0;
-  // The engine maintains this member and all members that follow; the caller
-  // leaves them at their defaults.
+  // `mGenerated` and the members after it are maintained by the engine.
   double mGenerated = 0;
   double mReported = 0;
   time_point mLastEvent{};
