--- a/thornhollow/fleet/copy_requests.h
+++ b/thornhollow/fleet/copy_requests.h
@@ -13,8 +13,8 @@
 //
 // Guards against peers that hold the copy but cannot send it in time, because
 // it is large and many request it, or because the link of a peer is saturated
-// or down. The copy then stays behind despite repeated requests, and the
-// instance asks the source as if there were no readers.
+// or down. If the copy of this instance stays behind despite repeated requests,
+// the instance asks the source as if there were no readers.
 //
 // Guards against a large copy that never completes on a narrow link because it
 // is requested again during the transfer. A copy of which bytes arrived
@@ -33,7 +33,7 @@
 
 namespace thornhollow {
 
-// The copy that is requested.
+// Which copy of the source's items is requested from a peer.
 enum class copied_items : std::uint8_t
 {
   kConfiguration,
@@ -42,18 +42,21 @@
 
 struct copy_request_settings
 {
-  // A reader asks a peer only after its copy has been behind for this long: the
-  // answer of the source takes a few milliseconds and usually arrives first.
+  // A reader asks a peer only after the reader's copy has been behind a peer's
+  // copy for this long: the answer of the source takes a few milliseconds and
+  // usually arrives first.
   duration mSourceGracePeriod = Milliseconds(250);
-  // Time between two requests to peers while the copy is still behind.
+  // Minimum time between two requests to peers while a copy of this instance is
+  // behind a peer's copy, unless the peer declined the first request.
   duration mRequestInterval = Milliseconds(250);
-  // The source is asked once the copy has been behind the same revision for
-  // this long without a transfer in progress, which is time for two failed
-  // requests to peers. A change must be in force within two seconds; the time
-  // that remains is for the answer of the source and for parsing it.
+  // The source is asked once a copy has been behind the same revision for this
+  // long without a transfer in progress, which is time for two failed requests
+  // to peers. A change must be in force within two seconds; the time that
+  // remains is for the answer of the source and for parsing it.
   duration mSourceFallbackDelay = Milliseconds(700);
-  // Longest pause between two chunks of an answer; a lost packet is
-  // retransmitted within this time.
+  // Maximum pause between two chunks of an answer; after a longer pause the
+  // transfer is no longer waited for. A lost packet is retransmitted within
+  // this time.
   duration mTransferTimeout = Milliseconds(600);
 
   friend bool operator==(const copy_request_settings&,
@@ -69,15 +72,15 @@
   }
 
   // Returns the peer to ask now, if any, and for which copies. To be called
-  // every 100 ms. `aReads`: whether this instance reads the source itself. If
-  // not, it receives nothing from the source and asks a peer without delay.
+  // every 100 ms. `aReads`: whether this instance reads the source itself. An
+  // instance that does not read the source asks a peer without delay.
   std::optional<newer_copy> Tick(const relay_peers& aPeers,
                                  const known_revisions& aOwn,
                                  bool aReads,
                                  time_point aNow);
 
-  // To be called for each received chunk of a peer's answer, and when the
-  // answer has ended.
+  // `OnBytes` is to be called for each received chunk of a peer's answer, and
+  // `OnEnded` when the answer has ended.
   void OnBytes(copied_items aWhich, time_point aNow);
   void OnEnded(copied_items aWhich);
   // To be called when a peer declined the request because it is already sending
@@ -101,7 +104,8 @@
   known_revisions mTargetRevisions;
   time_point mNextRequest{};
   std::uint64_t mAttempt = 0;
-  // By copy: when the last chunk of an incomplete transfer arrived.
+  // When the last chunk of an incomplete transfer arrived, indexed by
+  // `copied_items`; unset once the transfer has ended.
   std::array<std::optional<time_point>, 2> mLastBytes;
 };
 
--- a/thornhollow/fleet/demand_aggregation.h
+++ b/thornhollow/fleet/demand_aggregation.h
@@ -15,14 +15,15 @@
 // thus grows with the logarithm of the number of instances.
 //
 // Guards against diverging estimates when a burst arrives at hundreds of
-// instances. When each instance extrapolated from the messages of the tenth of
-// the others that reached it within a second, the instances divided the engines
-// differently between the workload kinds, and a third of the engines received
-// streams from some instances and long prompts from others.
+// instances. When each instance extrapolated from the messages of only a tenth
+// of the fleet, which were those that reached it within a second, the instances
+// divided the engines differently between the workload kinds, and a third of
+// the engines received streams from some instances and long prompts from other
+// instances.
 //
-// There is no consensus. An unreachable instance leaves a gap, which the
-// instance count of each sum shows. Instances that disagree about the
-// membership count a few others twice or not at all.
+// There is no consensus. An unreachable instance leaves a gap in the sums,
+// which the instance count of each sum shows. Instances that disagree about the
+// membership of the ring count a few instances twice or not at all.
 #ifndef THORNHOLLOW_FLEET_DEMAND_AGGREGATION_H_
 #define THORNHOLLOW_FLEET_DEMAND_AGGREGATION_H_
 
@@ -38,7 +39,8 @@
 
 namespace thornhollow {
 
-// Sums over the views of `mInstances` instances.
+// Sums, by pool, of the demand and the prefill rates that `mInstances`
+// instances measured for the pool.
 struct aggregated_views
 {
   std::size_t mInstances = 0;
@@ -48,7 +50,8 @@
                          const aggregated_views&) = default;
 };
 
-// Message to the instance 2^`mLevel` positions further on the ring.
+// Message to the instance 2^`mLevel` positions further on the ring than the
+// sender.
 struct aggregation_message
 {
   std::size_t mLevel = 0;
@@ -71,7 +74,8 @@
                          const outgoing_aggregation&) = default;
 };
 
-// All instances in ring order, and the position of this one.
+// Addresses of all instances in ring order, and the position of this instance
+// among them.
 struct instance_ring
 {
   std::vector<std::string> mAddresses;
@@ -83,9 +87,10 @@
 struct demand_aggregation_settings
 {
   duration mInterval = Milliseconds(500);
-  // Messages older than this, about three rounds, are ignored.
+  // Maximum age of a received message, about three rounds; older messages are
+  // ignored.
   duration mMaxAge = Milliseconds(1'600);
-  // Enough for rings of up to 2^10 instances.
+  // Maximum number of levels, enough for rings of up to 2^10 instances.
   std::size_t mMaxLevels = 10;
 
   friend bool operator==(const demand_aggregation_settings&,
@@ -97,7 +102,8 @@
 public:
   explicit demand_aggregation(const demand_aggregation_settings& aSettings);
 
-  // Whether a round is due; the ring need only be built then.
+  // Whether a round of messages is due. The caller needs to build the ring only
+  // if so.
   bool IsRoundDue(time_point aNow) const { return aNow >= mNextRound; }
   // Returns the messages to send now; empty between rounds. `aOwn` is this
   // instance's own demand.
@@ -107,8 +113,9 @@
     time_point aNow);
   void OnMessage(const aggregation_message& aSums, time_point aNow);
 
-  // Sum over a ring of `aInstances` instances including this one, as far as
-  // messages covered them; see `mInstances` of the result.
+  // Sum of the views over a ring of `aInstances` instances including this one,
+  // as far as messages covered them; `mInstances` of the result is the number
+  // of covered instances.
   aggregated_views Total(const std::map<pool_name, pool_view>& aOwn,
                          std::size_t aInstances,
                          time_point aNow) const;
@@ -119,8 +126,8 @@
     aggregation_message mMessage;
     time_point mAt{};
   };
-  // Messages of this instance by level, followed by one past the last level,
-  // whose remainder is the total.
+  // Messages of this instance, indexed by level, followed by one message past
+  // the last level, whose remainder is the sum over all instances.
   std::vector<aggregation_message> ComputeLevels(
     const std::map<pool_name, pool_view>& aOwn,
     std::size_t aInstances,
--- a/thornhollow/fleet/instance_list.h
+++ b/thornhollow/fleet/instance_list.h
@@ -1,6 +1,6 @@
-// The platform's list of entry instances, as plain values. The list lags
-// behind: a listed instance may already be gone, and a running one may not be
-// listed yet.
+// The platform's list of entry instances, as plain values. The list lags behind
+// the running instances: a listed instance may already be gone, and a running
+// instance may not be listed yet.
 //
 //   const instance_list list{ 7, { { instance_name("entry-1"), ... } } };
 //
@@ -29,7 +29,8 @@
 
 struct instance_list
 {
-  // The platform's version; increases with each change.
+  // Version of the list on the platform; increases with each change of the
+  // list.
   std::uint64_t mVersion = 0;
   std::vector<listed_instance> mInstances;
 
--- a/thornhollow/fleet/key_claims_test.cc
+++ b/thornhollow/fleet/key_claims_test.cc
@@ -37,8 +37,8 @@
   mFleet.RunFor(Seconds(40));
   CHECK(mFleet.Runs(kKey) == 1);
   // Each of the three witnesses receives one claim and one end notification.
-  // With more messages per submission, a busy fleet would exceed its budget of
-  // control traffic at peak load.
+  // More messages per submission would exceed a busy fleet's budget of control
+  // traffic at peak load.
   CHECK(mFleet.RequestsSent() == 6);
 }
 
@@ -81,10 +81,10 @@
 TEST_CASE_FIXTURE(key_fleet, "key/end_not_heard_and_sent_again/runs_once")
 {
   // The holder is partitioned during the run, so no witness receives the end of
-  // the submission. The caller then retries through the same instance. The
-  // witnesses still know that process as the holder; if grants were bound to
-  // the process rather than to the submission, the request would run twice.
-  // Found by key_search, seed 2367.
+  // the submission. Later the caller retries through the same instance. The
+  // witnesses still know the instance's process as the holder; if grants were
+  // bound to the process rather than to the submission, the request would run
+  // twice. Found by key_search, seed 2367.
   const std::size_t holder = NonWitnessNode();
   mFleet.Submit(holder, kKey);
   mFleet.RunFor(Milliseconds(600));
@@ -110,8 +110,8 @@
 
 TEST_CASE_FIXTURE(key_fleet, "key/holder_killed/later_ones_are_held")
 {
-  // The instance that runs the request dies, so whether it ran is unknown. A
-  // retry must not cause a second run.
+  // The instance that runs the request dies, so whether the request ran is
+  // unknown. A retry must not cause a second run.
   mFleet.Submit(0, kKey);
   mFleet.RunFor(Milliseconds(600));
   REQUIRE(mFleet.Runs(kKey) == 1);
@@ -128,8 +128,8 @@
 TEST_CASE_FIXTURE(key_fleet, "key/holder_wakes_late/claims_again_or_refuses")
 {
   // An instance is paused after its key was granted and before it sends the
-  // request. It resumes after the witnesses have expired the key and another
-  // instance has run the request.
+  // request. The instance resumes after the witnesses have expired the key and
+  // another instance has run the request.
   mFleet.mMaxSendDelay = Milliseconds(0);
   const auto first = mFleet.Submit(0, kKey);
   mFleet.RunFor(Milliseconds(2));
@@ -174,8 +174,8 @@
 TEST_CASE_FIXTURE(key_fleet, "key/refused_by_a_lost_witness/is_free_again")
 {
   // One of the three witnesses does not answer, so the submission is refused as
-  // "not run". The grants of the other two must not block the caller's retry
-  // for a whole lifetime.
+  // "not run". The grants of the other two witnesses must not block the
+  // caller's retry for a whole lifetime of the key.
   const auto witnesses = mFleet.WitnessNodes(kKey);
   mFleet.Isolate(witnesses[2], Seconds(5));
   const auto first = mFleet.Submit(NonWitnessNode(), kKey);
@@ -207,8 +207,8 @@
   // key from before the restart can be live.
   const auto witnesses = mFleet.WitnessNodes(kKey);
   mFleet.Submit(NonWitnessNode(), kKey);
-  // Waits until the last retry of the end notification has been sent, which
-  // would otherwise inform the restarted witnesses.
+  // Waits until the last retry of the end notification has been sent, because a
+  // later retry would inform the restarted witnesses.
   mFleet.RunFor(Seconds(35));
   for (const std::size_t each : witnesses) {
     mFleet.Restart(each);
@@ -227,7 +227,7 @@
 TEST_CASE_FIXTURE(key_fleet, "key/views_differ/is_refused")
 {
   // The list of instances lags behind: the holder has the new list and the
-  // witness the old one, so they disagree about which instances are witnesses.
+  // witness the old list, so they disagree about which instances are witnesses.
   const key_claim_settings settings;
   const auto view = [](std::uint64_t aVersion, int aFirst) {
     claim_view out{ { domain_name("hall") }, { aVersion, {} } };
@@ -283,8 +283,9 @@
 TEST_CASE("key_witness/claim_after_its_own_release/is_not_granted")
 {
   // A claim is delayed in the socket of a paused witness, and its release, sent
-  // when the holder gave up, arrives first. If the claim were granted then, the
-  // key would be held for a lifetime with no submission behind it.
+  // when the holder gave up, arrives first. If the claim were granted after its
+  // release, the key would be held for a lifetime although no submission uses
+  // it.
   const claim_view view{
     { domain_name("hall") },
     { 1, { { instance_name("a"), domain_name("hall"), "", false } } }
--- a/thornhollow/fleet/key_holder.h
+++ b/thornhollow/fleet/key_holder.h
@@ -7,21 +7,22 @@
 //   Apply(holder.BeforeSend(ticket, now));  // before each attempt
 //   Apply(holder.OnEnded(ticket, ran::kYes, now));
 //
-// Of two concurrent submissions at most one runs. The highest-ranked witness is
-// asked first, on its own, so that one submission gets all grants and the other
-// is denied at once; asked in parallel, each could be denied by a witness that
-// already granted the other.
+// Of two concurrent submissions with the same key at most one runs. The
+// highest-ranked witness is asked first, on its own, so that one submission
+// gets all grants and the other submission is denied at once; if the witnesses
+// were asked in parallel, each submission could be denied by a witness that
+// already granted the key to the other submission.
 //
 // Guards against a paused holder: after a pause it would still assume that it
 // holds the key and send the request, although the witnesses have expired the
 // key and another instance has run the request. A pause is detected as a long
 // gap between two calls of the holder, or as a claim that was last requested
-// more than half a key's lifetime ago; `BeforeSend` then claims the key again
-// before it returns `run_submission`. The other half of the lifetime is the
-// margin between that check and the bytes leaving the host. After a pause the
-// view of the instances is outdated as well: submissions are refused until
-// `OnView` delivers a new one. A submission older than a lifetime is not run at
-// all.
+// more than half a key's lifetime ago; in both cases `BeforeSend` claims the
+// key again before it returns `run_submission`. The other half of the lifetime
+// is the margin between the check in `BeforeSend` and the bytes leaving the
+// host. After a pause the view of the instances is outdated as well:
+// submissions are refused until `OnView` delivers a new view. A submission
+// older than a key's lifetime is not run at all.
 #ifndef THORNHOLLOW_FLEET_KEY_HOLDER_H_
 #define THORNHOLLOW_FLEET_KEY_HOLDER_H_
 
@@ -37,7 +38,7 @@
 
 namespace thornhollow {
 
-// Identifies a submission within one process.
+// Number that identifies a submission within one process.
 using submission_id = std::uint64_t;
 
 // Tells the owner of the `key_holder` to send the request to the witness
@@ -72,9 +73,9 @@
                          const run_submission&) = default;
 };
 
-// Tells the owner of the `key_holder` that the submission must not run. The
-// holder no longer tracks it. The call of `Submit` or `BeforeSend` that is
-// refused has not returned `run_submission`.
+// Tells the owner of the `key_holder` that the submission must not run and is
+// no longer tracked. If `Submit` or `BeforeSend` returns this action for a
+// submission, it has not returned `run_submission` in the same call.
 struct refuse_submission
 {
   submission_id mSubmission = 0;
@@ -94,9 +95,10 @@
   key_holder(const key_claim_settings& aSettings, claim_holder aSelf);
 
   // Sets the declared domains and the platform's list as read, without members
-  // known only through gossip. A list with a lower version than the last is
-  // ignored. Call it again after a pause, once the list has been re-read, even
-  // if the list is unchanged: submissions are refused until then.
+  // known only through gossip. A list with a lower version than the last list
+  // is ignored. Call `OnView` again after a pause, once the list has been
+  // re-read, even if the list is unchanged: submissions are refused until this
+  // call.
   void OnView(const claim_view& aView, time_point aNow);
 
   // Starts a new submission. `aFingerprint` is a hash of the request.
@@ -106,9 +108,10 @@
                      time_point aNow);
 
   // Must be called before each attempt to send the submission to an endpoint,
-  // and only while nothing has been run yet. Returns `run_submission` at once
-  // while the claim is known to be valid; otherwise `run_submission` or
-  // `refuse_submission` follows once the key has been claimed again.
+  // and only while no attempt of the submission has run yet. Returns
+  // `run_submission` at once while the claim is known to be valid. If it is
+  // not, `run_submission` or `refuse_submission` follows once the key has been
+  // claimed again.
   key_actions BeforeSend(submission_id aSubmission, time_point aNow);
 
   key_actions OnAnswer(const claim_answer& aAnswer, time_point aNow);
@@ -119,19 +122,20 @@
                             const claim_request& aRequest,
                             time_point aNow);
 
-  // Reports that `aWitness` acknowledged a notification, which need not be
-  // repeated.
+  // Reports that `aWitness` acknowledged the notification `aRequest`, so that
+  // the notification need not be repeated.
   void OnNotified(const instance_name& aWitness, const claim_request& aRequest);
 
-  // Reports that the submission received its final answer. After `ran::kNo` its
-  // key is free again; otherwise the key is used up.
+  // Reports that the submission received its final answer. If `aRan` is
+  // `ran::kNo`, the submission's key is free again; any other value marks the
+  // key as used.
   key_actions OnEnded(submission_id aSubmission, ran aRan, time_point aNow);
 
   // Renews claims, repeats unacknowledged notifications and times out pending
-  // requests. Call it every 100 ms.
+  // requests to witnesses. Call it every 100 ms.
   key_actions Tick(time_point aNow);
 
-  // Submissions in progress.
+  // Number of submissions with a key that are in progress.
   std::size_t size() const { return mClaims.size(); }
 
 private:
@@ -141,23 +145,25 @@
     claim_request mRequest;
     std::vector<instance_name> mPending;
     std::vector<instance_name> mGranted;
-    // Every witness that was ever contacted; all of them are notified when the
-    // submission ends.
+    // Every witness that was ever contacted about this claim; all of them are
+    // notified when the submission ends.
     std::vector<instance_name> mContacted;
     bool mVouched = false;
     bool mHeld = false;
     time_point mSubmittedAt{};
-    // Start of the current round of requests.
+    // When the current round of requests to the key's witnesses started.
     time_point mRoundStartedAt{};
-    // Time of the last request of this round.
+    // Time of the last request sent to a witness in the current round.
     time_point mLastRequestAt{};
-    // Set once the submission may have been sent, and kept when the claim is no
-    // longer known to be valid, because the request may be running.
+    // When to renew the claim next. Set once the submission may have been sent,
+    // and kept when the claim is no longer known to be valid, because the
+    // request may be running.
     std::optional<time_point> mNextRenewal;
   };
 
-  // The end of a submission, repeated to witnesses that have not acknowledged
-  // it: after a lost message the key would stay held for a lifetime.
+  // Notification that a submission has ended, repeated to witnesses that have
+  // not acknowledged it: if the message were lost, the key would stay held for
+  // a lifetime.
   struct pending_notification
   {
     claim_request mRequest;
@@ -168,7 +174,8 @@
 
   void DetectPause(time_point aNow);
   claim* FindBySubmission(submission_id aSubmission);
-  // Starts a new round of requests with the highest-ranked witness.
+  // Starts a new round of requests for the key, beginning with the
+  // highest-ranked witness.
   void StartRound(claim& aClaim, time_point aNow, key_actions& aOut);
   void RequestGrant(claim& aClaim,
                     const instance_name& aWitness,
@@ -182,7 +189,8 @@
               error_kind aKind,
               time_point aNow,
               key_actions& aOut);
-  // Notifies all witnesses and erases the claim.
+  // Notifies all contacted witnesses that the submission has ended and erases
+  // its claim.
   void FinishClaim(const claim& aClaim,
                    claim_kind aKind,
                    time_point aNow,
--- a/thornhollow/fleet/key_search_test.cc
+++ b/thornhollow/fleet/key_search_test.cc
@@ -184,7 +184,8 @@
 }
 
 // With a protection disabled, the search of key_search must find requests that
-// run twice; otherwise its success with all protections would prove nothing.
+// run twice; if it found none, its success with all protections would prove
+// nothing.
 TEST_CASE_FIXTURE(key_search, "key_search/without_claims/keys_run_twice")
 {
   mProtections.mClaims = false;
@@ -208,8 +209,8 @@
   long_key_search()
   {
     mMaxEventGap = 8'000;
-    // Most instances are not witnesses; pauses of witnesses would only cause
-    // refusals.
+    // With twelve instances most are not witnesses of a key; pauses of
+    // witnesses would only cause refusals.
     mNodes = 12;
     mDomains = 3;
     mMinPause = 50'000;
--- a/thornhollow/fleet/key_witness.h
+++ b/thornhollow/fleet/key_witness.h
@@ -4,20 +4,21 @@
 //   witness.OnView(view, now);
 //   const claim_answer answer = witness.OnRequest(request, now);
 //
-// A key is held by one submission of one process, then marked used. Each state
-// lasts for one lifetime after the last message about the key; holders renew
-// the claim while the submission runs.
+// A key is held by one submission of one process, then marked used. Each of
+// these two states lasts for one lifetime after the last message about the key;
+// holders renew the claim while the submission runs.
 //
 // Guards against a witness that lost its memory: a restarted or newly listed
-// instance knows no keys and would grant one whose request is running
-// elsewhere, so that the request would be run twice. Such a witness grants the
-// key, because it cannot know better, but does not vouch. It vouches only if it
-// has been a witness for the key in every view for longer than a key can stay
-// alive unseen (a lifetime plus twice the view lag), without a pause. Holders
-// require at least one witness that vouches.
+// instance knows no keys and would grant a key whose request is running
+// elsewhere, so that the request would be run twice. A witness that may have
+// lost its memory grants the key, because it cannot know better, but does not
+// vouch. A witness vouches only if it has been a witness for the key in every
+// view for longer than a key can stay alive unseen (a lifetime plus twice the
+// view lag), without a pause. Holders require at least one witness that
+// vouches.
 //
-// Memory is bounded: a witness that is full refuses new keys and never evicts a
-// live one.
+// Memory is bounded: a witness that remembers the maximum number of keys
+// refuses new keys and never evicts a live key.
 #ifndef THORNHOLLOW_FLEET_KEY_WITNESS_H_
 #define THORNHOLLOW_FLEET_KEY_WITNESS_H_
 
@@ -43,13 +44,14 @@
   key_witness& operator=(const key_witness&) = delete;
 
   // Sets the declared domains and the platform's list as read, without members
-  // known only through gossip. A list with a lower version than the last is
-  // ignored. Call it again after a pause, once the list has been re-read, even
-  // if the list is unchanged: no key is granted until then.
+  // known only through gossip. A list with a lower version than the last list
+  // is ignored. Call `OnView` again after a pause, once the list has been
+  // re-read, even if the list is unchanged: no key is granted until this call.
   void OnView(const claim_view& aView, time_point aNow);
 
-  // Decides a claim, or records the end of a submission, in which case the
-  // answer only acknowledges it.
+  // Decides whether to grant a claimed key, or records that a submission has
+  // ended. The answer to a request that records an end only acknowledges that
+  // request.
   claim_answer OnRequest(const claim_request& aRequest, time_point aNow);
 
   // Erases expired keys and detects pauses. Call it every 100 ms.
@@ -63,8 +65,8 @@
   {
     kHeld,
     kUsed,
-    // Released; kept so that a claim that arrives after its own release is not
-    // granted.
+    // The key was released. The entry is kept so that a claim that arrives
+    // after its own release is not granted.
     kReleased,
   };
 
@@ -78,7 +80,8 @@
     time_point mExpires{};
   };
 
-  // A view that was in force from `mSince` until the next one.
+  // A view of the domains and instances that was in force from `mSince` until
+  // the next view.
   struct past_view
   {
     claim_view mView;
@@ -103,12 +106,13 @@
 
   key_claim_settings mSettings;
   instance_name mSelf;
-  // Time since which no key was lost and every view was received.
+  // Time since which this witness has lost no key and has received every view.
   time_point mHistoryCompleteSince;
   time_point mLastCall;
   std::deque<past_view> mViews;
   std::unordered_map<claim_key, entry> mEntries;
-  // Ordered by expiry: every entry expires one lifetime after its last message.
+  // Entries ordered by expiry, earliest first: every entry expires one lifetime
+  // after the last message about its key.
   boost::intrusive::list<entry> mExpiryOrder;
 };
 
--- a/thornhollow/fleet/membership.cc
+++ b/thornhollow/fleet/membership.cc
@@ -11,14 +11,14 @@
 namespace thornhollow {
 namespace {
 
-// Limit on concurrent indirect pings; each ends within a second.
+// Maximum number of concurrent indirect pings; each ends within a second.
 constexpr std::size_t kMaxIndirectPings = 64;
-// Pressures may take up to 1 / kPressureDivisor of the space in a datagram
-// beyond its header and the leaving endpoints.
+// Fraction of the free space in a datagram, after its header and the leaving
+// endpoints, that pressures may take: 1 / `kPressureDivisor`.
 constexpr std::size_t kPressureDivisor = 2;
 
-// Appends as many entries as fit, starting at a random one, so that no entry is
-// left out of every message.
+// Appends as many entries of `aAll` as fit into `aRoom` bytes, starting at a
+// random entry, so that over time every entry is sent.
 template<class entry>
 void
 AppendWhileFits(std::vector<entry>& aOut,
@@ -38,7 +38,8 @@
   }
 }
 
-// Returns the changes to report for the transition from one digest to the next.
+// Returns the changes to report when the digest of a member changes from `aOld`
+// to `aNew`. `aFirst`: whether this is the first digest received.
 std::vector<member_change>
 ChangesBetween(const member_digest& aOld,
                const member_digest& aNew,
@@ -85,8 +86,8 @@
            member_status::kAlive,
            false }
   , mRandom(aSeed)
-  // A random start keeps a process from accepting acks to its predecessor's
-  // pings.
+  // A random first exchange number keeps a process from accepting acks to the
+  // pings of an earlier process of the same name.
   , mNextExchange(mRandom() >> 2)
 {
 }
@@ -211,7 +212,8 @@
 {
   membership_actions out;
   DetectPause(aNow, out);
-  // An endpoint repeats the report with each answer; only the first is new.
+  // An endpoint repeats the report that it is leaving with each answer; only
+  // the first report is new.
   if (!mLeft && !mShared.IsLeaving(aEndpoint, aNow)) {
     mShared.AddLeaving(aEndpoint, aFor, aNow);
     PushUpdates(aNow, out);
@@ -273,8 +275,8 @@
 membership::DetectPause(time_point aNow, membership_actions& aOut)
 {
   if (!mLastCall) {
-    // A random phase keeps instances that start together from probing in
-    // lockstep.
+    // A random time of the first probe keeps instances that start together from
+    // probing in lockstep.
     const auto phase = duration(static_cast<duration::rep>(
       mRandom() %
       static_cast<std::uint64_t>(mSettings.mProbeInterval.count())));
@@ -323,8 +325,8 @@
   }
   const auto found = mMembers.find(aDigest.mName);
   if (found == mMembers.end()) {
-    // An unknown removed member is of no use and would only be disseminated
-    // further.
+    // A removed member that this instance does not know is of no use and would
+    // only be disseminated further.
     if (aDigest.mStatus != member_status::kRemoved &&
         mMembers.size() < mSettings.mMaxMembers) {
       ApplyDigest(mMembers[aDigest.mName], aDigest, aNow, aOut);
@@ -539,9 +541,9 @@
     return aEntry.second.mListedOnly ||
            aEntry.second.mDigest.mStatus != member_status::kAlive;
   };
-  // Visits these members in order of their names: with random picks, two
-  // members alone on one side of a partition did not ping each other for more
-  // than 15 s.
+  // Visits the members that are not alive in order of their names: with random
+  // picks, two members alone on one side of a partition did not ping each other
+  // for more than 15 s.
   auto next = std::find_if(
     mMembers.upper_bound(mLastNotAlive), mMembers.end(), isNotAlive);
   if (next == mMembers.end()) {
@@ -613,7 +615,8 @@
 membership::NextToProbe()
 {
   // Visits each member once in random order, then reshuffles: a dead member is
-  // found within two rounds, whereas random picks could miss it for long.
+  // found within two passes over all members, whereas random picks could miss
+  // the member for long.
   for (int round = 0; round < 2; ++round) {
     while (!mProbeOrder.empty()) {
       instance_name next = std::move(mProbeOrder.back());
--- a/thornhollow/fleet/membership.h
+++ b/thornhollow/fleet/membership.h
@@ -8,14 +8,15 @@
 //   Apply(members.OnMessage(message, now)); // for each opened datagram
 //
 // Failure detection follows SWIM. Once per probe interval each instance pings
-// one other, in an order that visits all of them. Without an ack it asks two
-// others to ping on its behalf; without an ack from those either, it marks the
-// member as suspect and disseminates that. A suspected member that is alive
-// refutes the suspicion by raising its incarnation; otherwise it is removed
-// when the suspicion times out. Every message piggybacks the latest changes, so
-// that each change reaches all members within a few intervals. It also carries
-// the states of a few other members, different ones each time until all have
-// been sent (anti-entropy), which repairs the loss of a message.
+// one other member, in an order that visits all members. Without an ack it asks
+// two other members to ping on its behalf; without an ack from those either, it
+// marks the pinged member as suspect and disseminates the suspicion. A
+// suspected member that is alive refutes the suspicion by raising its
+// incarnation; a member that does not is removed when the suspicion times out.
+// Every message piggybacks the latest changes, so that each change reaches all
+// members within a few intervals. Every message also carries the states of a
+// few other members, different ones each time until all have been sent
+// (anti-entropy), which repairs the loss of a message.
 //
 // The design scales to a fleet of any size. Each instance sends and receives a
 // constant number of datagrams per interval, each of bounded size, and tracks
@@ -51,36 +52,41 @@
 
 struct membership_settings
 {
-  // One member is probed per interval. One second keeps the cost at about four
-  // datagrams per second and detects a dead member within a few seconds.
+  // Interval between two probes, each of one member. One second keeps the cost
+  // at about four datagrams per second and detects a dead member within a few
+  // seconds.
   duration mProbeInterval = Seconds(1);
-  // An ack takes a few milliseconds; an engine step or a busy event loop may
-  // add tens. After this timeout other members are asked to probe.
+  // Time without an ack after which other members are asked to probe. An ack
+  // takes a few milliseconds; an engine step or a busy event loop may add tens.
   duration mAckTimeout = Milliseconds(250);
-  // Without an ack to any probe within this time the member is suspected.
+  // Time without an ack, direct or through other members, after which the
+  // probed member is suspected.
   duration mProbeTimeout = Milliseconds(750);
   // Time that a suspected member has to refute the suspicion. An update reaches
   // all members of a domain of 38 within one to two probe intervals, so three
   // intervals leave room for message loss.
   duration mSuspicionTimeout = Seconds(3);
-  // A longer gap between two calls is treated as a pause of this process.
+  // Maximum gap between two calls; a longer one is treated as a pause of this
+  // process.
   duration mClockGap = Seconds(2);
   // How long an instance waits after a pause for an ack from a peer.
   duration mRefreshTimeout = Seconds(1);
   // Removed members are kept as tombstones for this long, so that late messages
-  // about them are recognized as outdated. They are probed as long as they are
-  // listed.
+  // about them are recognized as outdated. Removed members are probed as long
+  // as they are listed.
   duration mTombstoneLifetime = Seconds(60);
   std::size_t mIndirectProbers = 2;
-  // Number of members to which an update is pushed at once.
+  // Number of members to which an update is pushed as soon as it is known.
   std::size_t mFanout = 4;
-  // Members of a domain that exchange messages with each other domain.
+  // Number of members of a domain that exchange messages with each other
+  // domain.
   std::size_t mBridgesPerDomain = 2;
-  // Members whose state a message carries in addition to recent changes; the
-  // next message continues with the members that follow (anti-entropy).
+  // Maximum number of members whose state a message carries in addition to
+  // recent changes; the next message continues with the members that follow by
+  // name (anti-entropy).
   std::size_t mAntiEntropyMembers = 8;
-  // Limit on tracked members; further ones are ignored. The largest deployment
-  // has 38 per domain.
+  // Maximum number of tracked members; further members are ignored. The largest
+  // deployment has 38 members per domain.
   std::size_t mMaxMembers = 256;
 
   friend bool operator==(const membership_settings&,
@@ -100,7 +106,7 @@
 
 enum class member_change : std::uint8_t
 {
-  // The member was reported as alive for the first time.
+  // The member was reported as alive or suspected for the first time.
   kJoined,
   kSuspected,
   // The member refuted the suspicion.
@@ -123,8 +129,8 @@
 };
 
 // A peer has a newer configuration in force and can be asked for it. For the
-// same version this is repeated at most once per probe interval, until this
-// instance reports that version with `OnConfiguration`.
+// same version this action is repeated at most once per probe interval, until
+// this instance reports that version with `OnConfiguration`.
 struct newer_configuration
 {
   std::uint64_t mVersion = 0;
@@ -156,8 +162,8 @@
                          const process_paused&) = default;
 };
 
-// The refresh after a pause has ended; `mPeerResponded` is false if it timed
-// out.
+// The refresh after a pause has ended; `mPeerResponded` is false if no peer
+// responded before the refresh timed out.
 struct refresh_finished
 {
   bool mPeerResponded = false;
@@ -166,8 +172,8 @@
                          const refresh_finished&) = default;
 };
 
-// Peers know a later process of this name. This one must stop, or restart with
-// an epoch above `mEpoch`.
+// Peers know a later process of this instance's name. This process must stop,
+// or restart with an epoch above `mEpoch`.
 struct superseded
 {
   std::uint64_t mEpoch = 0;
@@ -195,7 +201,8 @@
              std::uint64_t aEpoch,
              std::uint64_t aSeed);
 
-  // Updates the platform's list. A lower version than the last one is ignored.
+  // Updates the platform's list of instances. A list with a lower version than
+  // the last one is ignored.
   membership_actions OnInstances(const instance_list& aList, time_point aNow);
 
   membership_actions OnMessage(const gossip_message& aMessage, time_point aNow);
@@ -224,8 +231,8 @@
   // it first.
   membership_actions Leave(time_point aNow);
 
-  // Members not removed, suspected ones included, excluding this instance;
-  // ordered by name.
+  // Members that are alive or suspected, excluding this instance; ordered by
+  // name.
   std::vector<member_digest> Alive() const;
   // The current state of one member of the own domain, if known.
   std::optional<member_digest> Find(const instance_name& aName) const;
@@ -243,9 +250,10 @@
     // shown yet that it runs.
     bool mListedOnly = true;
     bool mListed = false;
-    // Time of the last status change.
+    // When the member's status last changed.
     time_point mStatusSince{};
-    // Number of further messages that will carry the member's last change.
+    // Number of further messages that will carry the last change of the
+    // member's state.
     std::uint32_t mTransmissionsLeft = 0;
   };
 
@@ -301,8 +309,8 @@
   void AdvanceProbe(time_point aNow, membership_actions& aOut);
   void StartProbe(time_point aNow, membership_actions& aOut);
   void FailProbe(time_point aNow, membership_actions& aOut);
-  // Pings the next member that is only listed, suspected or removed, so that it
-  // can rejoin.
+  // Pings the next member, by name, that is known only from the platform's
+  // list, suspected or removed, so that it can rejoin.
   void PingNotAlive(time_point aNow, membership_actions& aOut);
   void SendToOtherDomains(gossip_kind aKind,
                           time_point aNow,
@@ -326,7 +334,8 @@
   void PiggybackMembers(gossip_message& aMessage,
                         const instance_name& aTo,
                         std::size_t aRoom);
-  // Sends to a member of the own domain; does nothing if it is unknown.
+  // Sends the message to a member of the own domain; does nothing if the member
+  // is unknown.
   void SendTo(const instance_name& aTo,
               gossip_message aMessage,
               time_point aNow,
@@ -341,7 +350,7 @@
   std::uint64_t mConfigurationVersion = 0;
   std::uint64_t mListVersion = 0;
   std::map<instance_name, member> mMembers;
-  // Listed instances of other domains, by domain.
+  // Instances of other domains in the platform's list, by domain.
   std::map<domain_name, std::vector<listed_instance>> mOtherDomains;
   std::vector<instance_name> mProbeOrder;
   std::optional<probe> mProbe;
--- a/thornhollow/fleet/membership_test.cc
+++ b/thornhollow/fleet/membership_test.cc
@@ -68,8 +68,8 @@
 TEST_CASE_FIXTURE(one_domain, "membership/member_killed/all_remove_it_in_time")
 {
   // An instance dies without leaving while the platform's list still contains
-  // it. Peers that kept requesting claims from it would refuse callers for
-  // minutes.
+  // it. Peers that kept requesting claims from the dead instance would refuse
+  // callers for minutes.
   mNetwork.Kill("n3");
   const auto elapsed =
     mNetwork.RunUntilHolds([&] { return NoneSees("n3"); }, Seconds(12));
@@ -79,7 +79,7 @@
 
 TEST_CASE_FIXTURE(one_domain, "membership/short_pause/suspicion_is_refuted")
 {
-  // A member is paused for 2.5 s, as on a slow host, and resumes. It is
+  // A member is paused for 2.5 s, as on a slow host, and resumes. The member is
   // suspected during the pause but must not be removed: a removal would
   // needlessly move the member's idempotency-key claims to other members.
   mNetwork.Pause("n2");
@@ -154,8 +154,8 @@
                   "membership/older_process_of_a_name/is_superseded")
 {
   // Two processes run under one name, or a restarted process has an older
-  // clock. Peers ignore the one with the lower epoch; unless it is informed, it
-  // would keep serving without peers.
+  // clock. Peers ignore the process with the lower epoch; unless that process
+  // is informed, it would keep serving without peers.
   gossip_message ping;
   ping.mDomain = domain_name("hall");
   ping.mSender = mNetwork.Core("n0").Self();
@@ -202,8 +202,8 @@
       }));
     }
   }
-  // The report expires at every instance, however often instances have passed
-  // it on.
+  // The report of the leaving endpoint expires at every instance, however often
+  // instances have passed it on.
   mNetwork.RunFor(Seconds(20));
   for (const auto& [name, each] : mNetwork.Nodes()) {
     CHECK(each.mCore->Shared().Leaving(mNetwork.Now()).empty());
@@ -212,9 +212,10 @@
 
 TEST_CASE_FIXTURE(one_domain, "membership/pressure_ends/all_forget_it")
 {
-  // One instance sheds tiers 3 and 4 during a burst, and the others raise their
-  // admission threshold. After the burst the report must not keep circulating
-  // among them, or low tiers would be refused indefinitely.
+  // One instance sheds tiers 3 and 4 during a burst, and the other instances
+  // raise their admission threshold. After the burst the report must not keep
+  // circulating among the instances, or low tiers would be refused
+  // indefinitely.
   for (int second = 0; second < 3; ++second) {
     mNetwork.Core("n0").OnPressure(
       { pool_name("dispatch"), 2, Milliseconds(80), {} }, mNetwork.Now());
--- a/thornhollow/fleet/peer_messages.h
+++ b/thornhollow/fleet/peer_messages.h
@@ -27,8 +27,8 @@
 // Maximum size of a sealed datagram, which fits into one packet on any usual
 // network path.
 inline constexpr std::size_t kMaxDatagramBytes = 1200;
-// Maximum entries of one list inside a message; a message with more is rejected
-// as malformed.
+// Maximum number of entries of one list inside a message; a message with a
+// longer list is rejected as malformed.
 inline constexpr std::size_t kMaxMessageEntries = 64;
 // Maximum bytes of a name or an address inside a message.
 inline constexpr std::size_t kMaxNameBytes = 128;
@@ -36,9 +36,10 @@
 // values of up to 1 MiB.
 inline constexpr std::size_t kMaxTransferBytes = std::size_t{ 1 } << 20;
 
-// Orders the information about one member. The epoch distinguishes processes of
-// the same name (taken from the clock at process start); the incarnation is
-// raised by the member itself when it refutes a suspicion or changes.
+// Orders the information about one member by age. The epoch distinguishes
+// processes of the same name (taken from the clock at process start); the
+// incarnation is raised by the member itself when it refutes a suspicion or
+// changes.
 struct member_version
 {
   std::uint64_t mEpoch = 0;
@@ -51,8 +52,8 @@
   // NOLINTEND(modernize-use-nullptr)
 };
 
-// Ordered by precedence: of two digests with the same version, the one with the
-// greater status wins.
+// Status of a member, ordered by precedence: of two digests with the same
+// version, the one with the greater status wins.
 enum class member_status : std::uint8_t
 {
   kAlive,
@@ -95,7 +96,7 @@
   kAck,
   // Asks the receiver to ping `mTarget` on the sender's behalf.
   kPingRequest,
-  // An update; no answer is expected.
+  // Delivers recent changes to the receiver; no answer is expected.
   kPush,
 };
 
@@ -103,7 +104,8 @@
 struct gossip_message
 {
   gossip_kind mKind = gossip_kind::kPing;
-  // An ack repeats the value of its ping.
+  // Number that matches an ack to its ping: an ack repeats the value of the
+  // ping.
   std::uint64_t mExchange = 0;
   domain_name mDomain;
   member_digest mSender;
@@ -113,7 +115,9 @@
   std::uint64_t mConfigurationVersion = 0;
   std::vector<pool_pressure> mPressures;
   std::vector<leaving_endpoint> mLeaving;
-  // Age that accompanies `mConfigurationVersion`; see config_hint.
+  // Time since the platform last confirmed that no later configuration version
+  // exists, as far as the sender knows; unset if the message does not say. See
+  // config_hint.
   std::optional<duration> mPlatformAge;
 
   friend bool operator==(const gossip_message&,
@@ -123,7 +127,8 @@
 // Hash of a team and its idempotency key.
 using claim_key = std::uint64_t;
 
-// The holder of a claim: one process, since a name may be reused.
+// The holder of a claimed key: one process of an instance, identified by name
+// and epoch because a name may be reused.
 struct claim_holder
 {
   instance_name mName;
@@ -150,11 +155,12 @@
   // Hash of the request; the same key with a different hash is refused.
   std::uint64_t mFingerprint = 0;
   claim_holder mHolder;
-  // Sequence number of the holder's submissions with a key. A grant is renewed
-  // only for the same number: a different one of the same process is a
-  // different submission.
+  // Sequence number of the submission among the holder's submissions with a
+  // key. A grant is renewed only for the same number, because a different
+  // number from the same process denotes a different submission.
   std::uint64_t mClaim = 0;
-  // Incremented each time the claim is requested again.
+  // Number of the round of requests for this claim; incremented each time the
+  // claim is requested again from the witnesses.
   std::uint32_t mRound = 0;
   // The witnesses according to the holder's view, highest rank first.
   std::vector<instance_name> mWitnesses;
@@ -164,8 +170,8 @@
 
 enum class claim_verdict : std::uint8_t
 {
-  // Another submission holds the key. First enumerator, so that an answer
-  // without a verdict reads as a denial.
+  // Another submission holds the key. This is the first enumerator, so that an
+  // answer without a verdict reads as a denial.
   kHeld,
   kGranted,
   // A submission with the key ended and may have run.
@@ -186,7 +192,7 @@
   instance_name mWitness;
   claim_verdict mVerdict = claim_verdict::kHeld;
   // Whether the answering instance has been a witness for this key, without
-  // losing its memory, for longer than a key can stay alive (see
+  // losing its memory of keys, for longer than a key can stay alive (see
   // key_witness.h).
   bool mVouches = false;
 
@@ -210,7 +216,8 @@
   friend bool operator==(const part_answer&, const part_answer&) = default;
 };
 
-// Configuration status of the sender; the receiver answers with its own.
+// Configuration status of the sender; the receiver answers with its own
+// configuration status.
 struct config_status_exchange
 {
   config_word mStatus;
--- a/thornhollow/fleet/relay_peers.h
+++ b/thornhollow/fleet/relay_peers.h
@@ -7,25 +7,24 @@
 //   const auto from = peers.FindNewerCopy(own, 0, now);  // peer to fetch from
 //
 // There is no consensus. Each instance sends its own state in hellos and uses
-// what it receives for as long as that is fresh. It starts from a few seed
-// addresses, any of which may be stale, and learns further addresses from the
-// peers that answer.
+// the state that it receives from a peer until that state exceeds its maximum
+// age. An instance starts from a few seed addresses, any of which may be stale,
+// and learns further addresses from the peers that answer.
 //
 // Scales to a fleet of any size: in each interval an instance sends hellos to a
 // bounded number of randomly chosen peers. A newly learned address is probed
 // next.
 //
 // In a large failure domain a few instances, the readers, read the source for
-// all: those with the widest links, ties broken by a hash of the address. The
-// others take the readers' copies. On a site of 90 engines the list of
-// endpoints changes every second or two, and without readers each change would
-// cost one source call per instance. Readers send frequent hellos to their
-// whole domain. An instance that receives hellos from too few readers of a
-// higher rank becomes a reader too. The lower its rank, the longer it waits, so
-// that the hello of the first new reader arrives before others start. A reader
-// that the
-// source does not answer keeps calling it, and one more instance reads
-// alongside it.
+// all: those with the widest links, ties broken by a hash of the address.
+// Instances that are not readers take the readers' copies. On a site of 90
+// engines the list of endpoints changes every second or two, and without
+// readers each change would cost one source call per instance. Readers send
+// frequent hellos to their whole domain. An instance that receives hellos from
+// too few readers of a higher rank becomes a reader too. The lower its rank,
+// the longer it waits, so that the hello of the first new reader arrives before
+// other instances become readers. A reader that the source does not answer
+// keeps calling it, and one more instance reads alongside it.
 //
 // Guards against a source that does not serve this instance while it serves
 // others, which leaves the configuration stale on this instance only. Peers
@@ -51,8 +50,8 @@
 namespace thornhollow {
 
 // What an instance reports about one endpoint: the prompt tokens that the
-// instance sent to it and that are not prefilled yet, the prefill time per
-// token, and the requests in flight.
+// instance sent to the endpoint and that are not prefilled yet, the prefill
+// time per token, and the requests in flight.
 struct reported_load
 {
   // See `EndpointHash`.
@@ -68,8 +67,8 @@
 };
 
 // Hash that identifies an endpoint in messages. Among a thousand endpoints the
-// probability of a collision is about one in ten thousand; colliding endpoints
-// share an estimate.
+// probability of a collision is about one in ten thousand; endpoints with the
+// same hash share one estimate of their load.
 std::uint32_t
 EndpointHash(const endpoint_name& aEndpoint);
 
@@ -81,8 +80,9 @@
   friend bool operator==(const pool_demand&, const pool_demand&) = default;
 };
 
-// Source revisions: those up to which the copies of an instance are complete
-// or, in hellos of domains with readers, those of the last changes applied.
+// Revisions of the source up to which an instance's copies of the configuration
+// and of the endpoints are complete. In hellos of domains with readers: the
+// revisions of the last changes that the instance applied.
 struct known_revisions
 {
   std::uint64_t mConfiguration = 0;
@@ -96,8 +96,8 @@
 struct relay_hello
 {
   // Whether this is a brief hello, which has no loads, demand or peers; the
-  // receiver keeps those of the last full hello. Brief hellos announce the
-  // instance and its revisions to many peers at once.
+  // receiver keeps the loads, demand and peers of the last full hello. Brief
+  // hellos announce the instance and its revisions to many peers at once.
   bool mBrief = false;
   // Listening address, "ip:port".
   std::string mAddress;
@@ -111,9 +111,10 @@
   // loads, demand or peers.
   std::optional<aggregation_message> mAggregation = std::nullopt;
   bool mWantsAnswer = false;
-  // Whether the source does not answer this instance.
+  // Whether the source does not answer the sender.
   bool mSourceFails = false;
-  // Time since the source last answered the sender; unset if that was long ago.
+  // Time since the source last answered the sender; unset if the sender does
+  // not report it because the last answer was long ago.
   std::optional<duration> mSourceAnswerAge = std::nullopt;
   // Link capacity in Mbit/s; 0 if not reported.
   std::uint32_t mLinkMegabits = 0;
@@ -125,7 +126,8 @@
 struct newer_copy
 {
   std::string mAddress;
-  // The reported revisions, and which of them are later.
+  // Revisions that the peer reported; `mConfiguration` and `mEndpoints` say
+  // which of the two copies is later than the own one.
   known_revisions mRevisions;
   bool mConfiguration = false;
   bool mEndpoints = false;
@@ -139,8 +141,8 @@
 {
   std::vector<std::string> mFull;
   std::vector<std::string> mBrief;
-  // Receive a brief hello that requests an answer: addresses learned from other
-  // peers that have not sent a hello yet.
+  // Addresses learned from other peers from which no hello has arrived yet.
+  // They receive a brief hello that requests an answer.
   std::vector<std::string> mProbed;
 
   friend bool operator==(const hello_round&, const hello_round&) = default;
@@ -153,18 +155,21 @@
   // Time between two rounds of hellos. The load of an engine changes with each
   // prompt, whose prefill takes tens to hundreds of milliseconds.
   duration mInterval = Milliseconds(250);
-  // Recipients of full hellos in each interval.
+  // Maximum number of randomly chosen peers that receive a full hello in each
+  // interval.
   std::size_t mFanout = 8;
-  // From this number of peers on the interval is doubled. A hello is then close
-  // to the limit of 1,100 bytes per datagram, and 16 of them a second make up
-  // the 18 KB/s of control traffic allowed in a fleet of 420 instances.
+  // Minimum number of peers from which the interval is doubled. With so many
+  // peers a hello is close to the limit of 1,100 bytes per datagram, and 16
+  // hellos a second make up the 18 KB/s of control traffic allowed in a fleet
+  // of 420 instances.
   std::size_t mHalfRateFrom = 128;
-  // A peer is removed after this time without a hello. Hellos from each peer
-  // become rarer as the fleet grows, so the time-out grows by
+  // `mPeerTimeout`: a peer is removed after this time without a hello. Hellos
+  // from each peer become rarer as the fleet grows, so the time-out grows by
   // `mPeerTimeoutStep` for every `mFanout` peers.
   duration mPeerTimeout = Seconds(4);
   duration mPeerTimeoutStep = Milliseconds(1'600);
-  // Reported loads and demand that are older than this are ignored.
+  // Maximum age of what a peer reported: loads, demand, revisions and a failing
+  // source. Older reports are ignored.
   duration mMaxAge = Milliseconds(1'200);
   // Interval at which seeds that have not answered and newly learned addresses
   // are tried.
@@ -172,12 +177,13 @@
   // Maximum number of peer addresses, chosen at random, that a hello (the
   // periodic gossip message) contains.
   std::size_t mAddressesPerHello = 6;
-  // Readers of a failure domain with more than `mAllReadUpTo` instances. 0
-  // makes every instance a reader; other values should be at least two, so that
-  // the domain stays up to date until the failure of one reader is detected.
+  // Number of readers of a failure domain with more than `mAllReadUpTo`
+  // instances. 0 makes every instance a reader; other values should be at least
+  // two, so that the domain stays up to date until the failure of one reader is
+  // detected.
   std::size_t mReaders = 2;
   std::size_t mAllReadUpTo = 6;
-  // Upper bound on the readers of a domain while the source does not answer
+  // Maximum number of readers of a domain while the source does not answer
   // them: in an outage of the source not every instance needs to send it
   // requests.
   std::size_t mMaxReaders = 6;
@@ -186,17 +192,18 @@
   // A reader is considered gone after this time without a hello, which allows
   // for two lost hellos.
   duration mReaderTimeout = Milliseconds(2'600);
-  // Before it becomes a reader, an instance waits this long for each instance
-  // of a higher rank, at most `mMaxStagger` in total. A hello takes less than
-  // `mStagger`, so that the hello of the first new reader arrives before the
-  // next instance becomes one.
+  // `mStagger`: before an instance becomes a reader, it waits this long for
+  // each instance of a higher rank, at most `mMaxStagger` in total. A hello
+  // takes less than `mStagger`, so that the hello of the first new reader
+  // arrives before the next instance becomes a reader.
   duration mStagger = Milliseconds(150);
   duration mMaxStagger = Seconds(3);
-  // From this number of peers on, the demand is taken from the aggregation,
-  // because messages from only some of the peers arrive within `mMaxAge`.
+  // Minimum number of peers from which the demand is taken from the aggregation
+  // messages, because full hellos from only some of the peers arrive within
+  // `mMaxAge`.
   std::size_t mAggregateFrom = 16;
   demand_aggregation_settings mAggregation;
-  // Upper bound on tracked peers; above the 420 instances of a large fleet.
+  // Maximum number of tracked peers; above the 420 instances of a large fleet.
   std::size_t mMaxPeers = 512;
   // `Count` returns the largest count of this period, so that a fleet-wide
   // limit that is divided among the instances is not exceeded while some cannot
@@ -224,8 +231,8 @@
   // Whether all instances of this domain read the source, as of the last call
   // of `Reads`.
   bool AllReadInDomain() const { return mReads && !mReadsForDomain; }
-  // Position of this instance among the readers of its domain, which staggers
-  // the ends of their watches.
+  // Position of this instance among the readers of its domain; the readers'
+  // watches of the source end at different times by this position.
   watch_stagger Turn(time_point aNow) const;
   // Returns the aggregation messages that are due, each for one peer. `aOwn` is
   // the demand at this instance.
@@ -235,36 +242,38 @@
   // Returns the recipients of an immediate brief hello, to be sent when this
   // instance has received a newer revision.
   std::vector<std::string> OnNewRevision();
-  // Processes a hello; returns the address to answer if one was requested.
+  // Processes a hello; returns the address of its sender if the sender
+  // requested an answer.
   std::optional<std::string> OnHello(const relay_hello& aHello,
                                      time_point aNow);
 
   // Returns a random sample of peer addresses for a hello.
   std::vector<std::string> SamplePeers();
 
-  // Whether a peer recently reported that the source does not answer it.
+  // Whether a peer recently reported that the source does not answer that peer.
   bool SourceFailsElsewhere(time_point aNow) const;
 
   // When the source last answered another instance, as reported by peers.
   std::optional<time_point> SourceAnswered() const { return mSourceAnswered; }
 
-  // Returns a peer that holds a later revision than `aOwn` of either copy, if
-  // any. `aAttempt` selects among equally good peers.
+  // Returns a peer that holds a later revision than `aOwn` of the configuration
+  // or of the endpoints, if any. `aAttempt` selects among equally good peers.
   std::optional<newer_copy> FindNewerCopy(const known_revisions& aOwn,
                                           std::uint64_t aAttempt,
                                           time_point aNow) const;
 
-  // Number of live instances including this one; the largest of the last
+  // Largest number of live instances, including this one, within the last
   // `mCountRetention`. 0 before the first hello is received.
   std::size_t Count(time_point aNow) const;
   std::size_t Alive() const { return mPeers.size(); }
 
-  // Sum of the fresh loads of the peers by endpoint hash, extrapolated to all
-  // peers if only some have reported recently. The prefill time is the minimum.
+  // Sum of the peers' loads that are not older than `mMaxAge`, by endpoint
+  // hash, extrapolated to all peers if only some have reported recently. The
+  // prefill time per token is the minimum over the peers.
   std::map<std::uint32_t, reported_load> RemoteLoad(time_point aNow) const;
-  // Demand over all instances including `aOwn`, extrapolated in the same way.
-  // Taken from the aggregation, or from the recent full hellos if those cover
-  // more instances.
+  // Demand over all instances including `aOwn`, extrapolated to all peers if
+  // only some have reported recently. Taken from the aggregation messages, or
+  // from the recent full hellos if those cover more instances.
   std::map<pool_name, pool_view> FleetViews(
     const std::map<pool_name, pool_view>& aOwn,
     time_point aNow) const;
@@ -274,7 +283,8 @@
   {
     relay_hello mHello;
     time_point mLastMessage{};
-    // When the loads and demand of the peer were last received.
+    // When the loads and demand of the peer were last received; unset if they
+    // have not been received yet.
     std::optional<time_point> mLastFullHello = std::nullopt;
   };
 
@@ -284,12 +294,13 @@
   // Whether the loads and demand of the peer are recent enough to be used.
   bool HasFreshLoad(const peer& aPeer, time_point aNow) const;
   std::size_t CountFreshLoads(time_point aNow) const;
-  // All instances in ring order; those of one domain are adjacent.
+  // All instances in ring order; instances of one domain are adjacent.
   instance_ring Ring() const;
-  // Extrapolates the sums to all instances.
+  // Extrapolates sums over some instances to all instances of the fleet.
   std::map<pool_name, pool_view> ScaleToFleet(
     const aggregated_views& aSums) const;
-  // Ratio of all peers to those with fresh loads; 0 if there are none.
+  // Ratio of the number of all peers to the number of peers with fresh loads; 0
+  // if no peer has fresh loads.
   double FreshLoadScale(time_point aNow) const;
   bool IsBetter(const peer& aLeft,
                 const peer& aRight,
@@ -298,19 +309,23 @@
   std::vector<std::string> DomainPeers() const;
   // Whether all instances of a domain of this size read the source.
   bool AllRead(std::size_t aDomainSize) const;
-  // Counts of instances of this domain: `mInDomain` counts all of them
-  // including this one, the others only those that rank above this one.
+  // Counts of instances of this domain. `mInDomain` counts all of them
+  // including this one; `mCount`, `mActive` and `mServed` count only instances
+  // that rank above this one as readers.
   struct higher_ranked
   {
     std::size_t mInDomain = 1;
     std::size_t mCount = 0;
-    // Those from which a hello arrived within the last `mReaderTimeout`.
+    // Higher-ranked instances of this domain from which a hello arrived within
+    // the last `mReaderTimeout`.
     std::size_t mActive = 0;
-    // Those among `mActive` that do not report a failing source.
+    // Higher-ranked instances counted in `mActive` that do not report a failing
+    // source.
     std::size_t mServed = 0;
   };
   higher_ranked HigherRanked(time_point aNow) const;
-  // Instances with the highest ranks become readers.
+  // Link capacity in Mbit/s, then hash of the address. The instances with the
+  // highest ranks of a domain become readers.
   using reader_rank = std::pair<std::uint32_t, std::uint64_t>;
   static reader_rank RankOf(std::uint32_t aLinkMegabits,
                             const std::string& aAddress);
@@ -325,17 +340,18 @@
   std::mt19937_64 mRandom;
   std::map<std::string, peer> mPeers;
   demand_aggregation mAggregation;
-  // Addresses that have not sent a hello yet, and when to stop trying them.
+  // Peer addresses from which no hello has arrived yet, and when to stop trying
+  // each of them.
   std::map<std::string, time_point> mUnconfirmed;
   time_point mNextRound{};
   time_point mNextSeeds{};
   time_point mNextReaderHello{};
   bool mReads = true;
-  // Whether this instance is one of the readers of a domain in which not all
-  // read.
+  // Whether this instance is a reader of its domain and the domain has
+  // instances that do not read the source.
   bool mReadsForDomain = false;
-  // Since when there have been too few readers of a higher rank; unset while
-  // there are enough.
+  // Since when fewer readers than needed rank above this instance; unset while
+  // enough readers do.
   std::optional<time_point> mReadersMissingSince;
   std::size_t mMaxCount = 0;
   time_point mMaxCountAt{};
--- a/thornhollow/fleet/relay_peers_test.cc
+++ b/thornhollow/fleet/relay_peers_test.cc
@@ -22,7 +22,7 @@
   std::map<std::string, std::unique_ptr<relay_peers>> mPeers;
   std::map<std::string, known_revisions> mKnown;
   std::map<std::string, bool> mCutOff;
-  // Instances that the source does not answer.
+  // Addresses of instances that the source does not answer.
   std::map<std::string, bool> mSourceFails;
   std::map<std::string, std::uint32_t> mMegabits;
   time_point mNow = time_point() + Seconds(100);
@@ -110,7 +110,7 @@
                   "relay_peers/behind_the_others/knows_whom_to_ask")
 {
   // Guards against an instance that keeps accepting a revoked token because the
-  // source does not answer it, while it answers the others.
+  // source does not answer this instance, while it answers the other instances.
   Add("a", { "b" });
   Add("b", {});
   Run(Seconds(2));
@@ -125,7 +125,8 @@
 TEST_CASE_FIXTURE(hello_fleet, "relay_peers/cut_off/counts_the_fleet_as_it_was")
 {
   // Guards against exceeding the fleet-wide retry limit while a link is down:
-  // each side would divide it among the few instances that it can still reach.
+  // the instances on each side of the link would divide the limit among the few
+  // instances that they can still reach.
   Add("a", { "b" });
   Add("b", {});
   Add("c", { "b" });
@@ -143,8 +144,9 @@
 
 // Guards against an estimate of the demand that lags behind a burst. In a burst
 // of long prompts at 90 instances, each instance received hellos from only a
-// third of the others within a second. Sums of old and new reports showed the
-// burst only when half of it was over, too late to partition the engines.
+// third of the fleet within a second. Sums of old and new reports showed the
+// burst only when half of the burst was over, too late to partition the
+// engines.
 TEST_CASE("relay_peers/burst_at_many/shows_by_those_heard_a_moment_ago")
 {
   const pool_name pool("plans");
@@ -243,9 +245,9 @@
   }
 }
 
-// Guards against taking a leaving endpoint for one whose lease lapsed in an
-// outage: a peer that the source does not answer reports an outage, although
-// the source answers other instances.
+// Guards against taking a leaving endpoint for an endpoint whose lease lapsed
+// in an outage: a peer that the source does not answer reports an outage,
+// although the source answers other instances.
 TEST_CASE("relay_peers/source_answers_some/its_latest_answer_is_known")
 {
   relay_peers subject(relay_peer_settings{}, "me", kHall, {}, 1);
@@ -286,7 +288,8 @@
 }
 
 // Guards against a domain in which no instance asks the source, because each
-// reader gives up a failing source in favour of others that have done the same.
+// reader gives up a failing source in favour of other readers that have given
+// it up too.
 TEST_CASE_FIXTURE(domain_of_thirty,
                   "relay_peers/readers_turned_away/they_and_as_many_more_read")
 {
@@ -331,7 +334,7 @@
   Deliver("b", "a", false, true);
   CHECK(mPeers["a"]->RemoteLoad(mNow).at(1).mPrefillTokens == 10);
   CHECK(mPeers["a"]->Alive() == 1);
-  // A brief hello does not refresh the age of the loads either.
+  // A brief hello does not refresh the age of the peer's loads.
   relay_peers& subject = *mPeers["a"];
   mNow += mSettings.mMaxAge;
   Deliver("b", "a", false, true);
--- a/thornhollow/fleet/testing/modelled_instance.h
+++ b/thornhollow/fleet/testing/modelled_instance.h
@@ -50,8 +50,9 @@
   // Whether the call was pending while the source was silent and will therefore
   // never be answered.
   bool mLost = false;
-  // Set when the answer starts to arrive: the bytes that have not arrived yet,
-  // and the revision up to which the answer reports changes.
+  // `mBytesLeft`: the bytes of the answer that have not arrived yet; set when
+  // the answer starts to arrive. `mAnswerRevision`: the revision up to which
+  // the answer reports changes.
   std::optional<double> mBytesLeft = std::nullopt;
   std::uint64_t mAnswerRevision = 0;
   time_point mLastBytes{};
@@ -68,11 +69,11 @@
   // Whether no call is pending or scheduled because other instances read the
   // source for this one.
   bool mIdle = false;
-  // Concurrent calls, the newest last.
+  // Concurrent calls to the source, ordered by their start, the newest last.
   std::vector<outstanding_call> mOutstanding = {};
   pending_calls mRound = pending_calls{};
-  // Calls of earlier rounds. Their answers are ignored but still take up the
-  // link.
+  // Calls to the source of earlier rounds of calls. Answers to these calls are
+  // ignored but still take up the link.
   std::vector<outstanding_call> mAbandoned = {};
 };
 
@@ -90,13 +91,14 @@
   time_point mBlockedFrom{};
   time_point mBlockedUntil{};
   endpoint_roster mRoster{ roster_settings{} };
-  // Whether the instance is a reader, and whether it asks the source, be it as
-  // a reader or for another reason.
+  // `mReads`: whether the instance is a reader. `mFollowsSource`: whether it
+  // asks the source, as a reader or for another reason.
   bool mReads = true;
   bool mFollowsSource = true;
   std::vector<pending_copy> mCopies = {};
   large_copy_limiter mCopyLimiter = large_copy_limiter{};
-  // Numbers of concurrent transfers on the instance's link, by direction.
+  // Numbers of concurrent transfers on the instance's link, to the instance and
+  // from it.
   std::size_t mIncoming = 0;
   std::size_t mOutgoing = 0;
 };
@@ -110,7 +112,7 @@
 }
 
 // Reports to the roster when the source last answered this instance or,
-// according to its peers, another one.
+// according to its peers, another instance.
 inline void
 ReportSourceAnswers(modelled_instance& aInstance)
 {
