--- a/thornhollow/daemon/configuration_keeper.h
+++ b/thornhollow/daemon/configuration_keeper.h
@@ -56,10 +56,12 @@
 {
   std::function<void(catalog_ptr, const revision&)> mInForce;
   std::function<void(const revision&, const faults&)> mRefused;
-  // The platform returned a version lower than the one in force.
+  // Called when the platform returned a configuration version lower than the
+  // one in force.
   std::function<void(std::uint64_t aVersion, const revision& aInForce)>
     mLowerVersion;
-  // Bytes of each exchange with the platform, request and response together.
+  // Receives the number of bytes of each exchange with the platform, request
+  // and response together.
   std::function<void(std::size_t)> mPlatformBytes;
 };
 
@@ -82,7 +84,8 @@
   // in response to a query (`Status`).
   config_hint Hint() const;
   config_word Status() const;
-  // The bytes held under this digest, to answer a peer's query, or null.
+  // Returns the bytes that this instance holds under a digest, to answer a
+  // peer's query; null if it holds none.
   bytes_ptr Held(std::string_view aDigest) const;
 
   std::optional<revision> InForce() const;
--- a/thornhollow/daemon/control_plane.h
+++ b/thornhollow/daemon/control_plane.h
@@ -38,12 +38,12 @@
   std::function<void(catalog_ptr)> mInForce;
   std::function<void(const endpoint_state_change&)> mEndpointState;
   key_listener mKeys;
-  // Entry instances of this domain, including this one.
+  // Receives the entry instances of this failure domain, including this one.
   std::function<void(const std::vector<instance_name>&)> mRouters;
   // Called every 100 ms.
   std::function<void()> mTick;
-  // Another process is running under this instance's name; this process must
-  // stop.
+  // Called when another process is running under this instance's name; this
+  // process must stop.
   std::function<void()> mSuperseded;
 };
 
@@ -67,11 +67,13 @@
   // Called when an endpoint itself reports that it is leaving.
   void OnEndpointLeaving(const endpoint_name& aEndpoint);
 
-  // See peer_link.h.
+  // Report pool pressure to peers and return the pressure that peers reported,
+  // as in peer_link.h.
   void ReportPressure(const std::vector<pool_pressure>& aPressures);
   std::vector<pool_pressure> PeerPressure() const;
 
-  // Announces that this instance accepts no new work. It still answers peers.
+  // Announces that this instance accepts no new work. The instance still
+  // answers peers.
   void Drain();
   // Announces to peers that this process is stopping.
   void Leave();
--- a/thornhollow/daemon/daemon.h
+++ b/thornhollow/daemon/daemon.h
@@ -21,8 +21,8 @@
 
 namespace thornhollow {
 
-// Addresses listened on. Where port 0 was configured, the port is the one that
-// the system assigned.
+// Addresses on which an instance listens. Where port 0 was configured, the port
+// is the one that the system assigned.
 struct listening_addresses
 {
   std::string mCaller;
--- a/thornhollow/daemon/intake.h
+++ b/thornhollow/daemon/intake.h
@@ -31,7 +31,7 @@
   int mTier = kLowestTier;
   pool_name mPool;
   duration mFirstTokenTarget{};
-  // Measured from the request's arrival.
+  // The request's deadline, as the time since the request's arrival.
   duration mDeadline{};
   bool mIdempotent = false;
   // True for a model engine, false for a plain service.
--- a/thornhollow/daemon/json_log.h
+++ b/thornhollow/daemon/json_log.h
@@ -49,8 +49,9 @@
                     std::string_view aEvent,
                     const std::vector<log_field>& aFields);
 
-  // More requests than an instance with a quarter of a core can serve in a
-  // second of ordinary load, so that only a flood of refusals is suppressed.
+  // Maximum number of request lines per second: more than the requests that an
+  // instance with a quarter of a core can serve under ordinary load, so that
+  // only a flood of refusals is suppressed.
   static constexpr std::uint32_t kRequestLinesPerSecond = 200;
 
 private:
@@ -62,7 +63,8 @@
   };
 
   using wall_clock = std::chrono::system_clock;
-  // Counts one line against its limit. Returns false if it is to be omitted.
+  // Counts one line against the rate limit of `aCounter`. Returns false if the
+  // line is to be omitted.
   static bool Admit(line_counter& aCounter,
                     wall_clock::time_point aNow,
                     std::uint32_t aMaxLines);
--- a/thornhollow/daemon/key_gate.h
+++ b/thornhollow/daemon/key_gate.h
@@ -24,9 +24,9 @@
 
 namespace thornhollow {
 
-// Sends a claim to a witness other than this instance. The callback receives
-// the witness's answer, or nullopt if it cannot be reached. It is called
-// exactly once, asynchronously.
+// Sends a claim of an idempotency key to a witness other than this instance.
+// The callback receives the witness's answer, or nullopt if the witness cannot
+// be reached, and is called exactly once, asynchronously.
 using claim_sender =
   std::function<void(const instance_name&,
                      const claim_request&,
@@ -34,8 +34,8 @@
 
 struct key_listener
 {
-  // The submission may be sent now. May be called from within `Submit` and
-  // `BeforeSend`, or later.
+  // Called when the submission may be sent to an endpoint, either from within
+  // `Submit` and `BeforeSend` or later.
   std::function<void(submission_id)> mRun;
   std::function<void(submission_id, error_kind)> mRefused;
 };
@@ -61,7 +61,8 @@
   void BeforeSend(submission_id aSubmission);
   void OnEnded(submission_id aSubmission, ran aRan);
 
-  // Handles a peer's claim as its witness and returns the answer.
+  // Handles the claim of a peer for which this instance is the witness, and
+  // returns the answer.
   claim_answer OnPeerClaim(const claim_request& aRequest);
 
   // Must be called every 100 ms.
--- a/thornhollow/daemon/live_request.h
+++ b/thornhollow/daemon/live_request.h
@@ -27,7 +27,8 @@
   // scheduler yet.
   kClaiming,
   kHeld,
-  // The claim is being confirmed again before an attempt.
+  // The key's claim is being confirmed again before an attempt is sent to an
+  // endpoint.
   kConfirming,
 };
 
@@ -60,7 +61,7 @@
   // Endpoint of the current or last attempt.
   endpoint_name mEndpoint;
   boost::asio::steady_timer mTimer;
-  // Expiry of the running timer; nullopt while the timer is not running.
+  // When `mTimer` fires; nullopt while the timer is not running.
   std::optional<time_point> mTimerDue;
   // Response text received so far, for callers that did not ask for a stream.
   std::string mText;
--- a/thornhollow/daemon/metrics.h
+++ b/thornhollow/daemon/metrics.h
@@ -27,8 +27,8 @@
 {
   // Requests without a final answer.
   std::size_t mInFlight = 0;
-  // Requests in flight that currently have no attempt at an endpoint. Included
-  // in `mInFlight`.
+  // Requests in flight without a current attempt at an endpoint. These requests
+  // are included in `mInFlight`.
   std::size_t mWaiting = 0;
 
   friend bool operator==(const held_requests&, const held_requests&) = default;
@@ -44,13 +44,15 @@
 
   void OnRequest(const class_name& aClass);
   void OnCompleted(const class_name& aClass, std::uint64_t aTokens);
-  // A request ended with this error as its response.
+  // Counts a request that ended with this error as its response.
   void OnRefused(error_kind aKind);
-  // Another attempt is made because the last one failed for this reason.
+  // Counts another attempt at a request whose last attempt failed for this
+  // reason.
   void OnRetry(error_kind aReason);
   void OnFirstToken(const class_name& aClass, duration aSinceArrival);
   void OnTokenGap(const class_name& aClass, duration aSinceLast);
-  // Tokens generated for a response that the caller did not receive in full.
+  // Counts tokens generated for a response that the caller did not receive in
+  // full.
   void OnWastedTokens(std::uint64_t aTokens);
   void OnConfiguration(std::uint64_t aVersion);
   void OnConfigurationRefused();
@@ -60,8 +62,9 @@
   void SetSource(std::string_view aWhat,
                  std::uint64_t aRevision,
                  std::optional<duration> aAnswerAge);
-  // Counts any other event, such as "peer_datagram_refused". Names must be
-  // constants in the program, so that the number of label values is bounded.
+  // Counts an event that has no metric of its own, such as
+  // "peer_datagram_refused". Event names must be constants in the program, so
+  // that the number of label values is bounded.
   void OnEvent(std::string_view aEvent);
 
   // Counts bytes of control traffic by purpose: "platform", "peers" or "load".
--- a/thornhollow/daemon/operators_page.h
+++ b/thornhollow/daemon/operators_page.h
@@ -26,11 +26,11 @@
   // The source revision up to which the items are known.
   std::uint64_t mAt = 0;
   std::size_t mCount = 0;
-  // Time since the source itself last answered; unset if it never did and all
-  // items were copied from peers.
+  // Time since the source itself last answered; unset if the source never
+  // answered and all items were copied from peers.
   std::optional<duration> mAge;
-  // Whether the last call to the source failed, or two responses in a row were
-  // overdue.
+  // Whether the last call to the source failed, or two of its responses in a
+  // row were overdue.
   bool mFailing = false;
 
   friend bool operator==(const held_items&, const held_items&) = default;
@@ -47,12 +47,14 @@
   bool mDraining = false;
   // Platform version of the manifest in force.
   std::optional<std::uint64_t> mRevision;
-  // The latest refused manifest and the reasons.
+  // Platform version of the latest refused manifest, and the reasons for the
+  // refusal.
   std::optional<std::uint64_t> mRefusedRevision;
   std::vector<std::string> mRefusedFaults;
   std::size_t mInProgress = 0;
   std::size_t mPeersAlive = 0;
-  // Empty if the instance follows a bundle.
+  // State of each mirrored prefix; empty if the instance follows a bundle
+  // instead of the items of a source.
   std::vector<held_items> mHeld;
 
   friend bool operator==(const instance_status&,
--- a/thornhollow/daemon/peer_link.cc
+++ b/thornhollow/daemon/peer_link.cc
@@ -18,7 +18,7 @@
 namespace thornhollow {
 namespace {
 
-// Tick interval that the state machines require.
+// Interval of periodic work that the membership state machines require.
 constexpr duration kTickInterval = Milliseconds(100);
 // Interval between messages to the seeds while no member is known.
 constexpr duration kSeedInterval = Milliseconds(500);
@@ -343,7 +343,8 @@
     mListener.mOnMembers();
   }
 
-  // No action needed: the hint on each datagram carries the same information.
+  // Ignores a newer configuration at a peer: the hint on each datagram carries
+  // the same information.
   void Execute(const newer_configuration&) {}
 
   void Execute(const endpoint_leave_reported& aAction)
--- a/thornhollow/daemon/peer_link.h
+++ b/thornhollow/daemon/peer_link.h
@@ -35,14 +35,15 @@
 {
   instance_name mName;
   domain_name mDomain;
-  // Listening address. Peers learn it from the platform's list and by gossip.
+  // Address on which this instance listens for peers. Peers learn the address
+  // from the platform's list and by gossip.
   std::string mAddress;
   std::string mKey;
   // Addresses to contact while no member is known, for example when an instance
   // starts during a platform outage.
   std::vector<std::string> mSeeds;
-  // Distinguishes this process from earlier ones of the same name; increases
-  // with each start.
+  // Number that distinguishes this process from earlier processes of the same
+  // instance name; it increases with each start.
   std::uint64_t mEpoch = 0;
 };
 
@@ -56,14 +57,15 @@
   std::function<claim_answer(const claim_request&)> mOnClaim;
   // Returns the bytes of a part or manifest held here, or nullopt.
   std::function<std::optional<std::string>(const std::string& aDigest)> mOnPart;
-  // A member was added, removed or changed.
+  // Called when a member was added, removed or changed.
   std::function<void()> mOnMembers;
-  // The endpoint is leaving: send it no new work until the given time.
+  // Called when a peer reports that an endpoint is leaving: no new work may be
+  // sent to the endpoint until the given time.
   std::function<void(const endpoint_name&, time_point)> mOnEndpointLeaving;
-  // This process was paused for the given time.
+  // Called after this process was paused, with the length of the pause.
   std::function<void(duration)> mOnPaused;
-  // Another process is running under this instance's name; this process must
-  // stop.
+  // Called when another process is running under this instance's name; this
+  // process must stop.
   std::function<void()> mOnSuperseded;
 };
 
@@ -87,8 +89,8 @@
   void OnInstances(const instance_list& aList);
 
   // Sends a request to a known peer. `aDone` is called once, asynchronously,
-  // with the peer's answer, or with nullopt if no valid answer from it arrives
-  // within `aTimeout`.
+  // with the peer's answer, or with nullopt if no valid answer from the peer
+  // arrives within `aTimeout`.
   void Exchange(const instance_name& aPeer,
                 const stream_message& aRequest,
                 duration aTimeout,
@@ -99,13 +101,15 @@
   // Notifies peers that this endpoint is leaving.
   void ReportEndpointLeaving(const endpoint_name& aEndpoint);
 
-  // `ReportPressure` reports this instance's pool pressure to peers; call it
-  // repeatedly while the pressure lasts. `PeerPressure` returns the highest
-  // pressure that peers reported.
+  // `ReportPressure` reports to peers which tiers of each pool wait too long at
+  // this instance (the pool's pressure); call it repeatedly while requests wait
+  // too long. `PeerPressure` returns the highest pressure that peers reported
+  // for each pool.
   void ReportPressure(const std::vector<pool_pressure>& aPressures);
   std::vector<pool_pressure> PeerPressure() const;
 
-  // Announces that this instance accepts no new work. It still answers peers.
+  // Announces that this instance accepts no new work. The instance still
+  // answers peers.
   void Drain();
   // Announces that this process is stopping, so that peers remove it without
   // suspecting it first.
--- a/thornhollow/daemon/relay_dispatcher.h
+++ b/thornhollow/daemon/relay_dispatcher.h
@@ -63,11 +63,13 @@
 
   // Runs periodic work. Call every 100 ms.
   void Tick(time_point aNow);
-  // The process exits at `aShutdownAt`. From `aRefuseFrom` on, requests that
-  // may not be answered completely before `aShutdownAt` are refused as not run.
+  // Announces that the process exits at `aShutdownAt`. From `aRefuseFrom` on,
+  // requests that may not be answered completely before `aShutdownAt` are
+  // refused without being sent to an endpoint.
   void SetShutdown(time_point aShutdownAt, time_point aRefuseFrom);
   // Whether a request that may take up to `aTimeout` is accepted in view of the
-  // limits that `SetShutdown` set; always before that call.
+  // limits that `SetShutdown` set. Before `SetShutdown` is called, every
+  // request is accepted.
   bool Accepts(duration aTimeout, time_point aNow) const;
   // Call after this process was paused: closes kept connections and discards
   // state that is out of date.
@@ -81,7 +83,8 @@
   std::map<pool_name, pool_view> LocalViews(time_point aNow);
   std::vector<relay_load> LocalLoads() const;
   void SetInstanceCount(std::size_t aInstances);
-  // Keyed by `EndpointHash`.
+  // Sets the load that peers report for each endpoint. The map is keyed by
+  // `EndpointHash`.
   void SetRemoteWork(const std::map<std::uint32_t, reported_load>& aWork,
                      time_point aNow);
   void SetViews(const std::map<pool_name, pool_view>& aViews, time_point aNow);
@@ -89,16 +92,17 @@
   // A message from another instance, in failure domain `aDomain`, was received.
   void OnPeerMessage(const domain_name& aDomain, time_point aNow);
 
-  // The following are used by relay sessions.
+  // The member functions from here to the end of the public section are used by
+  // relay sessions.
   boost::asio::io_context& Io() { return mIo; }
   const relay_names& Names() const { return mNames; }
   json_log& Log() { return mLog; }
   metrics& Metrics() { return mMetrics; }
   endpoint_connections& Connections() { return mConnections; }
   relay_pool* Pool(const pool_name& aName);
-  // A connection attempt to an endpoint failed, or the endpoint stopped
-  // responding. Informs all pools, as the endpoint's whole failure domain may
-  // be unreachable.
+  // Records that a connection attempt to an endpoint failed, or that the
+  // endpoint stopped responding. Informs all pools, as the endpoint's whole
+  // failure domain may be unreachable.
   void OnUnreachable(const relay_pick& aPick, time_point aNow);
   shared_retry_budget& Retries() { return mRetries; }
   void OnSessionBegin() { ++mSessions; }
@@ -143,7 +147,7 @@
   std::uint64_t mNextLifetime = 1;
   std::size_t mSessions = 0;
   std::size_t mInstances = 1;
-  // Set while the instance drains.
+  // When the process exits; set only while the instance drains.
   std::optional<time_point> mShutdownAt;
   time_point mRefuseFrom{};
   time_point mNextConnectionCheck{};
--- a/thornhollow/daemon/relay_peer_link.h
+++ b/thornhollow/daemon/relay_peer_link.h
@@ -33,21 +33,24 @@
 
 struct relay_peer_callbacks
 {
-  // The revisions up to which the local copies are complete, and those of their
-  // last changes.
+  // `mKnownRevisions` returns the source revisions up to which the local copies
+  // are complete, and `mChangeRevisions` the revisions of the last changes in
+  // the local copies.
   std::function<known_revisions()> mKnownRevisions;
   std::function<known_revisions()> mChangeRevisions;
   // Whether the source currently fails to answer this instance.
   std::function<bool()> mSourceFails;
-  // When the source last answered this instance.
+  // Returns when the source last answered this instance; nullopt if it never
+  // did.
   std::function<std::optional<time_point>()> mSourceAnswered;
   std::function<std::vector<reported_load>()> mWork;
   std::function<std::map<pool_name, pool_view>()> mDemand;
-  // A message was received from an instance in the given failure domain.
+  // Called when a message from an instance in the given failure domain was
+  // received.
   std::function<void(const domain_name&)> mOnMessage;
   // Returns the copy that a peer requests.
   std::function<items_answer(const items_request&)> mOnItemsRequest;
-  // A peer answered a request for a copy.
+  // Called when a peer answered a request for a copy.
   std::function<void(const items_request&, const items_answer&)> mOnCopy;
 };
 
--- a/thornhollow/daemon/router.cc
+++ b/thornhollow/daemon/router.cc
@@ -23,8 +23,9 @@
 
 using boost::system::error_code;
 
-// Retry delay for failures without a computed one. It is spread by up to half
-// to either side so that callers do not retry simultaneously.
+// Retry delay told to callers for failures without a computed delay. The delay
+// is randomized by up to half of it in either direction so that callers do not
+// retry simultaneously.
 constexpr duration kRetryDelay = Seconds(1);
 
 // The first token's timeout is this multiple of the first-token target: an
--- a/thornhollow/daemon/router.h
+++ b/thornhollow/daemon/router.h
@@ -60,8 +60,8 @@
   // leaving.
   void OnEndpointLeaving(std::function<void(const endpoint_name&)> aListener);
 
-  // Applies this catalog to new requests. Requests in progress keep their
-  // terms.
+  // Applies this catalog to new requests. Requests in progress keep the terms
+  // of the catalog under which they began.
   void PutInForce(catalog_ptr aCatalog);
 
   // Answers the exchange exactly once, either immediately or later.
@@ -79,8 +79,9 @@
                   const std::vector<instance_name>& aRouters);
   // Must be called every `clock_gap::kTickInterval`.
   void Tick();
-  // `Pressure` returns the pressure of each pool here, to report to peers;
-  // `OnPeerPressure` takes the highest pressure that peers reported.
+  // `Pressure` returns, for each pool, which tiers wait too long at this
+  // instance (the pool's pressure), to be reported to peers; `OnPeerPressure`
+  // takes the highest pressure that peers reported for each pool.
   std::vector<pool_pressure> Pressure() const;
   void OnPeerPressure(const std::vector<pool_pressure>& aPressures);
 
--- a/thornhollow/daemon/source_link.cc
+++ b/thornhollow/daemon/source_link.cc
@@ -139,7 +139,8 @@
     std::uint64_t mRound = 0;
     std::uint64_t mCallNumber = 0;
     time_point mSentAt{};
-    // When the source is expected to answer if no item changes: after the wait.
+    // When the source is expected to answer the call if no item changes: after
+    // the wait that the call requests.
     time_point mDueAt{};
   };
 
@@ -359,7 +360,8 @@
                  { "failed_calls", std::exchange(mFailedCalls, 0) } });
   }
 
-  // -1 if the source has never answered.
+  // Returns the milliseconds since the source last answered, or -1 if it has
+  // never answered.
   std::int64_t AnswerAgeMs() const
   {
     const auto answered = mFollower.LastAnswer();
@@ -375,7 +377,7 @@
   source_follower mFollower;
   boost::asio::steady_timer mTimer;
   bool mReadsSource = true;
-  // No call is pending or scheduled.
+  // Whether no call is pending and none is scheduled.
   bool mIdle = false;
   // Identifies the current round; answers to earlier rounds are ignored.
   std::uint64_t mRound = 0;
@@ -384,9 +386,11 @@
   std::uint64_t mCallNumber = 0;
   // The pending calls of the current round; none during a send delay.
   pending_calls mOpenCalls;
-  // Size of the last answer received, complete or not.
+  // Bytes of the last answer received so far, whether or not the answer was
+  // complete.
   std::size_t mBytesReceived = 0;
-  // Failed calls since the last answer, and the reason logged last.
+  // Number of failed calls since the source last answered, and the reason
+  // logged last.
   std::int64_t mFailedCalls = 0;
   std::string mLastDetail;
 };
--- a/thornhollow/daemon/source_link.h
+++ b/thornhollow/daemon/source_link.h
@@ -25,7 +25,8 @@
 
 namespace thornhollow {
 
-// Receives changes of the mirror, in order.
+// Receives the changes of the items in the mirror, in the order in which the
+// mirror applied them.
 using item_change_handler =
   std::function<void(const std::vector<item_change>&)>;
 
@@ -47,35 +48,38 @@
   void Start();
   // Discards pending answers and calls the source again immediately.
   void Restart();
-  // Sets whether this instance calls the source at all. Answers to pending
-  // calls are still applied after reading stops, and peers supply further
-  // changes.
+  // Sets whether this instance calls the source itself. Answers to calls that
+  // are pending when reading stops are still applied; after them, the mirror
+  // changes only by copies from peers.
   void SetReading(bool aReads);
   // Makes an additional call, since the pending watch is suspected for `aWhy`
   // to never be answered. Does nothing if another call would add no
   // information.
   void OnWatchSuspected(suspicion_reason aWhy, time_point aNow);
-  // Sets this instance's position among the readers of the source.
+  // Sets this instance's position among the readers of the source in its
+  // failure domain, which staggers the ends of their watches.
   void SetStagger(const watch_stagger& aStagger);
   // Checks for overdue answers and for an outage. Call every 100 ms.
   void Tick(time_point aNow);
 
-  // Applies a peer's listing. Ignored unless newer than the mirror.
+  // Applies a peer's complete listing of the items. The listing is ignored
+  // unless its revision is newer than the mirror's.
   void OnPeerListing(const std::vector<source_item>& aItems,
                      std::uint64_t aRevision);
   // Applies a peer's changes, which lead from revision `aAfter` to `aRevision`.
-  // They are ignored if the mirror has no listing yet or is not at revision
-  // `aAfter`, or if `aRevision` is not newer than the mirror's revision.
+  // The changes are ignored if the mirror has no listing yet or is not at
+  // revision `aAfter`, or if `aRevision` is not newer than the mirror's
+  // revision.
   void OnPeerChanges(const std::vector<item_change>& aChanges,
                      std::uint64_t aAfter,
                      std::uint64_t aRevision);
 
   const item_mirror& Mirror() const;
-  // Whether the last call to the source failed, or two responses in a row were
-  // overdue.
+  // Whether the last call to the source failed, or two of its responses in a
+  // row were overdue.
   bool Failing() const;
-  // When the source itself last answered, and how long ago; nullopt before its
-  // first answer.
+  // `LastAnswerTime` returns when the source itself, not a peer, last answered,
+  // and `AnswerAge` how long ago; both return nullopt before its first answer.
   std::optional<time_point> LastAnswerTime() const;
   std::optional<duration> AnswerAge(time_point aNow) const;
 
