--- a/thornhollow/daemon/configuration_keeper.cc
+++ b/thornhollow/daemon/configuration_keeper.cc
@@ -93,7 +93,7 @@
     ArmTimer();
   }
 
-  // After this, no callback reaches the follower.
+  // Stops the keeper: after `Stop`, no callback reaches the follower.
   void Stop()
   {
     mStopped = true;
--- a/thornhollow/daemon/control_plane.cc
+++ b/thornhollow/daemon/control_plane.cc
@@ -21,16 +21,16 @@
 constexpr std::string_view kInstancesPath = "/v1/instances";
 constexpr duration kTickInterval = Milliseconds(100);
 // At start-up, an instance waits this long for a first peer that it can query
-// before it reads the platform. Otherwise a stale platform replica could supply
-// a configuration that the peers have already replaced.
+// before it reads the platform. Without this wait, a stale platform replica
+// could supply a configuration that the peers have already replaced.
 constexpr duration kFirstPeerTimeout = Milliseconds(500);
 constexpr duration kStatusTimeout = Milliseconds(500);
 // An endpoint's own report that it is leaving expires after this time unless it
 // is repeated.
 constexpr duration kLeavingReportLifetime = Seconds(60);
 
-// Increases with each start, provided that the system clock is not set back
-// between starts.
+// Returns a number that increases with each start of the process, provided that
+// the system clock is not set back between starts.
 std::uint64_t
 NewEpoch()
 {
@@ -325,8 +325,9 @@
     PublishView();
   }
 
-  // Also called when the platform confirms an unchanged list: after a pause,
-  // holders refuse submissions until their view is known to be fresh.
+  // Passes the instance list on to holder and witness. Also called when the
+  // platform confirms an unchanged list: after a pause, holders refuse
+  // submissions until their view is known to be fresh.
   void PublishView()
   {
     if (mList && mViewIsFresh && !mDomains.empty()) {
--- a/thornhollow/daemon/daemon.cc
+++ b/thornhollow/daemon/daemon.cc
@@ -21,9 +21,9 @@
 namespace thornhollow {
 namespace {
 
-// After readiness goes off, the load balancer keeps sending requests until it
-// detects the change. During this time they are answered with "not run" instead
-// of hitting a closed port.
+// After the readiness check starts to fail, the load balancer keeps sending
+// requests until it detects the change. During this time these requests are
+// answered with "not run" instead of hitting a closed port.
 constexpr duration kBalancerDetectionTime = Seconds(2);
 
 server_limits
--- a/thornhollow/daemon/intake.cc
+++ b/thornhollow/daemon/intake.cc
@@ -20,10 +20,11 @@
 // Number of leading prompt bytes hashed to identify a shared prefix. Prompts of
 // one workload share a system prompt far longer than this.
 constexpr std::size_t kPrefixBytes = 256;
-// Without a limit, a caller could exhaust the witnesses' memory with long keys.
+// Maximum length of an idempotency key, in bytes. Without a limit, a caller
+// could exhaust the witnesses' memory with long keys.
 constexpr std::size_t kMaxKeyBytes = 128;
-// Typical token length, used to estimate prompt tokens. Only relative costs
-// depend on it.
+// Typical length of a token in bytes, used to estimate the number of prompt
+// tokens. Only the relative costs of requests depend on this value.
 constexpr std::size_t kBytesPerToken = 4;
 
 const team*
@@ -37,8 +38,8 @@
   return aCatalog.TeamByTokenDigest(TokenDigest(credential));
 }
 
-// Returns the class's deadline, shortened if the caller requests it, or nullopt
-// if the header is not a positive integer.
+// Returns the class's deadline, shortened if the caller requests a shorter one,
+// or nullopt if the deadline header is not a positive integer.
 std::optional<duration>
 ReadDeadline(const caller_request& aRequest, duration aDeclared)
 {
--- a/thornhollow/daemon/load_poller.cc
+++ b/thornhollow/daemon/load_poller.cc
@@ -15,12 +15,14 @@
 namespace {
 
 constexpr duration kInterval = Seconds(1) / kLoadPollsPerSecond;
-// A report that takes longer than this is too old to be useful.
+// Timeout of one poll: a load report that takes longer than this is too old to
+// be useful.
 constexpr duration kPollTimeout = Seconds(1);
 constexpr std::size_t kMaxReportBytes = 4096;
 constexpr std::string_view kLoadPath = "/v1/load";
 constexpr unsigned kOk = 200;
-// A stated age above this is implausible and is clamped to it.
+// Maximum age that a load report may state, in milliseconds. A larger age is
+// implausible and is reduced to this maximum.
 constexpr std::int64_t kMaxReportAgeMs = 3'600'000;
 
 double
--- a/thornhollow/daemon/metrics.cc
+++ b/thornhollow/daemon/metrics.cc
@@ -22,8 +22,8 @@
 using prometheus::Histogram;
 using kind_counters = std::array<Counter*, kErrorKindCount>;
 
-// Buckets are placed around the latency targets: 0.97 s to the first token and
-// 49 ms between tokens.
+// Bucket boundaries of the latency histograms, in seconds, placed around the
+// latency targets: 0.97 s to the first token and 49 ms between tokens.
 const Histogram::BucketBoundaries kFirstTokenSeconds = {
   0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.7, 0.97, 1.5, 3, 6, 15, 60
 };
--- a/thornhollow/daemon/relay_dispatcher.cc
+++ b/thornhollow/daemon/relay_dispatcher.cc
@@ -121,8 +121,8 @@
   mTable = std::move(aTable);
   mMetrics.OnConfiguration(mTable->Document().mVersion);
   // Pools of engines choose endpoints by other rules than pools of plain
-  // services. Rebuilds each pool that the new table changes from one to the
-  // other.
+  // services. Rebuilds each pool that the new routing table changes from an
+  // engine pool to a service pool, or the reverse.
   for (const auto& [name, each] : mEndpoints) {
     GetOrCreatePool(each.mEntry.mPool);
   }
--- a/thornhollow/daemon/relay_dispatcher.h
+++ b/thornhollow/daemon/relay_dispatcher.h
@@ -83,17 +83,17 @@
   std::map<pool_name, pool_view> LocalViews(time_point aNow);
   std::vector<relay_load> LocalLoads() const;
   void SetInstanceCount(std::size_t aInstances);
-  // Sets the load that peers report for each endpoint. The map is keyed by
-  // `EndpointHash`.
+  // Sets the load that peers report for each endpoint, keyed by `EndpointHash`
+  // of the endpoint.
   void SetRemoteWork(const std::map<std::uint32_t, reported_load>& aWork,
                      time_point aNow);
   void SetViews(const std::map<pool_name, pool_view>& aViews, time_point aNow);
 
-  // A message from another instance, in failure domain `aDomain`, was received.
+  // Records that a message from another instance, in failure domain `aDomain`,
+  // was received.
   void OnPeerMessage(const domain_name& aDomain, time_point aNow);
 
-  // The member functions from here to the end of the public section are used by
-  // relay sessions.
+  // The member functions from `Io` to `Refusal` are used by relay sessions.
   boost::asio::io_context& Io() { return mIo; }
   const relay_names& Names() const { return mNames; }
   json_log& Log() { return mLog; }
--- a/thornhollow/daemon/relay_gateway.cc
+++ b/thornhollow/daemon/relay_gateway.cc
@@ -37,10 +37,11 @@
 // usually refuses calls, and short enough that the usual set of readers is soon
 // restored.
 constexpr duration kFailureReportPeriod = Seconds(5);
-// Reserved from the drain's grace period for process exit.
+// Part of the drain's grace period that is reserved for process exit.
 constexpr duration kShutdownReserve = Milliseconds(400);
 
-// Bodies are buffered completely. A body may take this long to arrive.
+// Maximum time in which a request body must arrive; bodies are buffered
+// completely before a request is relayed.
 constexpr duration kBodyTimeout = Seconds(10);
 
 server_limits
@@ -228,8 +229,8 @@
   void ApplyCopy(const items_request& aRequest, const items_answer& aCopy)
   {
     source_link& link = LinkOf(aCopy.mWhich);
-    // An instance that reads the source observes recoveries itself and ignores
-    // those that peers report.
+    // An instance that reads the source observes the source's recoveries itself
+    // and ignores recoveries that peers report.
     if (aCopy.mSourceBackFor && !mReadsSource) {
       mRoster.OnRecoveryReported(Now() - *aCopy.mSourceBackFor);
     }
@@ -279,7 +280,8 @@
     SuspectWatches(aNow);
   }
 
-  // When the source last answered this instance.
+  // Returns when the source last answered this instance; nullopt if it never
+  // did.
   std::optional<time_point> SourceAnswered() const
   {
     return std::max(mDocument.LastAnswerTime(), mEndpoints.LastAnswerTime());
@@ -428,7 +430,8 @@
     mPeers.OnItemsChanged();
   }
 
-  // An entry that cannot be parsed removes that endpoint only.
+  // Applies a changed endpoint entry. An entry that cannot be parsed removes
+  // only its own endpoint.
   void OnEntry(const item_change& aChange)
   {
     boost::leaf::try_handle_all(
--- a/thornhollow/daemon/relay_peer_link.cc
+++ b/thornhollow/daemon/relay_peer_link.cc
@@ -169,11 +169,11 @@
     hello.mBrief = true;
     hello.mAddress = mSettings.mPeerAddress;
     hello.mDomain = mSettings.mDomain;
-    // If all instances read the source, the revision up to which this copy is
-    // complete tells an instance with a late answer that the source has
-    // answered others. If only a few instances read the source, that revision
-    // would cause copy requests without changes, so the one of the last change
-    // is sent.
+    // If all instances read the source, the revision up to which this
+    // instance's copy is complete tells an instance with a late answer that the
+    // source has answered others. If only a few instances read the source, that
+    // revision would cause requests for copies without changes, so the revision
+    // of the last change is sent.
     hello.mRevisions = mPeers.AllReadInDomain() ? mCallbacks.mKnownRevisions()
                                                 : mCallbacks.mChangeRevisions();
     hello.mWantsAnswer = aWantAnswer;
@@ -333,7 +333,7 @@
         { "why", aWhy } });
   }
 
-  // Key and revision.
+  // The key of an item and the revision of its last change.
   using item_version = std::pair<std::string, std::uint64_t>;
 
   relay_settings mSettings;
--- a/thornhollow/daemon/relay_session.cc
+++ b/thornhollow/daemon/relay_session.cc
@@ -21,8 +21,9 @@
 namespace thornhollow {
 namespace {
 
-// Endpoints are a few milliseconds away. A lost SYN is retransmitted only after
-// one second, and another endpoint answers sooner.
+// Timeout of a connection attempt to an endpoint. Endpoints are a few
+// milliseconds away; a lost SYN is retransmitted only after one second, and
+// another endpoint answers sooner.
 constexpr duration kConnectTimeout = Milliseconds(300);
 // Maximum failed connection attempts for one request.
 constexpr std::uint32_t kMaxUnsent = 6;
@@ -60,16 +61,17 @@
 // callers are told to wait at least a tenth of most timeouts before they retry,
 // so a retry has at most this fraction left.
 constexpr double kRetryTimeoutFraction = 0.9;
-// Limit for answers that are not streamed, which are buffered until complete.
+// Maximum size in bytes of an answer that is not streamed, which is buffered
+// until complete.
 constexpr std::size_t kMaxBufferedAnswerBytes = std::size_t{ 8 } << 20U;
 constexpr std::size_t kMaxEventBytes = std::size_t{ 1 } << 20U;
 constexpr unsigned kStatusOk = 200;
 constexpr unsigned kStatusRedirect = 300;
 constexpr unsigned kStatusServerError = 500;
 
-// Whether the status implies to a caller that its request was not run. An
-// endpoint's answer has that meaning only if the endpoint also marks the
-// request as not run.
+// Whether the HTTP status implies to a caller that its request was not run. An
+// endpoint's answer with this status has that meaning only if the endpoint also
+// marks the request as not run.
 bool
 ImpliesNotRun(unsigned aStatus)
 {
@@ -512,8 +514,9 @@
     });
   }
 
-  // When the current attempt counts as silent. Never for a request that must
-  // not be repeated, since it could not be sent elsewhere.
+  // Returns the time from which the current attempt counts as silent if no
+  // bytes arrive before. A request that must not be repeated never counts as
+  // silent, since it could not be sent elsewhere.
   time_point SilenceDeadline() const
   {
     if (!MayRepeat(mRoute->mKind)) {
@@ -696,17 +699,17 @@
   unsigned mStatus = 0;
   std::string mBufferedAnswer;
 
-  // State over all attempts.
+  // State over all attempts of the request. The endpoints tried so far:
   std::vector<endpoint_name> mTriedEndpoints;
   std::uint32_t mAttempts = 0;
   std::uint32_t mUnsent = 0;
   duration mUnsentTime{};
   bool mMayHaveRun = false;
-  // The next retry has already been charged to the budget.
+  // Whether the next retry has already been charged to the retry budget.
   bool mRetryCharged = false;
   event_splitter mEvents;
   std::vector<header_field> mHeaders;
-  // Part of the answer has been sent to the caller.
+  // Whether part of the answer has been sent to the caller.
   bool mAnswerBegun = false;
   std::optional<duration> mFirstByte;
   std::optional<time_point> mLastEvent;
--- a/thornhollow/discovery/endpoint_roster.h
+++ b/thornhollow/discovery/endpoint_roster.h
@@ -44,18 +44,21 @@
 // One entry of the source's list.
 struct listed_endpoint
 {
-  // Unique among the endpoints that are alive at the same time.
+  // The endpoint's name, unique among the endpoints that are alive at the same
+  // time.
   endpoint_name mName;
   pool_name mPool;
-  // IP address and port. Addresses of terminated endpoints are reused, also by
-  // other pools.
+  // IP address and port of the endpoint. Addresses of terminated endpoints are
+  // reused, also by endpoints of other pools.
   std::string mAddress;
   domain_name mDomain;
-  // Number of requests that the endpoint runs concurrently; 0 if not stated.
+  // Maximum number of requests that the endpoint runs concurrently; 0 if not
+  // stated.
   std::uint32_t mSlots = 0;
-  // Accepts no new work and will shut down soon.
+  // Whether the endpoint accepts no new work and will shut down soon.
   bool mDraining = false;
-  // Remaining warm-up time after its start, as of when the entry was written.
+  // Remaining warm-up time of the endpoint after its start, as of when the
+  // entry was written.
   duration mWarmUp{};
   // Start time of the endpoint's process by the endpoint's clock, in
   // milliseconds; 0 if not stated. Only used to
@@ -66,7 +69,8 @@
                          const listed_endpoint&) = default;
 };
 
-// A process started under this name. State kept for the name is obsolete.
+// An endpoint process started under this name. State kept for earlier processes
+// of the name is obsolete.
 struct endpoint_joined
 {
   listed_endpoint mEndpoint;
@@ -74,7 +78,7 @@
   friend bool operator==(const endpoint_joined&,
                          const endpoint_joined&) = default;
 };
-// The entry of a running process changed.
+// The source's entry of a running endpoint process changed.
 struct endpoint_updated
 {
   listed_endpoint mEndpoint;
@@ -136,15 +140,17 @@
   void OnRecoveryReported(time_point aAt);
   // Whether the source is unavailable to all instances, as far as is known.
   bool IsSourceInOutage(time_point aNow) const;
-  // Time since the source recovered from an outage, reported to peers that
-  // don't read the source themselves. Nothing after the grace period or during
-  // an outage.
+  // Returns the time since the source recovered from an outage, which is
+  // reported to peers that don't read the source themselves; nullopt during an
+  // outage and after the grace period that follows the recovery.
   std::optional<duration> TimeSinceRecovery(time_point aNow) const;
 
   // Removes entries whose grace period has ended. To be called every 100 ms.
   roster_changes Tick(time_point aNow);
 
-  // Sorted by name, including missing entries within their grace period.
+  // Returns the endpoints that may receive work, sorted by name, including
+  // endpoints that the source no longer lists but that are within their grace
+  // period.
   std::vector<listed_endpoint> Endpoints() const;
   // Whether `Endpoints` includes this endpoint.
   bool Contains(const endpoint_name& aName) const;
@@ -153,7 +159,8 @@
   struct record
   {
     listed_endpoint mEntry;
-    // Set while the source no longer lists the endpoint but it is still kept.
+    // When the endpoint is removed; set while the source no longer lists the
+    // endpoint but it is still kept.
     std::optional<time_point> mExpiresAt;
   };
 
@@ -163,7 +170,8 @@
   bool RecentlyRecovered(time_point aNow) const;
 
   std::map<endpoint_name, record> mRecords;
-  // A call failed since the last answer to any instance.
+  // Whether a call to the source failed since the source last answered any
+  // instance.
   bool mCallFailed = false;
   std::optional<time_point> mLastAnswer;
   std::optional<time_point> mRecoveredAt;
--- a/thornhollow/discovery/item_mirror.h
+++ b/thornhollow/discovery/item_mirror.h
@@ -67,7 +67,7 @@
     std::uint64_t aRequestedAfter,
     std::uint64_t aRevision);
 
-  // Whether a listing was applied.
+  // Whether a complete listing of the source or of a peer has been applied.
   bool Listed() const { return mListed; }
   // The source's revision up to which the replica is complete; 0 initially.
   std::uint64_t Revision() const { return mRevision; }
@@ -119,7 +119,7 @@
   // The history contains all changes after this revision.
   std::uint64_t mHistoryStart = 0;
   // Updates for which the state between their first and last revision is not
-  // known, as pairs of these revisions.
+  // known, as pairs of the first and the last revision.
   std::deque<std::pair<std::uint64_t, std::uint64_t>> mUnresolvedSteps;
 };
 
--- a/thornhollow/discovery/item_source.h
+++ b/thornhollow/discovery/item_source.h
@@ -29,7 +29,8 @@
   friend bool operator==(const source_listing&,
                          const source_listing&) = default;
 };
-// Changes up to revision `mRevision`; empty if the wait elapsed without any.
+// The changes after the requested revision, up to revision `mRevision`; empty
+// if the watch's wait elapsed without changes.
 struct source_changes
 {
   std::vector<item_change> mChanges;
@@ -44,7 +45,7 @@
 {
   friend bool operator==(const history_gone&, const history_gone&) = default;
 };
-// The call failed; `mDetail` is for logs.
+// A call to the source failed; `mDetail` is the reason, for logs.
 struct source_failure
 {
   std::string mDetail;
--- a/thornhollow/discovery/pending_calls.h
+++ b/thornhollow/discovery/pending_calls.h
@@ -44,9 +44,9 @@
   {
   }
 
-  // Another call was made, concurrently with any pending ones.
+  // Records that another call was made, concurrently with any pending calls.
   void OnSent(const source_call& aCall, time_point aNow);
-  // Part of a response to any pending call arrived.
+  // Records that part of a response to any pending call arrived.
   void OnBytes(time_point aNow) { mLastBytesAt = aNow; }
   // Stops tracking all calls.
   void Clear();
--- a/thornhollow/discovery/source_follower.cc
+++ b/thornhollow/discovery/source_follower.cc
@@ -98,8 +98,8 @@
 void
 source_follower::RecordDelay(duration aDelay)
 {
-  // Bounded so that a single very late response doesn't prolong the time-out of
-  // many following ones.
+  // The recorded delay is limited so that a single very late response doesn't
+  // prolong the time-out of many following responses.
   mMaxRecentDelay = std::max(std::min(aDelay, mSettings.mMaxResponseTimeout),
                              mMaxRecentDelay / 2);
 }
--- a/thornhollow/discovery/source_follower.h
+++ b/thornhollow/discovery/source_follower.h
@@ -45,11 +45,12 @@
 // domain, which staggers the ends of their watches.
 struct watch_stagger
 {
-  // Zero-based position, unique among the `mCount` readers.
+  // Zero-based position of this instance, unique among the `mCount` readers.
   std::size_t mIndex = 0;
   std::size_t mCount = 1;
-  // In (0, 1]: the domain's offset as a fraction of `mStaggerInterval`, so that
-  // readers of different domains don't call the source at the same moment.
+  // The failure domain's offset as a fraction of `mStaggerInterval`, in (0, 1],
+  // so that readers of different domains don't call the source at the same
+  // moment.
   double mPhase = 1;
 
   friend bool operator==(const watch_stagger&, const watch_stagger&) = default;
@@ -67,16 +68,16 @@
   kPeerKnewFirst,
 };
 
-// For logs.
+// Returns the name of a suspicion reason, for logs.
 std::string_view
 Name(suspicion_reason aReason);
 
 struct source_follower_settings
 {
-  // Delay after the first failed call, doubled for each further one up to the
-  // maximum. A published change must take effect about two seconds after the
-  // end of an outage, and a call may take a moment; a delay below half a second
-  // leaves time for one more failed call.
+  // Delay after the first failed call, doubled for each further failed call up
+  // to `mMaxBackoff`. A published change must take effect about two seconds
+  // after the end of an outage, and a call may take a moment; a delay below
+  // half a second leaves time for one more failed call.
   duration mInitialBackoff = Milliseconds(100);
   duration mMaxBackoff = Milliseconds(400);
   // Delay between a watch that returned changes and the next watch, to batch
@@ -85,7 +86,7 @@
   // that follow it are delayed by at most an eighth of the two seconds within
   // which every instance must know them.
   duration mCoalesceDelay = Milliseconds(250);
-  // Failures that last this long are an outage. Shorter ones are a broken
+  // Failures that last this long are an outage. Shorter failures are a broken
   // connection or a single failed call, during which no lease expires.
   duration mOutageThreshold = Seconds(1);
   // Interval at which one watch in each domain ends. Half the time within which
@@ -97,13 +98,15 @@
   // Wait of a watch that only probes whether the source responds.
   duration mProbeWait = Milliseconds(1);
   // A response is overdue if it is later than the largest recent delay plus
-  // this margin. The sum is limited to the two bounds below.
+  // this margin. The sum is limited to `mMinResponseTimeout` and
+  // `mMaxResponseTimeout`.
   duration mTimeoutMargin = Milliseconds(100);
   duration mMinResponseTimeout = Milliseconds(150);
   duration mMaxResponseTimeout = Milliseconds(600);
   // While the source fails, an instance makes a call at this interval times the
-  // number of readers in its domain, limited to the two bounds below. This
-  // keeps the call rate of a large fleet below the capacity of the source.
+  // number of readers in its domain, limited to `mMinRetryInterval` and
+  // `mMaxRetryInterval`. This keeps the call rate of a large fleet below the
+  // capacity of the source.
   duration mRetryIntervalPerInstance = Milliseconds(50);
   duration mMinRetryInterval = Milliseconds(400);
   duration mMaxRetryInterval = Seconds(1);
@@ -113,7 +116,8 @@
   // due or after its last part.
   duration mIdleTimeout = Seconds(2);
   // Minimum intervals between probes that are triggered by another call of the
-  // same process, and by a peer's failure. The latter is longer because many
+  // same process (`mOwnProbeInterval`), and by a peer's failure
+  // (`mPeerProbeInterval`). The interval for peers is longer because many
   // instances receive the reports of one peer's failure, for several seconds.
   duration mOwnProbeInterval = Seconds(1);
   duration mPeerProbeInterval = Seconds(3);
@@ -125,7 +129,8 @@
 // The next call to the source.
 struct source_call
 {
-  // A listing, or a watch for changes after `mAfter`.
+  // Whether the call is a listing; otherwise it is a watch for changes after
+  // revision `mAfter`.
   bool mList = true;
   std::uint64_t mAfter = 0;
   duration mSendDelay{};
@@ -175,12 +180,12 @@
                         std::vector<item_change>& aChanges,
                         time_point aNow);
 
-  // This instance no longer calls the source, so earlier failures are
-  // irrelevant.
+  // Records that this instance no longer calls the source, so that earlier
+  // failures are irrelevant.
   void StopReading() { ClearFailure(); }
 
-  // When the source last answered this instance; reports of peers don't count.
-  // Nothing before the first answer.
+  // Returns when the source last answered this instance, not counting reports
+  // of peers; nullopt before the first answer.
   std::optional<time_point> LastAnswer() const { return mLastAnswer; }
 
   // Whether the source has failed for at least `mOutageThreshold`.
@@ -203,18 +208,20 @@
   std::optional<time_point> mLastAnswer;
   duration mBackoff;
   watch_stagger mStagger;
-  // The last watch elapsed without changes and `mStagger` has not changed
-  // since, so this instance's watches already end at its own position.
+  // Whether the last watch elapsed without changes and `mStagger` has not
+  // changed since, so that this instance's watches already end at its own
+  // position among the readers.
   bool mIsStaggered = false;
-  // The next watch is a probe.
+  // Whether the next watch is a probe, which only tests whether the source
+  // responds.
   bool mProbing = false;
   // When the last probe was made because a watch was suspected to be dead.
   std::optional<time_point> mLastProbe;
   // Largest recent delay of a response beyond its due time; the previous value
   // counts only half with each new response.
   duration mMaxRecentDelay;
-  // A listing is needed: the source dropped the required history or was in an
-  // outage.
+  // Whether the next call must be a listing: the source dropped the required
+  // history or was in an outage.
   bool mMustList = false;
 };
 
--- a/thornhollow/listing/platform_watch.cc
+++ b/thornhollow/listing/platform_watch.cc
@@ -19,11 +19,12 @@
 // These values bound that to 3 s, and 420 instances make 210 calls/s of the
 // 2,000 calls/s that all callers together may make.
 constexpr duration kLongPollWait = Seconds(2);
-// A response is due within this time beyond the wait; otherwise the poll is
-// abandoned and repeated on a new connection.
+// A response of the platform is due within this time beyond the long poll's
+// wait; if it is later, the poll is abandoned and repeated on a new connection.
 constexpr duration kResponseGrace = Seconds(1);
-// Mean delay after a failure, so that readers don't poll an unavailable service
-// in a tight loop; jittered so that they don't retry at the same moment.
+// Mean delay in seconds after a failed poll, so that readers don't poll an
+// unavailable service in a tight loop; randomized so that they don't retry at
+// the same moment.
 constexpr double kMeanRetrySeconds = 0.5;
 
 } // namespace
--- a/thornhollow/listing/platform_watch.h
+++ b/thornhollow/listing/platform_watch.h
@@ -30,11 +30,12 @@
 struct watch_listener
 {
   std::function<void(const platform_value&)> mOnValue;
-  // The platform confirmed that the last value is still current.
+  // Called when the platform confirmed that the last value is still current.
   std::function<void()> mOnUnchanged;
-  // A call failed or returned an older value.
+  // Called when a call to the platform failed or returned an older value.
   std::function<void()> mOnFailure;
-  // Bytes exchanged by each answered call, request included.
+  // Receives the number of bytes exchanged by each answered call, request
+  // included.
   std::function<void(std::size_t)> mOnBytes;
 };
 
--- a/thornhollow/platform/json_fields.cc
+++ b/thornhollow/platform/json_fields.cc
@@ -10,8 +10,9 @@
 namespace thornhollow::platform {
 namespace {
 
-// Configurations have four nested levels; the bound prevents malicious input
-// with deep nesting from exhausting the stack.
+// Maximum nesting depth of a JSON text. Configurations have four nested levels;
+// the limit prevents malicious input with deep nesting from exhausting the
+// stack.
 constexpr std::size_t kMaxDepth = 16;
 constexpr double kMaxMilliseconds = 86'400'000;
 
--- a/thornhollow/platform/json_fields.h
+++ b/thornhollow/platform/json_fields.h
@@ -24,18 +24,20 @@
 result<std::string>
 TextField(const boost::json::object& aObject, std::string_view aName);
 
-// A non-negative integer.
+// Returns a field that holds a non-negative integer.
 result<std::uint64_t>
 CountField(const boost::json::object& aObject, std::string_view aName);
 
-// A number of milliseconds, possibly fractional, of at most one day.
+// Returns a field that holds a number of milliseconds, possibly fractional, of
+// at most one day.
 result<duration>
 MillisecondsField(const boost::json::object& aObject, std::string_view aName);
 
 result<const boost::json::array*>
 ListField(const boost::json::object& aObject, std::string_view aName);
 
-// `aDefault` if the field is absent or null.
+// Returns a field that holds a non-negative integer, or `aDefault` if the field
+// is absent or null.
 result<std::uint64_t>
 OptionalCount(const boost::json::object& aObject,
               std::string_view aName,
@@ -49,7 +51,7 @@
                      std::string_view aName,
                      duration aDefault);
 
-// `aCount`, or the maximum of the type if it is larger.
+// Returns `aCount`, or the maximum of `std::uint32_t` if `aCount` is larger.
 std::uint32_t
 ClampToUint32(std::uint64_t aCount);
 
--- a/thornhollow/platform/store_client.cc
+++ b/thornhollow/platform/store_client.cc
@@ -21,7 +21,8 @@
 constexpr duration kConnectTimeout = Milliseconds(500);
 constexpr unsigned kStatusOk = 200;
 constexpr unsigned kStatusGone = 410;
-// Room for two pages of one megabyte, encoded in base64 and JSON.
+// Maximum size of a response in bytes: room for two pages of one megabyte,
+// encoded in base64 and JSON.
 constexpr std::size_t kMaxResponseBytes = std::size_t{ 4 } << 20U;
 
 std::optional<std::string>
--- a/thornhollow/platform/wire_names.h
+++ b/thornhollow/platform/wire_names.h
@@ -13,8 +13,8 @@
 
 // Environment variable with the path of the settings file.
 inline constexpr const char* kSettingsVariable = "THORNHOLLOW_NODE_FILE";
-// Polled by the platform's load balancer; 200 if the instance accepts
-// connections.
+// Path that the platform's load balancer polls; answered with 200 if the
+// instance accepts connections.
 inline constexpr std::string_view kReadinessPath = "/v1/readiness";
 // The single item with the whole configuration, and its prefix.
 inline constexpr std::string_view kConfigurationPrefix = "op/";
--- a/thornhollow/routing/routing_document.h
+++ b/thornhollow/routing/routing_document.h
@@ -22,10 +22,10 @@
 // Whether executing a request twice is safe.
 enum class request_kind : std::uint8_t
 {
-  // May be executed any number of times.
+  // The request may be executed any number of times.
   kIdempotent,
-  // Must be executed at most once; a second execution could, for example, place
-  // a second order.
+  // The request must be executed at most once; a second execution could, for
+  // example, place a second order.
   kAtMostOnce,
   // An event stream that must be executed at most once.
   kStream,
@@ -55,8 +55,8 @@
 struct pool_weight
 {
   pool_name mPool;
-  // Relative to the other pools of the route; a pool of weight 0 receives no
-  // requests.
+  // Share of the route's requests, relative to the weights of the other pools
+  // of the route; a pool of weight 0 receives no requests.
   std::uint32_t mWeight = 1;
 
   friend bool operator==(const pool_weight&, const pool_weight&) = default;
@@ -65,9 +65,10 @@
 struct route
 {
   std::string mName;
-  // Lower case, without a port.
+  // Host name of the requests that the route serves, in lower case, without a
+  // port.
   std::string mHost;
-  // Begins and ends with a slash.
+  // Prefix of the paths that the route serves; begins and ends with a slash.
   std::string mPathPrefix;
   request_kind mKind = request_kind::kAtMostOnce;
   std::vector<pool_weight> mPools;
@@ -81,7 +82,7 @@
   // stated.
   duration mEventGapTarget{};
   tier_number mTier = 0;
-  // Callers need no token.
+  // Whether callers of the route need no token.
   bool mAnonymous = false;
 
   friend bool operator==(const route&, const route&) = default;
@@ -90,7 +91,7 @@
 // Declared properties of a pool of model engines.
 struct engine_pool_spec
 {
-  // Requests that an engine of the pool runs concurrently.
+  // Maximum number of requests that an engine of the pool runs concurrently.
   std::uint32_t mSlots = 0;
   // Capacity of an engine's KV cache, in tokens.
   std::uint64_t mMemoryTokens = 0;
@@ -104,10 +105,10 @@
 struct routed_pool
 {
   pool_name mName;
-  // Connections that an endpoint accepts, from all instances together; 0 if not
-  // stated.
+  // Maximum number of connections that an endpoint of the pool accepts, from
+  // all instances together; 0 if not stated.
   std::uint32_t mConnectionLimit = 0;
-  // Absent for a pool of plain services.
+  // Properties of the pool's engines; absent for a pool of plain services.
   std::optional<engine_pool_spec> mEngine;
 
   friend bool operator==(const routed_pool&, const routed_pool&) = default;
@@ -116,9 +117,9 @@
 struct routed_team
 {
   team_name mName;
-  // Each of them identifies the team.
+  // Bearer tokens of the team; each token alone identifies the team.
   std::vector<std::string> mTokens;
-  // Overrides the route's tier if present.
+  // The team's scheduling tier, which overrides the route's tier if present.
   std::optional<tier_number> mTier;
 
   friend bool operator==(const routed_team&, const routed_team&) = default;
@@ -138,11 +139,12 @@
 
 struct routing_document
 {
-  // Increases with each change, not necessarily by one.
+  // Version of the document; increases with each change, not necessarily by
+  // one.
   std::uint64_t mVersion = 0;
   std::vector<route> mRoutes;
   std::vector<routed_pool> mPools;
-  // If false, callers need no token and no team is known.
+  // Whether callers need a token. If false, no team is known.
   bool mTokensRequired = false;
   std::vector<routed_team> mTeams;
   caller_connection_limits mCallers;
--- a/thornhollow/routing/routing_table.h
+++ b/thornhollow/routing/routing_table.h
@@ -39,7 +39,8 @@
   // The team to which this token belongs, or null.
   const routed_team* TeamForToken(std::string_view aToken) const;
 
-  // Null if the document declares no such pool.
+  // Returns the pool of this name, or null if the document declares no such
+  // pool.
   const routed_pool* Pool(const pool_name& aName) const;
 
   // Selects a pool by hash in proportion to the weights. The same hash selects
@@ -48,8 +49,8 @@
 
 private:
   routing_document mDocument;
-  // Keyed by host and prefix concatenated, which is unambiguous as a host
-  // contains no slash.
+  // Indices of the routes, keyed by host and path prefix concatenated, which is
+  // unambiguous as a host contains no slash.
   std::unordered_map<std::string, std::size_t> mRoutes;
   std::unordered_map<std::string, std::size_t> mTokens;
   std::unordered_map<pool_name, std::size_t> mPools;
