--- a/thornhollow/daemon/operators_page.h
+++ b/thornhollow/daemon/operators_page.h
@@ -53,8 +53,8 @@
   std::vector<std::string> mRefusedFaults;
   std::size_t mInProgress = 0;
   std::size_t mPeersAlive = 0;
-  // State of each mirrored prefix; empty if the instance follows a bundle
-  // instead of the items of a source.
+  // State of each mirrored prefix of the source; empty if the instance follows
+  // a bundle.
   std::vector<held_items> mHeld;
 
   friend bool operator==(const instance_status&,
--- a/thornhollow/daemon/relay_gateway.cc
+++ b/thornhollow/daemon/relay_gateway.cc
@@ -40,8 +40,8 @@
 // Part of the drain's grace period that is reserved for process exit.
 constexpr duration kShutdownReserve = Milliseconds(400);
 
-// Maximum time in which a request body must arrive; bodies are buffered
-// completely before a request is relayed.
+// Maximum time that the body of a request may take to arrive; bodies are
+// buffered completely.
 constexpr duration kBodyTimeout = Seconds(10);
 
 server_limits
--- a/thornhollow/daemon/relay_peer_link.h
+++ b/thornhollow/daemon/relay_peer_link.h
@@ -73,8 +73,8 @@
   // Whether this instance should read the source itself. Call every 100 ms.
   bool ShouldReadSource(time_point aNow);
 
-  // The numbers of live instances that fleet/relay_peers.h determines; see
-  // there.
+  // `Count` and `Alive` return numbers of live instances, as determined by the
+  // functions of the same names in fleet/relay_peers.h.
   std::size_t Count(time_point aNow) const;
   std::size_t Alive() const;
   // This instance's position among the readers of the source in its domain.
--- a/thornhollow/daemon/relay_session.cc
+++ b/thornhollow/daemon/relay_session.cc
@@ -699,7 +699,8 @@
   unsigned mStatus = 0;
   std::string mBufferedAnswer;
 
-  // State over all attempts of the request. The endpoints tried so far:
+  // Endpoints tried by the attempts of the request so far. The members from
+  // `mTriedEndpoints` on hold state over all attempts.
   std::vector<endpoint_name> mTriedEndpoints;
   std::uint32_t mAttempts = 0;
   std::uint32_t mUnsent = 0;
--- a/thornhollow/discovery/endpoint_roster_test.cc
+++ b/thornhollow/discovery/endpoint_roster_test.cc
@@ -94,8 +94,8 @@
   CHECK(mRoster.OnRemoved(endpoint_name("a"), mNow).size() == 1);
 }
 
-// Guards against treating a source that has not answered for long as one in an
-// outage although no call failed.
+// Guards against treating a source that has not answered for a long time as
+// unavailable although no call to it failed.
 TEST_CASE_FIXTURE(roster_with_two_endpoints,
                   "endpoint_roster/no_answer_for_long_and_no_failure/no_outage")
 {
--- a/thornhollow/discovery/item_mirror.h
+++ b/thornhollow/discovery/item_mirror.h
@@ -53,7 +53,7 @@
                                      std::uint64_t aRevision);
 
   // Applies all changes of the source after the replica's revision, up to
-  // `aRevision`. Returns those that changed the replica.
+  // `aRevision`. Returns the changes that altered the replica.
   std::vector<item_change> OnChanges(const std::vector<item_change>& aChanges,
                                      std::uint64_t aRevision);
 
@@ -103,9 +103,10 @@
   // Maximum number of changes in the history: several minutes of changes at a
   // large site.
   static constexpr std::size_t kMaxHistory = 256;
-  // Adds an update from `aBefore` to `aAfter` to the history. `aIsUnresolved`:
-  // `aChanges` has only the last change of each item, so the state at revisions
-  // between the two is not known.
+  // Adds an update from revision `aBefore` to revision `aAfter` to the history.
+  // `aIsUnresolved` means that `aChanges` has only the last change of each
+  // item, so that the state at revisions between `aBefore` and `aAfter` is not
+  // known.
   void RecordHistory(const std::vector<item_change>& aChanges,
                      std::uint64_t aBefore,
                      std::uint64_t aAfter,
--- a/thornhollow/discovery/item_mirror_test.cc
+++ b/thornhollow/discovery/item_mirror_test.cc
@@ -48,8 +48,8 @@
   CHECK(mMirror.Items() == std::vector<source_item>{ { "a", "3", 11 } });
 }
 
-// Guards against an item that a peer never deletes: it was created and deleted
-// within one update of this replica, and the peer has received only the
+// Guards against an item that a peer never deletes: the item was created and
+// deleted within one update of this replica, and the peer has received only the
 // creation.
 TEST_CASE_FIXTURE(mirror_with_two_items,
                   "item_mirror/removal_of_what_is_not_held/is_told_to_peers")
--- a/thornhollow/discovery/source_follower.cc
+++ b/thornhollow/discovery/source_follower.cc
@@ -104,9 +104,11 @@
                              mMaxRecentDelay / 2);
 }
 
-// After an event that ends all instances' watches at once, such as a change,
-// the next watches start together. The first of them ends at the instance's own
-// position within the round; later ones last a full round of all readers.
+// Returns the wait of the next watch. After an event that ends all instances'
+// watches at once, such as a change, the next watches start together. The first
+// watch of each instance then ends at the instance's own position within the
+// round, in which each reader's watch ends once; later watches last a full
+// round of all readers.
 duration
 source_follower::WatchWait() const
 {
--- a/thornhollow/discovery/source_follower_test.cc
+++ b/thornhollow/discovery/source_follower_test.cc
@@ -282,9 +282,9 @@
   CHECK(suspect(Seconds(1)));
 }
 
-// Guards against ignoring that a peer had a change first: in that case the
-// instance's own watch was dead, and the next change took effect two seconds
-// late.
+// Guards against ignoring that a peer had a change first: if a peer has a
+// change that this instance's watch did not return, the watch was dead, and the
+// next change took effect two seconds late.
 TEST_CASE_FIXTURE(follower_after_listing,
                   "source_follower/peer_knew_first/asks_beside_its_watch")
 {
--- a/thornhollow/platform/endpoint_reader.h
+++ b/thornhollow/platform/endpoint_reader.h
@@ -16,8 +16,9 @@
 endpoint_name
 EndpointName(std::string_view aKey);
 
-// Fails if a field is missing or has another type, or if the state is unknown:
-// other programs may write entries under the same prefix.
+// Parses an endpoint's entry. Fails if a field is missing or has another type,
+// or if the state is unknown: other programs may write entries under the same
+// prefix.
 result<listed_endpoint>
 ReadEndpoint(std::string_view aKey, std::string_view aBytes);
 
--- a/thornhollow/routing/routing_table.h
+++ b/thornhollow/routing/routing_table.h
@@ -31,20 +31,21 @@
 
   const routing_document& Document() const { return mDocument; }
 
-  // The route of this host with the longest prefix of `aPath`, or null. `aHost`
-  // is compared ignoring case and port. Costs one hash look-up per slash in the
-  // path, independent of the number of routes.
+  // Returns the route of host `aHost` with the longest path prefix that matches
+  // `aPath`, or null. `aHost` is compared ignoring case and port. Costs one
+  // hash look-up per slash in the path, independent of the number of routes.
   const route* Match(std::string_view aHost, std::string_view aPath) const;
 
-  // The team to which this token belongs, or null.
+  // Returns the team to which this token belongs, or null.
   const routed_team* TeamForToken(std::string_view aToken) const;
 
   // Returns the pool of this name, or null if the document declares no such
   // pool.
   const routed_pool* Pool(const pool_name& aName) const;
 
-  // Selects a pool by hash in proportion to the weights. The same hash selects
-  // the same pool on every instance. Null if no pool has weight.
+  // Selects one of the route's pools by hash in proportion to the pools'
+  // weights. The same hash selects the same pool on every instance. Returns
+  // null if no pool has a weight above 0.
   static const pool_name* SelectPool(const route& aRoute, std::uint64_t aHash);
 
 private:
@@ -61,8 +62,8 @@
 routing_table_ptr
 MakeRoutingTable(routing_document aDocument);
 
-// The tier at which a request is served: the team's if it has one, otherwise
-// the route's.
+// Returns the effective tier, at which a request is served: the team's tier if
+// the team has one, otherwise the route's.
 tier_number
 EffectiveTier(const route& aRoute, const routed_team* aTeam);
 
