--- a/thornhollow/daemon/caller_reply.h
+++ b/thornhollow/daemon/caller_reply.h
@@ -21,8 +21,8 @@
 {
   // Response header that echoes the request ID.
   std::string mRequestIdHeader = "X-Request-Id";
-  // Writes `Retry-After` in seconds with three decimals instead of rounding up
-  // to whole seconds.
+  // Whether `Retry-After` is written in seconds with three decimals instead of
+  // rounded up to whole seconds.
   bool mFractions = false;
 
   friend bool operator==(const reply_form&, const reply_form&) = default;
--- a/thornhollow/daemon/configuration_keeper.h
+++ b/thornhollow/daemon/configuration_keeper.h
@@ -48,7 +48,8 @@
                      const std::string& aDigest,
                      std::function<void(std::optional<std::string>)>)>
     mFetchPart;
-  // Notifies all peers of this version immediately.
+  // Notifies all peers immediately that this instance holds configuration
+  // version `aVersion`.
   std::function<void(std::uint64_t aVersion)> mAnnounce;
 };
 
--- a/thornhollow/daemon/intake.h
+++ b/thornhollow/daemon/intake.h
@@ -34,7 +34,7 @@
   // The request's deadline, as the time since the request's arrival.
   duration mDeadline{};
   bool mIdempotent = false;
-  // True for a model engine, false for a plain service.
+  // Whether the request is for a model engine; false for a plain service.
   bool mEngine = false;
   // Whether the caller asked for a streamed response.
   bool mStream = false;
@@ -47,8 +47,8 @@
   std::string mMethod;
   std::string mPath;
   std::string mContentType;
-  // For an engine, a JSON object without its closing brace, which `EngineBody`
-  // completes.
+  // Body to send to an endpoint. For an engine, the body is a JSON object
+  // without its closing brace, which `EngineBody` completes.
   std::string mBody;
 };
 
--- a/thornhollow/daemon/log_output.h
+++ b/thornhollow/daemon/log_output.h
@@ -21,7 +21,8 @@
 class log_output
 {
 public:
-  // Does not take ownership of the descriptor.
+  // Writes log lines to `aDescriptor`; does not take ownership of the
+  // descriptor.
   explicit log_output(int aDescriptor)
     : mDescriptor(aDescriptor)
   {
@@ -29,7 +30,8 @@
 
   // Appends one line, including its newline.
   void Add(std::string_view aLine);
-  // Writes as much as the descriptor accepts without blocking.
+  // Writes as many of the buffered lines as the descriptor accepts without
+  // blocking.
   void Flush();
 
   std::uint64_t Dropped() const { return mTotalDropped; }
--- a/thornhollow/daemon/operators_page.h
+++ b/thornhollow/daemon/operators_page.h
@@ -29,8 +29,8 @@
   // Time since the source itself last answered; unset if the source never
   // answered and all items were copied from peers.
   std::optional<duration> mAge;
-  // Whether the last call to the source failed, or two of its responses in a
-  // row were overdue.
+  // Whether the last call to the source failed, or two responses of the source
+  // in a row were overdue.
   bool mFailing = false;
 
   friend bool operator==(const held_items&, const held_items&) = default;
--- a/thornhollow/daemon/peer_link.h
+++ b/thornhollow/daemon/peer_link.h
@@ -96,9 +96,9 @@
                 duration aTimeout,
                 answer_handler aDone);
 
-  // Notifies peers that this instance holds this configuration version.
+  // Notifies peers that this instance holds configuration version `aVersion`.
   void Announce(std::uint64_t aVersion);
-  // Notifies peers that this endpoint is leaving.
+  // Notifies peers that endpoint `aEndpoint` is leaving.
   void ReportEndpointLeaving(const endpoint_name& aEndpoint);
 
   // `ReportPressure` reports to peers which tiers of each pool wait too long at
--- a/thornhollow/daemon/relay_session.cc
+++ b/thornhollow/daemon/relay_session.cc
@@ -490,7 +490,7 @@
     return mUnsent < kMaxUnsent && mUnsentTime < kMaxUnsentTime;
   }
 
-  // Reports the end of the attempt to the pool, once.
+  // Reports the end of the current attempt to the pool, once for each attempt.
   void EndAttempt(attempt_end aEnd)
   {
     if (!std::exchange(mChargedToPool, false)) {
@@ -568,7 +568,7 @@
                : error_kind::kDeadlineUnmeetable);
   }
 
-  // Ends the request with an error.
+  // Ends the request with an error response to the caller.
   void GiveUp(error_kind aKind)
   {
     if (mAnswerBegun) {
--- a/thornhollow/daemon/source_link.h
+++ b/thornhollow/daemon/source_link.h
@@ -75,8 +75,8 @@
                      std::uint64_t aRevision);
 
   const item_mirror& Mirror() const;
-  // Whether the last call to the source failed, or two of its responses in a
-  // row were overdue.
+  // Whether the last call to the source failed, or two responses of the source
+  // in a row were overdue.
   bool Failing() const;
   // `LastAnswerTime` returns when the source itself, not a peer, last answered,
   // and `AnswerAge` how long ago; both return nullopt before its first answer.
--- a/thornhollow/discovery/endpoint_roster.h
+++ b/thornhollow/discovery/endpoint_roster.h
@@ -131,12 +131,13 @@
   // The source no longer lists an endpoint of this name.
   roster_changes OnRemoved(const endpoint_name& aName, time_point aNow);
 
-  // A call to the source failed, on this instance or as reported by a peer.
+  // Records that a call to the source failed, on this instance or as reported
+  // by a peer.
   void OnSourceFailed(time_point aNow);
   // The source answered this or another instance at `aAt`. To be called before
   // the contents of that answer are applied.
   void OnSourceAnswered(time_point aAt);
-  // A peer reported that the source recovered from an outage at `aAt`.
+  // Records a peer's report that the source recovered from an outage at `aAt`.
   void OnRecoveryReported(time_point aAt);
   // Whether the source is unavailable to all instances, as far as is known.
   bool IsSourceInOutage(time_point aNow) const;
--- a/thornhollow/discovery/item_mirror.h
+++ b/thornhollow/discovery/item_mirror.h
@@ -33,7 +33,7 @@
   friend bool operator==(const source_item&, const source_item&) = default;
 };
 
-// An item was written, or deleted if there is no value.
+// A change of one item: the item was written, or deleted if there is no value.
 struct item_change
 {
   std::string mKey;
--- a/thornhollow/discovery/item_source.h
+++ b/thornhollow/discovery/item_source.h
@@ -54,7 +54,8 @@
                          const source_failure&) = default;
 };
 
-// Called while a response is received, with the number of bytes so far.
+// Called while a response of the source is received, with the number of bytes
+// received so far.
 using response_progress = std::function<void(std::size_t aBytes)>;
 
 using list_outcome = std::variant<source_listing, source_failure>;
--- a/thornhollow/discovery/source_follower.h
+++ b/thornhollow/discovery/source_follower.h
@@ -63,8 +63,9 @@
   kOtherCallFails,
   // A peer reported that its calls to the source fail.
   kPeerFails,
-  // A peer's copy contained a change that this watch has not returned, although
-  // it has been open for longer than the source takes to report changes.
+  // A peer's copy contained a change that the open watch has not returned,
+  // although the watch has been open for longer than the source takes to report
+  // changes.
   kPeerKnewFirst,
 };
 
@@ -136,9 +137,10 @@
   duration mSendDelay{};
   // How long a watch waits for changes; zero for a listing.
   duration mWait{};
-  // If no data arrives within this time after the wait, the response is overdue
-  // and `OnOverdue` is to be called. A later response is still used, up to
-  // `mIdleTimeout`. See `pending_calls`.
+  // If no data arrives within this time after the watch's wait, or after a
+  // listing was requested, the response is overdue and `OnOverdue` is to be
+  // called. A later response is still used, up to `mIdleTimeout`. See
+  // `pending_calls`.
   duration mResponseTimeout{};
   duration mIdleTimeout{};
 
@@ -157,8 +159,9 @@
   // The response to the newest call is overdue. Returns the call to make
   // concurrently with the pending ones.
   source_call OnOverdue(const item_mirror& aMirror, time_point aNow);
-  // A pending watch is suspected to be dead. Returns the call to make
-  // concurrently, or nothing if it would yield no new information.
+  // A pending watch is suspected of never being answered. Returns the call to
+  // make concurrently with the watch, or nothing if the call would yield no new
+  // information.
   std::optional<source_call> OnSuspected(suspicion_reason aReason,
                                          const item_mirror& aMirror,
                                          time_point aNow);
--- a/thornhollow/routing/routing_document.h
+++ b/thornhollow/routing/routing_document.h
@@ -27,9 +27,11 @@
   // The request must be executed at most once; a second execution could, for
   // example, place a second order.
   kAtMostOnce,
-  // An event stream that must be executed at most once.
+  // The response is an event stream, and the request must be executed at most
+  // once.
   kStream,
-  // An event stream that another endpoint can resume after its last event.
+  // The response is an event stream that another endpoint can resume after its
+  // last event.
   kResumableStream,
 };
 
