--- a/thornhollow/daemon/relay_gateway.cc
+++ b/thornhollow/daemon/relay_gateway.cc
@@ -26,16 +26,17 @@
 
 // The load balancer probes readiness once a second and removes an instance
 // after two failed probes. For this long after a drain begins, new connections
-// still arrive and are served; after that, idle connections are closed.
+// still arrive and are served; idle connections are closed when this time has
+// passed.
 constexpr duration kBalancerDetectionTime = Milliseconds(2'300);
 // From this long after the drain began, a draining instance accepts only
-// requests that it can answer completely before it exits. A longer answer would
-// be truncated, and another instance can serve it.
+// requests that it can answer completely before it exits. An answer that takes
+// longer would be truncated, and another instance can serve the request.
 constexpr duration kRefuseAfter = Milliseconds(2'500);
 // How long an instance reports a failed source call to its peers, during which
-// one more instance of its domain reads the source. Longer than the source
-// usually refuses calls, and short enough that the usual set of readers is soon
-// restored.
+// one more instance of its domain reads the source. This period is longer than
+// the source usually refuses calls, and short enough that the usual set of
+// readers is soon restored.
 constexpr duration kFailureReportPeriod = Seconds(5);
 // Part of the drain's grace period that is reserved for process exit.
 constexpr duration kShutdownReserve = Milliseconds(400);
--- a/thornhollow/daemon/relay_session.cc
+++ b/thornhollow/daemon/relay_session.cc
@@ -30,9 +30,9 @@
 // No further connection attempt is made for a request once its failed attempts
 // have taken this long in total, which is after three that timed out.
 constexpr duration kMaxUnsentTime = Milliseconds(800);
-// A kept connection is reused if it has been idle for at most this long, for
-// repeatable requests and for those that must run at most once. The limit is
-// shorter for the latter, since the endpoint may be about to close the
+// Maximum idle time after which a kept connection is reused, for repeatable
+// requests and for requests that must run at most once. The limit is shorter
+// for at-most-once requests, since the endpoint may be about to close the
 // connection, and a close can't be distinguished from a failure after the
 // request ran.
 constexpr duration kMaxIdleRepeatable = Seconds(30);
@@ -50,7 +50,8 @@
 constexpr duration kPeerSilenceOnce = Seconds(8);
 // A repeatable request that is not a stream is sent to another endpoint if no
 // bytes are received for this multiple of its route's target, but not before
-// the minimum below, in which an engine can process a prompt of medium length.
+// `kMinSilenceTimeout`, in which an engine can process a prompt of medium
+// length.
 constexpr int kSilenceTargetFactor = 4;
 constexpr duration kMinSilenceTimeout = Milliseconds(600);
 // A repeatable stream that sends no bytes for this long is resumed at another
--- a/thornhollow/daemon/router.cc
+++ b/thornhollow/daemon/router.cc
@@ -28,8 +28,8 @@
 // retry simultaneously.
 constexpr duration kRetryDelay = Seconds(1);
 
-// The first token's timeout is this multiple of the first-token target: an
-// engine that is this late has stopped responding and is not merely slow.
+// The timeout for the first token is this multiple of the first-token target:
+// an engine that is this late has stopped responding and is not merely slow.
 constexpr int kFirstByteTargetMultiple = 8;
 constexpr duration kMinFirstByteTimeout = Seconds(2);
 
--- a/thornhollow/daemon/source_link.cc
+++ b/thornhollow/daemon/source_link.cc
@@ -132,8 +132,8 @@
   }
 
 private:
-  // A pending call. The calls of one round run concurrently, and the first
-  // answer ends the round.
+  // A pending call to the source. A round is a set of calls that run
+  // concurrently and that the first answer to any of them ends.
   struct sent_call
   {
     std::uint64_t mRound = 0;
@@ -199,9 +199,10 @@
     Send(next, mRound);
   }
 
-  // Whether the outcome determines the next call. The failure of a call that is
-  // not the newest of its round does not: it was logged when it became overdue,
-  // and another call of the round may still be answered.
+  // Whether the outcome of a call determines the next call. A failed call that
+  // is not the newest of its round does not determine it: the failure was
+  // logged when the call became overdue, and another call of the round may
+  // still be answered.
   template<class outcome>
   bool IsDecisive(const outcome& aOutcome, const sent_call& aSent) const
   {
@@ -379,7 +380,8 @@
   bool mReadsSource = true;
   // Whether no call is pending and none is scheduled.
   bool mIdle = false;
-  // Identifies the current round; answers to earlier rounds are ignored.
+  // Number of the current round of concurrent calls; answers to calls of
+  // earlier rounds are ignored.
   std::uint64_t mRound = 0;
   bool mInOutage = false;
   // The number of the newest call.
--- a/thornhollow/discovery/pending_calls.cc
+++ b/thornhollow/discovery/pending_calls.cc
@@ -27,10 +27,10 @@
   return mNewest && aNow >= mNewest->mDueAt && !IsReceiving(aNow);
 }
 
-// Without a pending call there is nothing to probe for, since no call can be
-// dead. A very recent call already serves as a probe, unless a peer reported a
-// change first: the report doesn't show whether a call made before it is
-// answered.
+// A probe is only useful while a call is pending, since only a pending call can
+// be dead. A call made very recently already serves as a probe, unless a peer
+// reported a change first: the report doesn't show whether a call made before
+// the report is answered.
 bool
 pending_calls::AllowsProbe(suspicion_reason aReason, time_point aNow) const
 {
--- a/thornhollow/discovery/pending_calls_test.cc
+++ b/thornhollow/discovery/pending_calls_test.cc
@@ -41,8 +41,8 @@
   }
 }
 
-// Guards against waiting for a response whose source becomes unresponsive in
-// the middle of the transfer.
+// Guards against waiting for the rest of a response when the source becomes
+// unresponsive in the middle of the transfer.
 TEST_CASE_FIXTURE(calls_with_watch,
                   "pending_calls/answer_that_stops/is_overdue_within_a_second")
 {
--- a/thornhollow/listing/platform_watch.cc
+++ b/thornhollow/listing/platform_watch.cc
@@ -13,11 +13,12 @@
 namespace thornhollow {
 namespace {
 
-// A long poll counts as one call, so a longer wait reduces the call rate. But a
-// poll on a dead connection hides a change for the wait plus the grace period,
-// and an endpoint that leaves must receive no new work after a few seconds.
-// These values bound that to 3 s, and 420 instances make 210 calls/s of the
-// 2,000 calls/s that all callers together may make.
+// How long the platform may hold a long poll. A long poll counts as one call,
+// so a longer wait reduces the call rate. But a poll on a dead connection hides
+// a change for the wait plus `kResponseGrace`, and an endpoint that leaves must
+// receive no new work after a few seconds. The values here hide a change for at
+// most 3 s, and 420 instances make 210 calls/s of the 2,000 calls/s that all
+// callers together may make.
 constexpr duration kLongPollWait = Seconds(2);
 // A response of the platform is due within this time beyond the long poll's
 // wait; if it is later, the poll is abandoned and repeated on a new connection.
