--- a/thornhollow/daemon/relay_gateway.cc
+++ b/thornhollow/daemon/relay_gateway.cc
@@ -26,21 +26,23 @@
 
 // The load balancer probes readiness once a second and removes an instance
 // after two failed probes. For this long after a drain begins, new connections
-// still arrive and are served; after that, idle connections are closed.
+// still arrive and are served; idle connections are closed when this time has
+// passed.
 constexpr duration kBalancerDetectionTime = Milliseconds(2'300);
 // From this long after the drain began, a draining instance accepts only
-// requests that it can answer completely before it exits. A longer answer would
-// be truncated, and another instance can serve it.
+// requests that it can answer completely before it exits. An answer that takes
+// longer would be truncated, and another instance can serve the request.
 constexpr duration kRefuseAfter = Milliseconds(2'500);
 // How long an instance reports a failed source call to its peers, during which
-// one more instance of its domain reads the source. Longer than the source
-// usually refuses calls, and short enough that the usual set of readers is soon
-// restored.
+// one more instance of its domain reads the source. This period is longer than
+// the source usually refuses calls, and short enough that the usual set of
+// readers is soon restored.
 constexpr duration kFailureReportPeriod = Seconds(5);
-// Reserved from the drain's grace period for process exit.
+// Part of the drain's grace period that is reserved for process exit.
 constexpr duration kShutdownReserve = Milliseconds(400);
 
-// Bodies are buffered completely. A body may take this long to arrive.
+// Maximum time that the body of a request may take to arrive; bodies are
+// buffered completely.
 constexpr duration kBodyTimeout = Seconds(10);
 
 server_limits
@@ -228,8 +230,8 @@
   void ApplyCopy(const items_request& aRequest, const items_answer& aCopy)
   {
     source_link& link = LinkOf(aCopy.mWhich);
-    // An instance that reads the source observes recoveries itself and ignores
-    // those that peers report.
+    // An instance that reads the source observes the source's recoveries itself
+    // and ignores recoveries that peers report.
     if (aCopy.mSourceBackFor && !mReadsSource) {
       mRoster.OnRecoveryReported(Now() - *aCopy.mSourceBackFor);
     }
@@ -279,7 +281,8 @@
     SuspectWatches(aNow);
   }
 
-  // When the source last answered this instance.
+  // Returns when the source last answered this instance; nullopt if it never
+  // did.
   std::optional<time_point> SourceAnswered() const
   {
     return std::max(mDocument.LastAnswerTime(), mEndpoints.LastAnswerTime());
@@ -428,7 +431,8 @@
     mPeers.OnItemsChanged();
   }
 
-  // An entry that cannot be parsed removes that endpoint only.
+  // Applies a changed endpoint entry. An entry that cannot be parsed removes
+  // only its own endpoint.
   void OnEntry(const item_change& aChange)
   {
     boost::leaf::try_handle_all(
--- a/thornhollow/daemon/relay_session.cc
+++ b/thornhollow/daemon/relay_session.cc
@@ -21,17 +21,18 @@
 namespace thornhollow {
 namespace {
 
-// Endpoints are a few milliseconds away. A lost SYN is retransmitted only after
-// one second, and another endpoint answers sooner.
+// Timeout of a connection attempt to an endpoint. Endpoints are a few
+// milliseconds away; a lost SYN is retransmitted only after one second, and
+// another endpoint answers sooner.
 constexpr duration kConnectTimeout = Milliseconds(300);
 // Maximum failed connection attempts for one request.
 constexpr std::uint32_t kMaxUnsent = 6;
 // No further connection attempt is made for a request once its failed attempts
 // have taken this long in total, which is after three that timed out.
 constexpr duration kMaxUnsentTime = Milliseconds(800);
-// A kept connection is reused if it has been idle for at most this long, for
-// repeatable requests and for those that must run at most once. The limit is
-// shorter for the latter, since the endpoint may be about to close the
+// Maximum idle time after which a kept connection is reused, for repeatable
+// requests and for requests that must run at most once. The limit is shorter
+// for at-most-once requests, since the endpoint may be about to close the
 // connection, and a close can't be distinguished from a failure after the
 // request ran.
 constexpr duration kMaxIdleRepeatable = Seconds(30);
@@ -49,7 +50,8 @@
 constexpr duration kPeerSilenceOnce = Seconds(8);
 // A repeatable request that is not a stream is sent to another endpoint if no
 // bytes are received for this multiple of its route's target, but not before
-// the minimum below, in which an engine can process a prompt of medium length.
+// `kMinSilenceTimeout`, in which an engine can process a prompt of medium
+// length.
 constexpr int kSilenceTargetFactor = 4;
 constexpr duration kMinSilenceTimeout = Milliseconds(600);
 // A repeatable stream that sends no bytes for this long is resumed at another
@@ -60,16 +62,17 @@
 // callers are told to wait at least a tenth of most timeouts before they retry,
 // so a retry has at most this fraction left.
 constexpr double kRetryTimeoutFraction = 0.9;
-// Limit for answers that are not streamed, which are buffered until complete.
+// Maximum size in bytes of an answer that is not streamed, which is buffered
+// until complete.
 constexpr std::size_t kMaxBufferedAnswerBytes = std::size_t{ 8 } << 20U;
 constexpr std::size_t kMaxEventBytes = std::size_t{ 1 } << 20U;
 constexpr unsigned kStatusOk = 200;
 constexpr unsigned kStatusRedirect = 300;
 constexpr unsigned kStatusServerError = 500;
 
-// Whether the status implies to a caller that its request was not run. An
-// endpoint's answer has that meaning only if the endpoint also marks the
-// request as not run.
+// Whether the HTTP status implies to a caller that its request was not run. An
+// endpoint's answer with this status has that meaning only if the endpoint also
+// marks the request as not run.
 bool
 ImpliesNotRun(unsigned aStatus)
 {
@@ -488,7 +491,7 @@
     return mUnsent < kMaxUnsent && mUnsentTime < kMaxUnsentTime;
   }
 
-  // Reports the end of the attempt to the pool, once.
+  // Reports the end of the current attempt to the pool, once for each attempt.
   void EndAttempt(attempt_end aEnd)
   {
     if (!std::exchange(mChargedToPool, false)) {
@@ -512,8 +515,9 @@
     });
   }
 
-  // When the current attempt counts as silent. Never for a request that must
-  // not be repeated, since it could not be sent elsewhere.
+  // Returns the time from which the current attempt counts as silent if no
+  // bytes arrive before. A request that must not be repeated never counts as
+  // silent, since it could not be sent elsewhere.
   time_point SilenceDeadline() const
   {
     if (!MayRepeat(mRoute->mKind)) {
@@ -565,7 +569,7 @@
                : error_kind::kDeadlineUnmeetable);
   }
 
-  // Ends the request with an error.
+  // Ends the request with an error response to the caller.
   void GiveUp(error_kind aKind)
   {
     if (mAnswerBegun) {
@@ -696,17 +700,18 @@
   unsigned mStatus = 0;
   std::string mBufferedAnswer;
 
-  // State over all attempts.
+  // Endpoints tried by the attempts of the request so far. The members from
+  // `mTriedEndpoints` on hold state over all attempts.
   std::vector<endpoint_name> mTriedEndpoints;
   std::uint32_t mAttempts = 0;
   std::uint32_t mUnsent = 0;
   duration mUnsentTime{};
   bool mMayHaveRun = false;
-  // The next retry has already been charged to the budget.
+  // Whether the next retry has already been charged to the retry budget.
   bool mRetryCharged = false;
   event_splitter mEvents;
   std::vector<header_field> mHeaders;
-  // Part of the answer has been sent to the caller.
+  // Whether part of the answer has been sent to the caller.
   bool mAnswerBegun = false;
   std::optional<duration> mFirstByte;
   std::optional<time_point> mLastEvent;
--- a/thornhollow/daemon/router.cc
+++ b/thornhollow/daemon/router.cc
@@ -23,12 +23,13 @@
 
 using boost::system::error_code;
 
-// Retry delay for failures without a computed one. It is spread by up to half
-// to either side so that callers do not retry simultaneously.
+// Retry delay told to callers for failures without a computed delay. The delay
+// is randomized by up to half of it in either direction so that callers do not
+// retry simultaneously.
 constexpr duration kRetryDelay = Seconds(1);
 
-// The first token's timeout is this multiple of the first-token target: an
-// engine that is this late has stopped responding and is not merely slow.
+// The timeout for the first token is this multiple of the first-token target:
+// an engine that is this late has stopped responding and is not merely slow.
 constexpr int kFirstByteTargetMultiple = 8;
 constexpr duration kMinFirstByteTimeout = Seconds(2);
 
--- a/thornhollow/daemon/source_link.cc
+++ b/thornhollow/daemon/source_link.cc
@@ -132,14 +132,15 @@
   }
 
 private:
-  // A pending call. The calls of one round run concurrently, and the first
-  // answer ends the round.
+  // A pending call to the source. A round is a set of calls that run
+  // concurrently and that the first answer to any of them ends.
   struct sent_call
   {
     std::uint64_t mRound = 0;
     std::uint64_t mCallNumber = 0;
     time_point mSentAt{};
-    // When the source is expected to answer if no item changes: after the wait.
+    // When the source is expected to answer the call if no item changes: after
+    // the wait that the call requests.
     time_point mDueAt{};
   };
 
@@ -198,9 +199,10 @@
     Send(next, mRound);
   }
 
-  // Whether the outcome determines the next call. The failure of a call that is
-  // not the newest of its round does not: it was logged when it became overdue,
-  // and another call of the round may still be answered.
+  // Whether the outcome of a call determines the next call. A failed call that
+  // is not the newest of its round does not determine it: the failure was
+  // logged when the call became overdue, and another call of the round may
+  // still be answered.
   template<class outcome>
   bool IsDecisive(const outcome& aOutcome, const sent_call& aSent) const
   {
@@ -359,7 +361,8 @@
                  { "failed_calls", std::exchange(mFailedCalls, 0) } });
   }
 
-  // -1 if the source has never answered.
+  // Returns the milliseconds since the source last answered, or -1 if it has
+  // never answered.
   std::int64_t AnswerAgeMs() const
   {
     const auto answered = mFollower.LastAnswer();
@@ -375,18 +378,21 @@
   source_follower mFollower;
   boost::asio::steady_timer mTimer;
   bool mReadsSource = true;
-  // No call is pending or scheduled.
+  // Whether no call is pending and none is scheduled.
   bool mIdle = false;
-  // Identifies the current round; answers to earlier rounds are ignored.
+  // Number of the current round of concurrent calls; answers to calls of
+  // earlier rounds are ignored.
   std::uint64_t mRound = 0;
   bool mInOutage = false;
   // The number of the newest call.
   std::uint64_t mCallNumber = 0;
   // The pending calls of the current round; none during a send delay.
   pending_calls mOpenCalls;
-  // Size of the last answer received, complete or not.
+  // Bytes of the last answer received so far, whether or not the answer was
+  // complete.
   std::size_t mBytesReceived = 0;
-  // Failed calls since the last answer, and the reason logged last.
+  // Number of failed calls since the source last answered, and the reason
+  // logged last.
   std::int64_t mFailedCalls = 0;
   std::string mLastDetail;
 };
--- a/thornhollow/discovery/item_mirror.h
+++ b/thornhollow/discovery/item_mirror.h
@@ -33,7 +33,7 @@
   friend bool operator==(const source_item&, const source_item&) = default;
 };
 
-// An item was written, or deleted if there is no value.
+// A change of one item: the item was written, or deleted if there is no value.
 struct item_change
 {
   std::string mKey;
@@ -53,7 +53,7 @@
                                      std::uint64_t aRevision);
 
   // Applies all changes of the source after the replica's revision, up to
-  // `aRevision`. Returns those that changed the replica.
+  // `aRevision`. Returns the changes that altered the replica.
   std::vector<item_change> OnChanges(const std::vector<item_change>& aChanges,
                                      std::uint64_t aRevision);
 
@@ -67,7 +67,7 @@
     std::uint64_t aRequestedAfter,
     std::uint64_t aRevision);
 
-  // Whether a listing was applied.
+  // Whether a complete listing of the source or of a peer has been applied.
   bool Listed() const { return mListed; }
   // The source's revision up to which the replica is complete; 0 initially.
   std::uint64_t Revision() const { return mRevision; }
@@ -103,9 +103,10 @@
   // Maximum number of changes in the history: several minutes of changes at a
   // large site.
   static constexpr std::size_t kMaxHistory = 256;
-  // Adds an update from `aBefore` to `aAfter` to the history. `aIsUnresolved`:
-  // `aChanges` has only the last change of each item, so the state at revisions
-  // between the two is not known.
+  // Adds an update from revision `aBefore` to revision `aAfter` to the history.
+  // `aIsUnresolved` means that `aChanges` has only the last change of each
+  // item, so that the state at revisions between `aBefore` and `aAfter` is not
+  // known.
   void RecordHistory(const std::vector<item_change>& aChanges,
                      std::uint64_t aBefore,
                      std::uint64_t aAfter,
@@ -119,7 +120,7 @@
   // The history contains all changes after this revision.
   std::uint64_t mHistoryStart = 0;
   // Updates for which the state between their first and last revision is not
-  // known, as pairs of these revisions.
+  // known, as pairs of the first and the last revision.
   std::deque<std::pair<std::uint64_t, std::uint64_t>> mUnresolvedSteps;
 };
 
--- a/thornhollow/discovery/source_follower.cc
+++ b/thornhollow/discovery/source_follower.cc
@@ -98,15 +98,17 @@
 void
 source_follower::RecordDelay(duration aDelay)
 {
-  // Bounded so that a single very late response doesn't prolong the time-out of
-  // many following ones.
+  // The recorded delay is limited so that a single very late response doesn't
+  // prolong the time-out of many following responses.
   mMaxRecentDelay = std::max(std::min(aDelay, mSettings.mMaxResponseTimeout),
                              mMaxRecentDelay / 2);
 }
 
-// After an event that ends all instances' watches at once, such as a change,
-// the next watches start together. The first of them ends at the instance's own
-// position within the round; later ones last a full round of all readers.
+// Returns the wait of the next watch. After an event that ends all instances'
+// watches at once, such as a change, the next watches start together. The first
+// watch of each instance then ends at the instance's own position within the
+// round, in which each reader's watch ends once; later watches last a full
+// round of all readers.
 duration
 source_follower::WatchWait() const
 {
