--- a/thornhollow/daemon/live_request.h
+++ b/thornhollow/daemon/live_request.h
@@ -18,7 +18,8 @@
 
 namespace thornhollow {
 
-// Progress of a request's idempotency key claim.
+// How far an instance has come in claiming the idempotency key of a request
+// from the key's witnesses (key_gate.h).
 enum class key_stage : std::uint8_t
 {
   // The request has no key.
--- a/thornhollow/discovery/knowledge_search_test.cc
+++ b/thornhollow/discovery/knowledge_search_test.cc
@@ -223,10 +223,11 @@
   return more != nullptr ? std::strtoull(more, nullptr, 10) : 150;
 }
 
-// Instances that can't reach the source depend on copies from peers, which may
-// be older or newer than the instances' own mirrors. Guards against restoring a
-// removed endpoint and against permanently losing a change between two
-// responses.
+// Instances that can't reach the source read its items from peers instead.
+// Responses are delayed and reordered, so the items in a response may be older
+// or newer than those in the instance's own mirror. Guards against restoring a
+// removed endpoint from an older response, and against permanently missing a
+// change that falls between the revisions of two responses.
 TEST_CASE("knowledge_search/cuts and late answers/never back, never a gap")
 {
   for (std::uint64_t seed = 1; seed <= Seeds(); ++seed) {
--- a/thornhollow/fleet/membership.cc
+++ b/thornhollow/fleet/membership.cc
@@ -13,8 +13,9 @@
 
 // Maximum number of concurrent indirect pings; each ends within a second.
 constexpr std::size_t kMaxIndirectPings = 64;
-// Fraction of the free space in a datagram, after its header and the leaving
-// endpoints, that pressures may take: 1 / `kPressureDivisor`.
+// Pool pressures, which tell peers the tiers that an instance still admits to a
+// pool (shared_state.h), may take 1 / `kPressureDivisor` of the space that the
+// header and the leaving endpoints leave free in a datagram.
 constexpr std::size_t kPressureDivisor = 2;
 
 // Appends as many entries of `aAll` as fit into `aRoom` bytes, starting at a
--- a/thornhollow/fleet/testing/silent_source_fleet.h
+++ b/thornhollow/fleet/testing/silent_source_fleet.h
@@ -40,8 +40,8 @@
 class silent_source_fleet
 {
 public:
-  // A change must be in force everywhere within this time after its
-  // acknowledgement.
+  // A change of an item must be in force at every instance within this time
+  // after the source has acknowledged the change.
   static constexpr duration kMaxChangeDelay = Seconds(2);
 
   silent_source_fleet(const fleet_shape& aShape, std::uint64_t aSeed)
@@ -189,10 +189,12 @@
 private:
   static constexpr duration kStep = Milliseconds(10);
   static constexpr duration kTickInterval = Milliseconds(100);
-  // As in the daemon: the longest wait for the next chunk of a copy.
+  // As in the daemon: the longest wait for the next chunk when an instance
+  // copies the source's items from a peer.
   static constexpr duration kCopyTimeout = Milliseconds(600);
   static constexpr double kEndpointBytes = 300;
-  // Maximum size of a copy from a peer, in bytes; larger copies are rejected.
+  // Maximum size in bytes of a copy of the source's items that an instance
+  // accepts from a peer; larger copies are rejected.
   static constexpr double kMaxCopyBytes = 1'048'576 + 4'096;
   // As in the daemon: for how long a failure of the source is reported to
   // peers.
--- a/thornhollow/policy/endpoint_table.h
+++ b/thornhollow/policy/endpoint_table.h
@@ -168,7 +168,9 @@
   // `aItem` doesn't.
   bool IsLong(const work_item& aItem) const;
 
-  // Returns every endpoint that this instance works with, sorted by name.
+  // Returns the status of every endpoint in the table, sorted by name: those
+  // that this instance may send requests to, and those no longer used that
+  // still have requests in flight or an unexpired report that they are leaving.
   std::vector<endpoint_status> Status(time_point aNow) const;
 
 private:
--- a/thornhollow/policy/relay_pool.h
+++ b/thornhollow/policy/relay_pool.h
@@ -89,9 +89,10 @@
   // Cost that is added for an engine whose slots are all occupied, as a
   // fraction of the request's target time.
   double mOccupancyFraction = 0.1;
-  // Factor on the expected wait for a slot. The expected wait is a mean over
-  // all engines, but a request sent to an engine with a longer queue than most
-  // may wait this many times as long.
+  // Factor on the expected wait for a slot, which is a mean over all engines.
+  // Accounts for the case that the queues for slots are short on average:
+  // because queues are uneven, a request of an instance then waits this many
+  // times as long at the engine it is sent to.
   double mQueueImbalance = 4;
   // Minimum number of tokens in shared prefix blocks for which the chosen
   // engine, if it does not have the blocks cached, copies them from an engine
--- a/thornhollow/policy/relay_pool_test.cc
+++ b/thornhollow/policy/relay_pool_test.cc
@@ -36,7 +36,8 @@
   return work;
 }
 
-// Demand of long and of short prompts, in prompt tokens per second.
+// Returns a view of a pool whose demand is `aLong` prompt tokens per second of
+// long prompts and `aShort` of short prompts.
 pool_view
 View(double aLong, double aShort)
 {
--- a/thornhollow/policy/waiting_request.h
+++ b/thornhollow/policy/waiting_request.h
@@ -31,7 +31,8 @@
   work_estimate mWork;
   time_point mQueuedAt{};
 
-  // Latest start with which the request can finish before its deadline.
+  // Latest time at which the request can start and still finish by its
+  // deadline.
   time_point LatestStart() const { return mItem.mDeadline - mWork.mMinRunTime; }
 
   friend bool operator==(const waiting_request&,
